--- a/drill/src/wire.rs
+++ b/drill/src/wire.rs
@@ -1,7 +1,7 @@
 //! The wire: decodes batches into calls of the decision module and encodes what it decides.
 
 use kelpcart::interface::*;
-use kelpcart::names::NameSet;
+use kelpcart::names::PrefixSet;
 use kelpcart::{Gateway, Span, Time};
 use kelpcart_settings::*;
 use serde_json::{Value, json};
@@ -60,18 +60,18 @@
                 "error" => gateway.list_failed(now),
                 form @ ("diff" | "snapshot" | "disk") => {
                     let entries: Found<Vec<Member>> = list(body, "Entries")?.iter().map(member).collect();
-                    gateway.members(now, form != "diff", entries?);
+                    gateway.update_members(now, form != "diff", entries?);
                 }
                 form => return Err(format!("unknown Form {form}")),
             },
             "Ingress" => gateway.txn(now, txn(body)?),
             "ReportBack" => gateway.outcome(now, outcome(body)?),
-            "Hangup" => gateway.hangup(int(body, "Req")?),
+            "Hangup" => gateway.client_left(int(body, "Req")?),
             "Outdated" => {
                 let group = optional(body, "Group", int)?.unwrap_or(0);
                 let names =
-                    optional(body, "File", int)?.map_or_else(|| NameSet::group(group), NameSet::object);
-                gateway.purged(now, names, span(body, "AgeUs")?);
+                    optional(body, "File", int)?.map_or_else(|| PrefixSet::group(group), PrefixSet::object);
+                gateway.purge(now, names, span(body, "AgeUs")?);
             }
             "Reminder" => {
                 if running.wake.is_some_and(|at| at <= now) {
@@ -108,9 +108,9 @@
             json!({"PassOn": {"Who": who, "Req": txn, "Cache": &*member, "TryUntilUs": limit.as_micros()}})
         }
         Decision::Hop { txn, member, fill: Some(fill), limit, .. } => {
-            let mode = u8::from(fill.join) + 2 * u8::from(fill.held_only) + 8 * u8::from(fill.renew);
+            let mode = u8::from(fill.coalesce) + 2 * u8::from(fill.only_if_cached) + 8 * u8::from(fill.revalidate);
             let age = fill.oldest.map_or(0, Span::as_micros);
-            json!({"ServeVia": {"Who": who, "Req": txn, "Cache": &*member, "Keep": fill.keep,
+            json!({"ServeVia": {"Who": who, "Req": txn, "Cache": &*member, "Keep": fill.keep_rank,
                 "Supplier": &*fill.source, "Mode": mode, "TryUntilUs": limit.as_micros(), "AgeUs": age}})
         }
         Decision::Cancel { txn, hop } => json!({"DropAttempt": {"Who": who, "Req": txn, "SeqNo": hop}}),
@@ -130,38 +130,38 @@
         object: int(body, "File")?,
         group: optional(body, "Tag", int)?.unwrap_or(0),
         part: optional(body, "Segment", int)?.unwrap_or(0),
-        write: optional(body, "Mutates", flag)?.unwrap_or(false),
+        is_write: optional(body, "Mutates", flag)?.unwrap_or(false),
         size: optional(body, "BytesK", number)?.filter(|&kb| kb > 0.0),
-        left: span(body, "LeftUs")?,
+        time_left: span(body, "LeftUs")?,
         oldest: None,
     })
 }
 
 fn outcome(body: &Fields) -> Found<Outcome> {
     let end = match text(body, "StateCode")? {
-        "success" => HopEnd::Completed,
-        "failure" => HopEnd::Errored,
-        "overloaded" => HopEnd::TurnedAway,
-        "timed_out" => HopEnd::TimedOut,
-        "unreachable" => HopEnd::Unreachable,
-        "broken" => HopEnd::Broken,
-        "withdrawn" => HopEnd::Withdrawn,
-        "void" => HopEnd::NeverSent,
-        "absent" => HopEnd::Lacking,
+        "success" => HopStatus::Completed,
+        "failure" => HopStatus::Errored,
+        "overloaded" => HopStatus::TurnedAway,
+        "timed_out" => HopStatus::TimedOut,
+        "unreachable" => HopStatus::Unreachable,
+        "broken" => HopStatus::Broken,
+        "withdrawn" => HopStatus::Withdrawn,
+        "void" => HopStatus::NeverSent,
+        "absent" => HopStatus::Lacking,
         code => return Err(format!("unknown StateCode {code}")),
     };
     let note = match optional(body, "Note", int)?.unwrap_or(0) {
         0 => None,
-        1 => Some(Note::Held),
-        2 => Some(Note::Filled),
-        3 => Some(Note::FilledByOrigin),
-        4 => Some(Note::Joined),
-        5 => Some(Note::Old),
-        6 => Some(Note::SourceRefused),
-        7 => Some(Note::SourceLost),
-        8 => Some(Note::SourceLacks),
-        9 => Some(Note::NoPlace),
-        10 => Some(Note::OriginFailed),
+        1 => Some(CacheStatus::Held),
+        2 => Some(CacheStatus::Filled),
+        3 => Some(CacheStatus::FilledByOrigin),
+        4 => Some(CacheStatus::Joined),
+        5 => Some(CacheStatus::Old),
+        6 => Some(CacheStatus::SourceRefused),
+        7 => Some(CacheStatus::SourceLost),
+        8 => Some(CacheStatus::SourceLacks),
+        9 => Some(CacheStatus::NoPlace),
+        10 => Some(CacheStatus::OriginFailed),
         code => return Err(format!("unknown Note {code}")),
     };
     let pressure = body.get("Pressure").and_then(Value::as_object);
@@ -170,11 +170,11 @@
         txn: int(body, "Req")?,
         hop: int(body, "SeqNo")? as u32,
         end,
-        took: span(body, "DurationUs")?,
-        closed: optional(body, "Terminal", flag)?.unwrap_or(false),
-        note,
+        duration: span(body, "DurationUs")?,
+        answered: optional(body, "Terminal", flag)?.unwrap_or(false),
+        cache_status: note,
         first_byte: optional(body, "FirstByteUs", int)?.filter(|&us| us > 0).map(Span::from_micros),
-        load: Load { link: reported("x1") },
+        load: LoadReport { link_load: reported("x1") },
     })
 }
 
@@ -188,6 +188,6 @@
         state: state(entry, "Availability")?,
         size: optional(entry, "Share", number)?.unwrap_or(0.0),
         started: optional(entry, "StartedAtUs", int)?.filter(|&at| at > 0).map(Time::from_micros),
-        far: false,
+        remote: false,
     })
 }
--- a/examples/purge_cost.rs
+++ b/examples/purge_cost.rs
@@ -5,16 +5,16 @@
 mod common;
 
 use common::{World, at, ms, settings, txn};
-use kelpcart::interface::{HopEnd, Note};
-use kelpcart::names::{NameSet, of_object};
+use kelpcart::interface::{HopStatus, CacheStatus};
+use kelpcart::names::{PrefixSet, object_hash};
 use std::time::Instant;
 
 const READS: u64 = 100_000;
 const PURGES: u64 = 150 * 31;
 
 fn main() {
-    let short = |i: u64| NameSet::new(40, (i * 75..(i + 1) * 75).map(of_object));
-    let exact = (0..PURGES).map(NameSet::object).collect();
+    let short = |i: u64| PrefixSet::new(40, (i * 75..(i + 1) * 75).map(object_hash));
+    let exact = (0..PURGES).map(PrefixSet::object).collect();
     for (what, purges) in [
         ("none", Vec::new()),
         ("150 x 31 exact purges", exact),
@@ -26,18 +26,18 @@
 }
 
 /// Microseconds to take one set in, and a read.
-fn cost(purges: &[NameSet]) -> (f64, f64) {
+fn cost(purges: &[PrefixSet]) -> (f64, f64) {
     let mut world = World::new(settings());
     world.pull(at(0));
     let began = Instant::now();
     for names in purges {
-        world.gateway.purged(at(0), names.clone(), ms(500));
+        world.gateway.purge(at(0), names.clone(), ms(500));
     }
     let told = began.elapsed().as_secs_f64() * 1e6 / purges.len().max(1) as f64;
     let began = Instant::now();
     for id in 0..READS {
         world.ask(at(0), txn(id, 0, PURGES + id));
-        world.end(at(0), id, HopEnd::Completed, Some(Note::Held));
+        world.end(at(0), id, HopStatus::Completed, Some(CacheStatus::Held));
     }
     (told, began.elapsed().as_secs_f64() * 1e6 / READS as f64)
 }
--- a/feed/src/code.rs
+++ b/feed/src/code.rs
@@ -2,7 +2,7 @@
 //! Coding Techniques", 1979). Must never give another set back than went in, nor believe a length that the bytes don't
 //! bear out.
 
-use kelpcart::names::NameSet;
+use kelpcart::names::PrefixSet;
 use prost::encoding::{decode_varint, encode_varint, encoded_len_varint};
 
 /// Names are cut to so many bits; with the least ones every set takes 520 bytes at the most.
@@ -33,12 +33,12 @@
 }
 
 /// Bytes that a set takes.
-pub fn size(names: &NameSet) -> usize {
+pub fn size(names: &PrefixSet) -> usize {
     length(names.names(), parameter(names.names()).1)
 }
 
 /// Bits, parameter, count and then the differences.
-pub fn encode(names: &NameSet) -> Vec<u8> {
+pub fn encode(names: &PrefixSet) -> Vec<u8> {
     let all = names.names();
     let (k, coded_bits) = parameter(all);
     let mut out = Vec::with_capacity(length(all, coded_bits));
@@ -69,7 +69,7 @@
 }
 
 /// `None`: no set was ever coded like that.
-pub fn decode(bytes: &[u8]) -> Option<NameSet> {
+pub fn decode(bytes: &[u8]) -> Option<PrefixSet> {
     let (&[bits, k], mut rest) = bytes.split_first_chunk::<2>()?;
     if bits > 64 || k > 63 {
         return None;
@@ -114,7 +114,7 @@
         }
         at += 1;
     }
-    (at == there).then(|| NameSet::cut(bits, names))
+    (at == there).then(|| PrefixSet::from_prefixes(bits, names))
 }
 
 /// Names at full length with the most bits at which they fit, as bytes.
@@ -126,7 +126,7 @@
         let mut cut: Vec<u64> = sorted.iter().map(|n| n >> (64 - bits)).collect();
         cut.dedup();
         if bits == LEAST_BITS || length(&cut, parameter(&cut).1) <= most_bytes {
-            return (bits, encode(&NameSet::cut(bits, cut)));
+            return (bits, encode(&PrefixSet::from_prefixes(bits, cut)));
         }
         bits -= 1;
     }
--- a/feed/src/compose.rs
+++ b/feed/src/compose.rs
@@ -6,7 +6,7 @@
 use crate::common::SIGNATURE;
 use crate::positions::MOST_NO;
 use crate::wire::{Bundle, MOST_BUNDLE, MOST_LINE, PIECE, Piece, Range};
-use kelpcart::names::{self, NameSet};
+use kelpcart::names::{self, PrefixSet};
 use kelpcart::{Span, Time};
 use prost::Message;
 use serde_json::Value;
@@ -65,7 +65,7 @@
             Some(lot) => Some(lot.as_u64()?).filter(|l| *l != 0),
             None => None,
         };
-        let names = [item.map(names::of_object), lot.map(names::of_group)];
+        let names = [item.map(names::object_hash), lot.map(names::group_hash)];
         names.iter().any(Option::is_some).then_some(Event::Purge { names, issued })
     };
     Ok((no, purge().unwrap_or(Event::Other)))
@@ -331,7 +331,7 @@
             let room = (MOST_BUNDLE - SIGNATURE).saturating_sub(bundle.encoded_len() + 3);
             let (_, code) = code::fit(all, room);
             // Can't be with what `wants` has left; too much is purged rather than too little.
-            bundle.names = if code.len() > room { code::encode(&NameSet::all()) } else { code };
+            bundle.names = if code.len() > room { code::encode(&PrefixSet::all()) } else { code };
         }
     }
 
@@ -565,7 +565,7 @@
         }
         let mut bundle = self.empty();
         (bundle.firsts[s], bundle.counts[s], bundle.issued) = (first, last + 1 - first, issued);
-        bundle.names = code::encode(&NameSet::all());
+        bundle.names = code::encode(&PrefixSet::all());
         self.mark_latest(&mut bundle);
         let mut length = bundle.encoded_len() + 8;
         let others: Vec<u64> = self.sources[s].lines.range(first..=last).map(|(no, _)| *no).rev().collect();
--- a/feed/src/lib.rs
+++ b/feed/src/lib.rs
@@ -21,7 +21,7 @@
 use crate::hub::Hub;
 use crate::site::Site;
 use crate::wire::Packet;
-use kelpcart::names::NameSet;
+use kelpcart::names::PrefixSet;
 use kelpcart::{Span, Time};
 use prost::Message;
 use std::collections::VecDeque;
@@ -37,7 +37,7 @@
     /// Objects and groups of which nothing older than `issued_ms` (Unix ms) is good any more.
     Purge {
         stream: usize,
-        names: NameSet,
+        names: PrefixSet,
         issued_ms: u64,
     },
     /// Any other event, verbatim, in order within its stream.
--- a/feed/src/site.rs
+++ b/feed/src/site.rs
@@ -12,7 +12,7 @@
 use crate::streams::{Stream, Streams};
 use crate::wire::{Bundle, Confirm, Fetch, Follow, MOST_RANGES, Named, Passed, Range, Said};
 use crate::{Counts, Out, Unusable};
-use kelpcart::names::NameSet;
+use kelpcart::names::PrefixSet;
 use kelpcart::{Span, Time};
 use prost::Message;
 use rand::seq::IteratorRandom;
@@ -919,7 +919,7 @@
     }
 
     /// `None`: not as a bundle has to be.
-    fn names_of(body: &Bundle) -> Option<Option<NameSet>> {
+    fn names_of(body: &Bundle) -> Option<Option<PrefixSet>> {
         if !body.is_sound() {
             return None;
         }
--- a/feed/src/streams.rs
+++ b/feed/src/streams.rs
@@ -6,7 +6,7 @@
 use crate::log::Seen;
 use crate::positions::Positions;
 use crate::wire::{Bundle, Range};
-use kelpcart::names::NameSet;
+use kelpcart::names::PrefixSet;
 use kelpcart::{Span, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64;
@@ -83,7 +83,7 @@
         self.all.get(stream)?.fresh.map(|at| now - at)
     }
 
-    fn purge(&mut self, body: &Bundle, names: Option<NameSet>) {
+    fn purge(&mut self, body: &Bundle, names: Option<PrefixSet>) {
         if let Some(names) = names {
             let stream = body.ranges().find(|(_, first, last)| first <= last).map_or(0, |(s, _, _)| s);
             self.purges += 1;
@@ -111,7 +111,7 @@
         &mut self,
         now: Time,
         body: &Bundle,
-        names: Option<NameSet>,
+        names: Option<PrefixSet>,
         live: bool,
     ) -> Vec<(usize, u64)> {
         let mut started = Vec::new();
@@ -178,7 +178,7 @@
     }
 
     /// What the site's contact gathered: acted on, but no position moves.
-    pub fn take_provisional(&mut self, now: Time, body: &Bundle, names: Option<NameSet>) {
+    pub fn take_provisional(&mut self, now: Time, body: &Bundle, names: Option<PrefixSet>) {
         self.provisional = true;
         self.purge(body, names);
         for p in &body.pieces {
@@ -271,7 +271,7 @@
                     let issued_ms = if own > 0 { own } else { any() };
                     if issued_ms > 0 {
                         self.purged_all += 1;
-                        self.out.push(Out::Purge { stream: s, names: NameSet::all(), issued_ms });
+                        self.out.push(Out::Purge { stream: s, names: PrefixSet::all(), issued_ms });
                         (self.all[s].covered, self.all[s].stands) = (to, None);
                     }
                 }
--- a/feed/tests/code.rs
+++ b/feed/tests/code.rs
@@ -1,24 +1,24 @@
 //! The code of names, ranges of positions, and events as bundles and back: round trips, bounds, and what is damaged.
 
-use kelpcart::names::{NameSet, of_object};
+use kelpcart::names::{PrefixSet, object_hash};
 use kelpcart_feed::code::{self, LEAST_BITS, MOST_BITS};
 use kelpcart_feed::positions::{MOST_RANGES, Positions};
 use quickcheck::quickcheck;
 use std::collections::BTreeSet;
 
 fn names(n: usize, seed: u64) -> Vec<u64> {
-    (0..n as u64).map(|i| of_object(i ^ seed << 32)).collect()
+    (0..n as u64).map(|i| object_hash(i ^ seed << 32)).collect()
 }
 
 quickcheck! {
     fn a_set_comes_back_as_it_was(all: Vec<u64>, bits: u8) -> bool {
-        let set = NameSet::new(bits % 65, all);
+        let set = PrefixSet::new(bits % 65, all);
         let bytes = code::encode(&set);
         bytes.len() == code::size(&set) && code::decode(&bytes) == Some(set)
     }
 
     fn damage_is_refused_or_another_set(all: Vec<u64>, at: usize, bit: u8) -> bool {
-        let set = NameSet::new(32, all);
+        let set = PrefixSet::new(32, all);
         let mut bytes = code::encode(&set);
         let at = at % bytes.len();
         bytes[at] ^= 1 << (bit % 8);
@@ -56,7 +56,7 @@
         assert!((least..=most).contains(&bits), "{n} names: {bits} bits");
         assert!(bytes.len() <= most_bytes, "{n} names: {} bytes", bytes.len());
         let set = code::decode(&bytes).unwrap();
-        assert!(all.iter().all(|name| set.covers(*name)));
+        assert!(all.iter().all(|name| set.contains(*name)));
         assert_eq!((set.bits(), set.names().len() <= n), (bits, true));
     }
 }
@@ -68,19 +68,19 @@
         let (bits, bytes) = code::fit(&all, 700);
         assert!(bits >= LEAST_BITS && bytes.len() <= 700, "{n} names: {bits} bits, {} bytes", bytes.len());
         let set = code::decode(&bytes).unwrap();
-        assert!(all.iter().all(|name| set.covers(*name)));
+        assert!(all.iter().all(|name| set.contains(*name)));
     }
     assert_eq!(code::fit(&[], 10).0, MOST_BITS);
 }
 
 #[test]
 fn everything_is_one_name_of_no_bits() {
-    let bytes = code::encode(&NameSet::all());
+    let bytes = code::encode(&PrefixSet::all());
     assert!(bytes.len() <= 4);
     let set = code::decode(&bytes).unwrap();
-    let ends = NameSet::new(64, [u64::MAX, 0]);
+    let ends = PrefixSet::new(64, [u64::MAX, 0]);
     assert_eq!(code::decode(&code::encode(&ends)), Some(ends));
-    assert!(names(100, 3).into_iter().all(|name| set.covers(name)));
+    assert!(names(100, 3).into_iter().all(|name| set.contains(name)));
 }
 
 #[test]
@@ -90,7 +90,7 @@
     assert_eq!(code::decode(&[65, 0, 0]), None);
     assert_eq!(code::decode(&[40]), None);
     // Bytes behind the last name.
-    let mut bytes = code::encode(&NameSet::object(1));
+    let mut bytes = code::encode(&PrefixSet::object(1));
     bytes.push(0);
     assert_eq!(code::decode(&bytes), None);
 }
--- a/feed/tests/common/mod.rs
+++ b/feed/tests/common/mod.rs
@@ -3,7 +3,7 @@
 //! checked after every step. Chance comes from one seed.
 #![allow(dead_code, reason = "each test file uses its part")]
 
-use kelpcart::names::{NameSet, of_group, of_object};
+use kelpcart::names::{PrefixSet, group_hash, object_hash};
 use kelpcart::{Span, Time};
 use kelpcart_feed::seal::{Keys, MOST_DATAGRAM};
 use kelpcart_feed::settings::{self, Key};
@@ -501,14 +501,14 @@
     pub fn purge_at(&mut self, stream: usize, object: u64, issued_ms: u64) -> u64 {
         let no = self.last(stream) + 1;
         let line = json!({"no": no, "recall": {"item": format!("{object:016x}"), "issued": issued_ms}});
-        self.tell(stream, What::Purge { name: of_object(object), issued_ms }, line.to_string().into_bytes())
+        self.tell(stream, What::Purge { name: object_hash(object), issued_ms }, line.to_string().into_bytes())
     }
 
     pub fn purge_group(&mut self, stream: usize, group: u64) -> u64 {
         let issued_ms = self.now_ms() - self.rng.random_range(0..60);
         let no = self.last(stream) + 1;
         let line = json!({"no": no, "recall": {"lot": group, "issued": issued_ms}});
-        self.tell(stream, What::Purge { name: of_group(group), issued_ms }, line.to_string().into_bytes())
+        self.tell(stream, What::Purge { name: group_hash(group), issued_ms }, line.to_string().into_bytes())
     }
 
     /// An event of another kind with a line of about so many bytes.
@@ -669,7 +669,7 @@
         self.done_is_true(i);
     }
 
-    fn purged(&mut self, i: usize, names: &NameSet, purged_ms: u64) {
+    fn purged(&mut self, i: usize, names: &PrefixSet, purged_ms: u64) {
         let now = self.sim.now;
         let track = &mut self.places[i].track;
         track.purges += 1;
@@ -680,7 +680,7 @@
         }
         for (stream, service) in self.services.iter().enumerate().take(track.todo.len()) {
             let covers = |no: &u64| match service.events[*no as usize - 1].what {
-                What::Purge { name, issued_ms } => names.covers(name) && purged_ms >= issued_ms,
+                What::Purge { name, issued_ms } => names.contains(name) && purged_ms >= issued_ms,
                 What::Other => false,
             };
             let done: Vec<u64> = track.todo[stream].iter().filter(|no| covers(no)).copied().collect();
--- a/feed/tests/hard.rs
+++ b/feed/tests/hard.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use kelpcart::Span;
-use kelpcart::names::NameSet;
+use kelpcart::names::PrefixSet;
 use kelpcart_feed::seal::Keys;
 use kelpcart_feed::wire::{Bundle, Fetch, Follow, Passed, Range, Said};
 use kelpcart_feed::{VERSION, code};
@@ -718,7 +718,7 @@
     let mut made_up = body.clone();
     made_up.number += 1_000_000;
     made_up.counts[1] += 500;
-    made_up.names = code::encode(&NameSet::object(4_711));
+    made_up.names = code::encode(&PrefixSet::object(4_711));
     // By a key of no hub, by another hub's, by none.
     for seed in [[99; 32], hub_seed(usize::from(signed(&body, hub_seed(0)) == passed.bundle))] {
         let bundle = signed(&made_up, seed);
@@ -755,7 +755,7 @@
     for n in 0..20 {
         // Events are claimed to be known that will only be told later.
         let mut made_up = Bundle { hub: 0, run: 7, number: n, ..body.clone() };
-        made_up.names = code::encode(&NameSet::object(n));
+        made_up.names = code::encode(&PrefixSet::object(n));
         made_up.counts[1] += 2_000;
         made_up.pieces.clear();
         for i in w.of_site(site).into_iter().filter(|i| *i != from) {
--- a/feed/tests/hub.rs
+++ b/feed/tests/hub.rs
@@ -1,6 +1,6 @@
 //! What a hub signs for who asks, asked by hand: never a range without its events, nor more than its pace.
 
-use kelpcart::names::of_object;
+use kelpcart::names::object_hash;
 use kelpcart::{Span, Time};
 use kelpcart_feed::code;
 use kelpcart_feed::seal::Keys;
@@ -92,7 +92,7 @@
     assert_eq!(ranges(&all), [(0, 1, 3)]);
     assert_eq!(all.pieces.iter().map(|p| (p.no, p.offset)).collect::<Vec<_>>(), [(2, 0)]);
     let names = code::decode(&all.names).unwrap();
-    assert!(names.covers(of_object(1)) && names.covers(of_object(3)));
+    assert!(names.contains(object_hash(1)) && names.contains(object_hash(3)));
     assert_eq!(all.issued, 1_003);
     // The rest of the event, without a word on its number.
     let rest = asked.fetch(2, 2, 800).unwrap();
@@ -100,7 +100,7 @@
     // Beyond its end; pieces of a purge; numbers that nobody has told.
     assert_eq!(asked.fetch(2, 2, 500_000), None);
     let purge = asked.fetch(3, 3, 5).unwrap();
-    assert!(code::decode(&purge.names).unwrap().covers(of_object(3)));
+    assert!(code::decode(&purge.names).unwrap().contains(object_hash(3)));
     assert_eq!(asked.fetch(4, 1_000, 0), None);
     assert_eq!(ranges(&asked.fetch(3, 1_000, 0).unwrap()), [(0, 3, 3)]);
 }
--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -2,7 +2,7 @@
 //! replaced. Owns the names in it; must never hold a value that the operators did not give.
 
 use kelpcart::interface::{Member, Settings};
-use kelpcart::names::NameSet;
+use kelpcart::names::PrefixSet;
 use kelpcart::{Span, Time};
 use kelpcart_settings::*;
 use serde_json::Value;
@@ -45,7 +45,7 @@
     },
     /// Of what `names` covers nothing is good any more that is older than `issued_ms`, in ms since 1970.
     Purge {
-        names: NameSet,
+        names: PrefixSet,
         issued_ms: u64,
     },
 }
@@ -123,7 +123,7 @@
     let recall = object(item, "recall")?;
     let named = optional(recall, "item", |r, n| hex(text(r, n)?).ok_or("item is not hex digits".into()))?;
     let group = optional(recall, "lot", int)?;
-    let names = named.map(NameSet::object).or(group.map(NameSet::group)).ok_or("recall names nothing")?;
+    let names = named.map(PrefixSet::object).or(group.map(PrefixSet::group)).ok_or("recall names nothing")?;
     Ok((no, Some(News::Purge { names, issued_ms: int(recall, "issued")? })))
 }
 
@@ -143,7 +143,7 @@
         state: state(entry, "status")?,
         size: optional(entry, "weight", number)?.unwrap_or(0.0),
         started: started.map(|ms| Time::from_micros(ms.saturating_mul(1_000))),
-        far: false,
+        remote: false,
     };
     let address = entry.get("address").and_then(Value::as_str).and_then(|a| a.parse().ok());
     Ok(Listed { member, address })
--- a/gateway/src/dispatcher.rs
+++ b/gateway/src/dispatcher.rs
@@ -14,7 +14,7 @@
 use async_channel::{Receiver, Sender};
 use async_executor::Task;
 use kelpcart::interface::*;
-use kelpcart::names::{of_group, of_object};
+use kelpcart::names::{group_hash, object_hash};
 use kelpcart::{Gateway, Span, Time};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -105,14 +105,14 @@
         let set = config.settings;
         let rule = |(name, r): (&String, &RemapRule)| Rule {
             name: Rc::from(name.as_str()),
-            write: r.write,
+            write: r.is_write,
             once: r.effect != Effect::Repeatable,
-            sla: (r.sla, r.sla_stretch),
+            sla: (r.sla, r.sla_size_factor),
         };
         let rules = config.names.rules.iter().zip(&set.rules).map(rule);
         let mut dispatcher = Dispatcher {
             rules: rules.collect(),
-            pace: set.client_pace,
+            pace: set.client_rate,
             max_hops: set.max_hops,
             most_open: config.most_open,
             held: 0,
@@ -200,7 +200,7 @@
             }
             Event::HopEnded { txn, hop, ended } => self.ended(txn, hop, ended),
             Event::News(said) => self.news(said),
-            Event::Alive { member } => self.gateway.alive(self.clock.now(), &member),
+            Event::Alive { member } => self.gateway.member_alive(self.clock.now(), &member),
             Event::Tell => self.tell(),
             Event::Stop => {
                 log::info!("told to stop, {} txns open", self.open.len());
@@ -234,16 +234,16 @@
                     list.extend(self.carried.iter().cloned());
                 }
                 let changed = self.caches.members(whole, &list);
-                self.gateway.members(now, whole, list.into_iter().map(|l| l.member).collect());
+                self.gateway.update_members(now, whole, list.into_iter().map(|l| l.member).collect());
                 let by = |m: &MemberId| changed.contains(m);
                 self.overtake(|_, out| by(&out.member) || out.source.as_ref().is_some_and(by));
             }
             News::Purge { names, issued_ms } => {
                 // The end of its millisecond, lest a copy made in the same one passes for newer.
                 let at = Time::from_micros(issued_ms.saturating_add(1).saturating_mul(1_000));
-                self.gateway.purged(now, names.clone(), now - at);
+                self.gateway.purge(now, names.clone(), now - at);
                 self.overtake(|ask, _| {
-                    names.covers(of_object(ask.object)) || names.covers(of_group(ask.group.into()))
+                    names.contains(object_hash(ask.object)) || names.contains(group_hash(ask.group.into()))
                 });
             }
         }
@@ -292,7 +292,7 @@
         self.by_message.insert((client.key(), id), txn);
         self.by_req.insert((ask.trace, txn));
         self.open.insert(txn, Open { client, id, rule, ask: Rc::from(ask), wanted, limit, hops: 0 });
-        self.gateway.txn(now, Txn { id: txn, rule, object, group, part, write, size, left, oldest });
+        self.gateway.txn(now, Txn { id: txn, rule, object, group, part, is_write: write, size, time_left: left, oldest });
     }
 
     /// Takes a txn off the table: from here on it can't be answered again.
@@ -317,7 +317,7 @@
     fn left(&mut self, key: (u64, u64)) {
         let Some(txn) = self.by_message.get(&key).copied() else { return };
         self.close(txn);
-        self.gateway.hangup(txn);
+        self.gateway.client_left(txn);
         self.counters.add("txns left by their client");
         let now = self.clock.now();
         let hops: Vec<_> = self.out.range((txn, 0)..=(txn, u32::MAX)).map(|(k, o)| (k.1, o.until)).collect();
@@ -340,7 +340,7 @@
         let Some(out) = self.out.remove(&(txn, hop)) else { return };
         let Some(end) = ended.end.to_module() else { return };
         let now = self.clock.now();
-        if end == HopEnd::Completed
+        if end == HopStatus::Completed
             && let Some(open) = self.close(txn)
         {
             self.counters.add("txns completed");
@@ -357,8 +357,8 @@
             ended.end,
             took.as_micros()
         );
-        let load = Load { link };
-        self.gateway.outcome(now, Outcome { txn, hop, end, took, closed, note, first_byte, load });
+        let load = LoadReport { link_load: link };
+        self.gateway.outcome(now, Outcome { txn, hop, end, duration: took, answered: closed, cache_status: note, first_byte, load });
     }
 
     fn pull(&mut self, now: Time) {
@@ -373,7 +373,7 @@
 
     fn order(&mut self, now: Time, decision: Decision) {
         match decision {
-            Decision::Hop { txn, member, fill, begin_by, limit } => {
+            Decision::Hop { txn, member, fill, start_by: begin_by, limit } => {
                 self.hop(now, txn, member, fill, [begin_by, limit]);
             }
             Decision::Cancel { txn, hop } => self.take_back(txn, hop, End::Withdrawn),
@@ -455,7 +455,7 @@
     fn abort_all(&mut self, now: Time) {
         for txn in self.open.keys().copied().collect::<Vec<_>>() {
             if let Some(open) = self.give_up(now, txn, "txns aborted at the stop") {
-                self.gateway.hangup(txn);
+                self.gateway.client_left(txn);
                 open.client.abort(open.id);
             }
         }
--- a/gateway/src/end.rs
+++ b/gateway/src/end.rs
@@ -2,7 +2,7 @@
 //! mapping stands here and nowhere else. Must never call a hop not run unless that is proven: no connection
 //! came up, the request was not written whole, or the cache said so.
 
-use kelpcart::interface::HopEnd;
+use kelpcart::interface::HopStatus;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum End {
@@ -106,24 +106,24 @@
     ];
 
     /// `None`: the connection carried no hop.
-    pub fn to_module(self) -> Option<HopEnd> {
+    pub fn to_module(self) -> Option<HopStatus> {
         Some(match self {
-            End::Whole | End::Current => HopEnd::Completed,
-            End::Lacking => HopEnd::Lacking,
+            End::Whole | End::Current => HopStatus::Completed,
+            End::Lacking => HopStatus::Lacking,
             End::Full | End::FarTurned | End::FarLoop | End::FarRejected | End::FarInvalid => {
-                HopEnd::TurnedAway
+                HopStatus::TurnedAway
             }
-            End::Errored | End::FarAborted => HopEnd::Errored,
+            End::Errored | End::FarAborted => HopStatus::Errored,
             // An answer that can't be read is one all the same: its sender is alive and took the txn.
-            End::Damaged => HopEnd::Spoilt,
-            End::Refused | End::NoConnection | End::CutUnsent => HopEnd::Unreachable,
-            End::FarDown | End::FarNever => HopEnd::Unreachable,
-            End::FarFull | End::Over | End::NoSocket | End::LateUnsent | End::KeptClosed => HopEnd::NeverSent,
-            End::Overtaken => HopEnd::Overtaken,
-            End::Cut | End::FarLost => HopEnd::Broken,
-            End::Late => HopEnd::TimedOut,
+            End::Damaged => HopStatus::Spoilt,
+            End::Refused | End::NoConnection | End::CutUnsent => HopStatus::Unreachable,
+            End::FarDown | End::FarNever => HopStatus::Unreachable,
+            End::FarFull | End::Over | End::NoSocket | End::LateUnsent | End::KeptClosed => HopStatus::NeverSent,
+            End::Overtaken => HopStatus::Overtaken,
+            End::Cut | End::FarLost => HopStatus::Broken,
+            End::Late => HopStatus::TimedOut,
             // Given up here for a reason of the gateway's own: nothing is told of the member.
-            End::Withdrawn | End::LateForRoom => HopEnd::Withdrawn,
+            End::Withdrawn | End::LateForRoom => HopStatus::Withdrawn,
             End::PeerLeft | End::PeerSilent | End::PeerStalled | End::PeerDamaged => return None,
         })
     }
--- a/gateway/src/feed.rs
+++ b/gateway/src/feed.rs
@@ -80,7 +80,7 @@
         state: MemberState::Gone,
         size: 0.0,
         started: None,
-        far: false,
+        remote: false,
     };
     Listed { member, address: None }
 }
--- a/gateway/src/http.rs
+++ b/gateway/src/http.rs
@@ -3,7 +3,7 @@
 
 use crate::{digits, number};
 use kelpcart::Span;
-use kelpcart::interface::{Fill, Note};
+use kelpcart::interface::{Fill, CacheStatus};
 use std::fmt::Write;
 
 pub const MOST_HEAD: usize = 8 * 1024;
@@ -36,14 +36,14 @@
         line(format_args!("X-Patience: {}\r\n", (self.patience.as_micros() / 1_000).max(1)));
         if let Some(fill) = self.fill {
             line(format_args!("X-Fill-From: {}\r\n", fill.source));
-            if fill.keep > 0 {
-                line(format_args!("X-Keep: {}\r\n", fill.keep));
+            if fill.keep_rank > 0 {
+                line(format_args!("X-Keep: {}\r\n", fill.keep_rank));
             }
             if let Some(oldest) = fill.oldest {
                 // Rounded down, but never to 0: that would lift the limit.
                 line(format_args!("X-Max-Age-Ms: {}\r\n", (oldest.as_micros() / 1_000).max(1)));
             }
-            let flags = [(fill.join, "ride"), (fill.held_only, "have-only"), (fill.renew, "update")];
+            let flags = [(fill.coalesce, "ride"), (fill.only_if_cached, "have-only"), (fill.revalidate, "update")];
             let flags: Vec<&str> = flags.iter().filter(|f| f.0).map(|f| f.1).collect();
             if !flags.is_empty() {
                 line(format_args!("X-Flags: {}\r\n", flags.join("+")));
@@ -70,7 +70,7 @@
     /// The answer says that the txn never ran.
     pub declined: bool,
     pub close: bool,
-    pub note: Option<Note>,
+    pub note: Option<CacheStatus>,
     pub waited: Option<Span>,
     /// The load report's text.
     pub stats: Option<Vec<u8>>,
@@ -142,18 +142,18 @@
     Ok(Some((found, end + 4)))
 }
 
-fn note(word: &[u8]) -> Option<Note> {
+fn note(word: &[u8]) -> Option<CacheStatus> {
     Some(match word {
-        b"hit" => Note::Held,
-        b"filled" => Note::Filled,
-        b"via_origin" => Note::FilledByOrigin,
-        b"joined" => Note::Joined,
-        b"stale" => Note::Old,
-        b"src_refused" => Note::SourceRefused,
-        b"src_broke" => Note::SourceLost,
-        b"src_lacks" => Note::SourceLacks,
-        b"no_slot" => Note::NoPlace,
-        b"origin_failed" => Note::OriginFailed,
+        b"hit" => CacheStatus::Held,
+        b"filled" => CacheStatus::Filled,
+        b"via_origin" => CacheStatus::FilledByOrigin,
+        b"joined" => CacheStatus::Joined,
+        b"stale" => CacheStatus::Old,
+        b"src_refused" => CacheStatus::SourceRefused,
+        b"src_broke" => CacheStatus::SourceLost,
+        b"src_lacks" => CacheStatus::SourceLacks,
+        b"no_slot" => CacheStatus::NoPlace,
+        b"origin_failed" => CacheStatus::OriginFailed,
         _ => return None,
     })
 }
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -97,7 +97,7 @@
     let clients = config.sockets / 3 + RESERVE / 2;
     let hops = config.sockets.saturating_sub(clients + RESERVE).max(1);
     let pool = Pool::new(config.memory / 2);
-    let bounds = Bounds { connect: config.settings.connect_limit, idle: config.idle, most: hops };
+    let bounds = Bounds { connect: config.settings.connect_timeout, idle: config.idle, most: hops };
     let caches = Caches::new(clock, Rc::clone(&pool), Rc::clone(&counters), bounds);
     caches.sweep(tasks);
     let (moved, moves) = async_channel::unbounded();
--- a/gateway/src/seam.rs
+++ b/gateway/src/seam.rs
@@ -5,7 +5,7 @@
 use crate::buffers::Body;
 use crate::config::News;
 use crate::end::End;
-use kelpcart::interface::{Fill, MemberId, Note, TxnId};
+use kelpcart::interface::{Fill, MemberId, CacheStatus, TxnId};
 use kelpcart::{Span, Time};
 use std::cell::Cell;
 use std::future::Future;
@@ -116,7 +116,7 @@
 
 pub struct Ended {
     pub end: End,
-    pub note: Option<Note>,
+    pub note: Option<CacheStatus>,
     pub waited: Option<Span>,
     pub stats: Option<Vec<u8>>,
     pub body: Option<Body>,
--- a/gateway/src/sites.rs
+++ b/gateway/src/sites.rs
@@ -159,7 +159,7 @@
                 state: MemberState::Up,
                 size: peer.size,
                 started: None,
-                far: true,
+                remote: true,
             };
             all.push(Listed { member, address: None });
         }
--- a/gateway/tests/parsers.rs
+++ b/gateway/tests/parsers.rs
@@ -2,7 +2,7 @@
 
 use futures_lite::future::{block_on, poll_once};
 use kelpcart::Span;
-use kelpcart::interface::{Fill, HopEnd, Note};
+use kelpcart::interface::{Fill, HopStatus, CacheStatus};
 use kelpcart_gateway::buffers::{Pool, SIZE};
 use kelpcart_gateway::end::End;
 use kelpcart_gateway::http::{self, Head, Request};
@@ -163,7 +163,7 @@
 fn heads_are_the_same_however_they_are_split() {
     let (whole, len) = http::head(HEAD).unwrap().unwrap();
     let stats = Some(b"inflight:7;x1:0.61".to_vec());
-    let (note, waited) = (Some(Note::FilledByOrigin), Some(Span::from_millis(31)));
+    let (note, waited) = (Some(CacheStatus::FilledByOrigin), Some(Span::from_millis(31)));
     let told = Head { status: 200, length: 12, declined: false, close: false, note, waited, stats };
     assert_eq!((whole, len), (told, HEAD.len()));
     assert!((0..HEAD.len()).all(|n| http::head(&HEAD[..n]) == Ok(None)));
@@ -225,7 +225,7 @@
 fn ages_and_times_are_rounded_so_that_no_rule_is_loosened() {
     let fill = |oldest| {
         let source = Arc::from("p1");
-        Fill { source, keep: 2, join: true, held_only: false, renew: true, oldest: Some(oldest) }
+        Fill { source, keep_rank: 2, coalesce: true, only_if_cached: false, revalidate: true, oldest: Some(oldest) }
     };
     let head = |micros: u64| {
         let fill = fill(Span::from_micros(micros));
@@ -276,10 +276,10 @@
         End::FarInvalid,
     ];
     for end in End::ALL {
-        let not_run = end.to_module().is_some_and(HopEnd::proves_not_run);
+        let not_run = end.to_module().is_some_and(HopStatus::proves_not_run);
         assert_eq!(not_run, proven.contains(&end), "{end:?}");
     }
-    let served = End::ALL.iter().filter(|e| e.to_module() == Some(HopEnd::Completed));
+    let served = End::ALL.iter().filter(|e| e.to_module() == Some(HopStatus::Completed));
     assert!(served.eq(&[End::Whole, End::Current]));
 }
 
--- a/routes/src/explain.rs
+++ b/routes/src/explain.rs
@@ -2,12 +2,12 @@
 
 use crate::fleet::Fleet;
 use crate::world::{Circumstance, Final, Way, World};
-use kelpcart::explain::{Reasons, Standing};
+use kelpcart::explain::{Explanation, MemberExplanation};
 use kelpcart::interface::MemberState;
 use serde_json::{Value, json};
 
 pub struct Explained {
-    pub reasons: Reasons,
+    pub reasons: Explanation,
     pub way: Way,
 }
 
@@ -29,7 +29,7 @@
 }
 
 /// What speaks against a member; empty where nothing does.
-fn against(s: &Standing, fraction: f64) -> Vec<String> {
+fn against(s: &MemberExplanation, fraction: f64) -> Vec<String> {
     let mut all = Vec::new();
     match s.state {
         MemberState::Up => {}
@@ -84,7 +84,7 @@
                 out.push_str(&format!("  {}: {told}\n", s.member));
             }
         }
-        if r.origin_sick {
+        if r.origin_failing {
             out.push_str("the origin is held to be sick: parents are asked for what they hold\n");
         }
         out.push_str("the way it takes:\n");
@@ -94,12 +94,12 @@
 
     pub fn json(&self, fleet: &Fleet) -> Value {
         let r = &self.reasons;
-        let all = |all: &[Standing]| -> Vec<Value> {
+        let all = |all: &[MemberExplanation]| -> Vec<Value> {
             all.iter()
                 .map(|s| json!({"member": &*s.member, "against": against(s, r.fraction), "weight": s.weight}))
                 .collect()
         };
         json!({"caches": all(&r.caches), "parents": all(&r.parents), "origins": all(&r.origins),
-            "fraction": r.fraction, "origin_sick": r.origin_sick, "way": steps(fleet, &self.way)})
+            "fraction": r.fraction, "origin_sick": r.origin_failing, "way": steps(fleet, &self.way)})
     }
 }
--- a/routes/src/world.rs
+++ b/routes/src/world.rs
@@ -3,9 +3,9 @@
 
 use crate::expect::Trouble;
 use crate::fleet::Fleet;
-use kelpcart::explain::Reasons;
+use kelpcart::explain::Explanation;
 use kelpcart::interface::*;
-use kelpcart::names::NameSet;
+use kelpcart::names::PrefixSet;
 use kelpcart::{Gateway, Span, Time};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -24,7 +24,7 @@
     pub member: usize,
     pub source: Option<usize>,
     pub oldest: Option<Span>,
-    pub end: HopEnd,
+    pub end: HopStatus,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -71,11 +71,11 @@
     pub fn new(fleet: &Fleet, zone: usize) -> Calm {
         let mut settings = fleet.settings.clone();
         settings.zone = zone;
-        settings.list_asked = false;
+        settings.subscription_required = false;
         let now = Time::from_micros(START);
         let mut gateway = Gateway::new(settings, fleet.seed, now);
         let by_id = fleet.members.iter().enumerate().map(|(i, m)| (m.id.clone(), i)).collect();
-        gateway.members(now, true, fleet.members.clone());
+        gateway.update_members(now, true, fleet.members.clone());
         while gateway.poll(now).is_some() {}
         Calm { now, gateway, by_id: Arc::new(by_id) }
     }
@@ -95,13 +95,13 @@
             let returned = circumstance.troubles.iter().filter(|(_, t)| **t == Trouble::Returned);
             let gone: Vec<Member> = returned.filter_map(|(&i, _)| world.news(i, Trouble::Down)).collect();
             if !gone.is_empty() {
-                world.gateway.members(world.now, false, gone);
+                world.gateway.update_members(world.now, false, gone);
                 world.now += APART;
                 world.settle();
             }
             let news =
                 circumstance.troubles.iter().filter_map(|(&i, &trouble)| world.news(i, trouble)).collect();
-            world.gateway.members(world.now, false, news);
+            world.gateway.update_members(world.now, false, news);
         }
         world
     }
@@ -122,37 +122,37 @@
     }
 
     /// How a hop ends: its member's trouble, then its source's.
-    fn ends(&self, member: usize, source: Option<usize>, fill: Option<&Fill>) -> (HopEnd, Option<Note>) {
+    fn ends(&self, member: usize, source: Option<usize>, fill: Option<&Fill>) -> (HopStatus, Option<CacheStatus>) {
         let trouble = |i: usize| self.circumstance.troubles.get(&i).copied();
         match trouble(member) {
-            Some(Trouble::Down) => (HopEnd::Unreachable, None),
-            Some(Trouble::Silent) => (HopEnd::TimedOut, None),
-            Some(Trouble::Full) => (HopEnd::TurnedAway, None),
-            Some(Trouble::Failing) => (HopEnd::Errored, None),
+            Some(Trouble::Down) => (HopStatus::Unreachable, None),
+            Some(Trouble::Silent) => (HopStatus::TimedOut, None),
+            Some(Trouble::Full) => (HopStatus::TurnedAway, None),
+            Some(Trouble::Failing) => (HopStatus::Errored, None),
             _ => match source.map(|s| (s, trouble(s))) {
                 // Nothing is kept anywhere yet, the worst case for routes: who is asked only for what it holds lacks it.
-                None if fill.is_some_and(|f| f.held_only && f.source == self.fleet.members[member].id) => {
-                    (HopEnd::Lacking, None)
+                None if fill.is_some_and(|f| f.only_if_cached && f.source == self.fleet.members[member].id) => {
+                    (HopStatus::Lacking, None)
                 }
-                Some(_) if fill.is_some_and(|f| f.held_only) => (HopEnd::Lacking, Some(Note::SourceLacks)),
-                Some((_, Some(Trouble::Down | Trouble::Silent))) => (HopEnd::Errored, Some(Note::SourceLost)),
+                Some(_) if fill.is_some_and(|f| f.only_if_cached) => (HopStatus::Lacking, Some(CacheStatus::SourceLacks)),
+                Some((_, Some(Trouble::Down | Trouble::Silent))) => (HopStatus::Errored, Some(CacheStatus::SourceLost)),
                 Some((_, Some(Trouble::Full | Trouble::Failing))) => {
-                    (HopEnd::Errored, Some(Note::SourceRefused))
+                    (HopStatus::Errored, Some(CacheStatus::SourceRefused))
                 }
-                _ => (HopEnd::Completed, Some(Note::Filled)),
+                _ => (HopStatus::Completed, Some(CacheStatus::Filled)),
             },
         }
     }
 
     fn txn(&self, rule: usize, object: u64) -> Txn {
-        let (id, group, write) = (self.next, object % 256, self.fleet.settings.rules[rule].write);
+        let (id, group, write) = (self.next, object % 256, self.fleet.settings.rules[rule].is_write);
         let left = self.fleet.settings.rules[rule].sla * 4.0;
-        let size = (self.fleet.settings.client_pace > 0.0).then_some(1.0);
-        Txn { id, rule, object, group, part: 0, write, size, left, oldest: None }
+        let size = (self.fleet.settings.client_rate > 0.0).then_some(1.0);
+        Txn { id, rule, object, group, part: 0, is_write: write, size, time_left: left, oldest: None }
     }
 
     /// What the module has to say of a txn that would come now.
-    pub fn explain(&mut self, rule: usize, object: u64) -> Reasons {
+    pub fn explain(&mut self, rule: usize, object: u64) -> Explanation {
         // The moment at which `ask` would bring it.
         let now = self.now + APART;
         let mut as_then = self.gateway.clone();
@@ -165,10 +165,10 @@
         self.now += APART;
         self.settle();
         let txn = self.txn(rule, object);
-        let (id, left) = (txn.id, txn.left);
+        let (id, left) = (txn.id, txn.time_left);
         self.next += 1;
         if self.circumstance.purged {
-            self.gateway.purged(self.now, NameSet::object(object), Span::ZERO);
+            self.gateway.purge(self.now, PrefixSet::object(object), Span::ZERO);
         }
         self.gateway.txn(self.now, txn);
         let mut way = Way { object, steps: Vec::new(), last: None };
@@ -179,14 +179,14 @@
                     let source = fill.as_ref().and_then(|f| self.by_id.get(&f.source)).copied();
                     let source = source.filter(|&s| s != member);
                     let (end, note) = self.ends(member, source, fill.as_ref());
-                    let (hop, closed) = (way.steps.len() as u32, end == HopEnd::Completed);
+                    let (hop, closed) = (way.steps.len() as u32, end == HopStatus::Completed);
                     let oldest = fill.and_then(|f| f.oldest);
                     way.steps.push(Step { member, source, oldest, end });
-                    let took = if end == HopEnd::TimedOut { left * 0.25 } else { ANSWERED };
+                    let took = if end == HopStatus::TimedOut { left * 0.25 } else { ANSWERED };
                     self.now += took;
-                    let (first_byte, load) = (Some(ANSWERED), Load::default());
+                    let (first_byte, load) = (Some(ANSWERED), LoadReport::default());
                     self.gateway
-                        .outcome(self.now, Outcome { txn, hop, end, took, closed, note, first_byte, load });
+                        .outcome(self.now, Outcome { txn, hop, end, duration: took, answered: closed, cache_status: note, first_byte, load });
                     if closed {
                         way.last = Some(Final::Served);
                         return way;
--- a/routes/tests/suites.rs
+++ b/routes/tests/suites.rs
@@ -225,7 +225,7 @@
         let troubles = [a, b].map(|i| (usize::from(i) % fleet.members.len(), all[usize::from(trouble) % 4]));
         let circumstance = Circumstance { troubles: troubles.into(), ..Circumstance::default() };
         let told = explain(&fleet, fleet.settings.zone, &circumstance, 0, object, 30);
-        let fits = |s: &&kelpcart::explain::Standing| {
+        let fits = |s: &&kelpcart::explain::MemberExplanation| {
             let by_weight = s.weight.is_none_or(|w| w / 100.0 > told.reasons.fraction);
             let up = s.state == kelpcart::interface::MemberState::Up && s.silent_until.is_none();
             up && !s.cold_budget_spent && by_weight
--- a/scale/src/feed_net.rs
+++ b/scale/src/feed_net.rs
@@ -5,7 +5,7 @@
 use crate::hollow::{Hollow, Told};
 use crate::sim::{Sim, Spent};
 use hdrhistogram::Histogram;
-use kelpcart::names::of_object;
+use kelpcart::names::object_hash;
 use kelpcart::{Span, Time};
 use kelpcart_feed::Feed;
 use kelpcart_feed::settings::Key;
@@ -298,7 +298,7 @@
         let line = if purge {
             let (object, issued_ms): (u64, u64) = (self.rng.random(), self.now_ms());
             if self.rng.random_bool((FOLLOWED_PER_S / self.purges_per_s.max(FOLLOWED_PER_S)).min(1.0)) {
-                self.followed.push(Follow { at: self.sim.now, name: of_object(object), issued_ms });
+                self.followed.push(Follow { at: self.sim.now, name: object_hash(object), issued_ms });
             }
             json!({"no": no, "recall": {"item": format!("{object:016x}"), "issued": issued_ms}})
         } else {
@@ -328,7 +328,7 @@
                 Told::Purge { names, issued_ms } => {
                     for n in place.first..self.followed.len() {
                         let follow = &self.followed[n];
-                        if issued_ms >= follow.issued_ms && names.covers(follow.name) && place.done.insert(n)
+                        if issued_ms >= follow.issued_ms && names.contains(follow.name) && place.done.insert(n)
                         {
                             self.delays.saturating_record((now - follow.at).as_micros());
                         }
--- a/scale/src/hollow.rs
+++ b/scale/src/hollow.rs
@@ -4,7 +4,7 @@
 use crate::sim::{Actor, Spent};
 use cpu_time::ThreadTime;
 use kelpcart::Time;
-use kelpcart::names::NameSet;
+use kelpcart::names::PrefixSet;
 use kelpcart_feed::{Feed, VERSION};
 use kelpcart_fleet::node::{Node, Out};
 use std::collections::VecDeque;
@@ -14,7 +14,7 @@
 /// What the gateway's module is told.
 #[derive(Clone, Debug)]
 pub enum Told {
-    Purge { names: NameSet, issued_ms: u64 },
+    Purge { names: PrefixSet, issued_ms: u64 },
     Line { stream: usize, no: u64 },
 }
 
--- a/scale/src/ladders/module.rs
+++ b/scale/src/ladders/module.rs
@@ -5,7 +5,7 @@
 use crate::slopes::{Host, Ladder, Point};
 use cpu_time::ThreadTime;
 use kelpcart::interface::*;
-use kelpcart::names::{NameSet, of_object};
+use kelpcart::names::{PrefixSet, object_hash};
 use kelpcart::{Gateway, Span, Time};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -88,19 +88,19 @@
         let sla = Span::from_millis(500).max(self.takes() * 4.0);
         let rule = RemapRule {
             effect: Effect::Repeatable,
-            group: RepeatGroup::All,
-            memory: Span::ZERO,
+            dedup_scope: DedupScope::All,
+            dedup_window: Span::ZERO,
             sla,
-            sla_stretch: 1.6,
-            fresh: Span::ZERO,
-            grace: Span::ZERO,
-            write: false,
+            sla_size_factor: 1.6,
+            max_age: Span::ZERO,
+            max_stale: Span::ZERO,
+            is_write: false,
         };
         let cold = |from| ColdStart {
-            from,
-            within: Span::from_millis(15_000),
-            multiple: 2.0,
-            over: Span::from_millis(3_000),
+            initial_share: from,
+            warm_up: Span::from_millis(15_000),
+            overload_factor: 2.0,
+            overload_window: Span::from_millis(3_000),
         };
         Settings {
             gateways: GATEWAYS,
@@ -109,21 +109,21 @@
             rules: vec![rule],
             parent_kind: Some(PARENT),
             origin_kind: Some(ORIGIN),
-            client_pace: CLIENT_KB_PER_S,
-            sized: true,
-            direct: true,
-            joins: false,
-            sibs: Reach::All,
-            cancel: true,
-            come_back: true,
-            longest_come_back: Span::from_millis(2_000),
+            client_rate: CLIENT_KB_PER_S,
+            capacities_known: true,
+            bypass_allowed: true,
+            coalescing: false,
+            sibling_fills: FillScope::All,
+            cancellation: true,
+            retry_after_allowed: true,
+            max_retry_after: Span::from_millis(2_000),
             max_hops: 6,
-            connect_limit: Span::from_millis(400),
-            cold: cold(0.2),
-            cold_parent: cold(0.1),
-            purge_done: Span::from_millis(6_000),
-            list_asked: false,
-            list_within: Span::from_millis(10_000),
+            connect_timeout: Span::from_millis(400),
+            cache_cold_start: cold(0.2),
+            parent_cold_start: cold(0.1),
+            purge_propagation: Span::from_millis(6_000),
+            subscription_required: false,
+            subscribe_within: Span::from_millis(10_000),
             tick: Span::from_millis(1),
         }
     }
@@ -148,7 +148,7 @@
 
 pub fn member(id: String, kind: usize, zone: usize, size: f64) -> Member {
     let (id, state) = (Arc::from(id), MemberState::Up);
-    Member { id, zone, kind, cell: 0, state, size, started: None, far: false }
+    Member { id, zone, kind, cell: 0, state, size, started: None, remote: false }
 }
 
 #[derive(Clone, Debug, Default)]
@@ -174,7 +174,7 @@
     pub fn new(case: Case, seed: u64) -> World {
         let now = Time::from_micros(1_000_000_000);
         let mut gateway = Gateway::new(case.settings(), seed, now);
-        gateway.members(now, true, case.list(now));
+        gateway.update_members(now, true, case.list(now));
         let (counts, rng) = (Counts::default(), Pcg64Mcg::seed_from_u64(seed));
         let mut world = World { gateway, now, counts, case, rng, out: VecDeque::new(), next_purge: now };
         world.purges_before();
@@ -194,10 +194,10 @@
     fn purge(&mut self, ago: Span) {
         let names = if self.case.sets { self.case.purges_per_s as usize / 2 } else { 1 };
         let bits = if self.case.sets { BITS } else { u64::BITS as u8 };
-        let objects = (0..names).map(|_| self.rng.random_range(0..OBJECTS)).map(of_object);
-        let names = NameSet::new(bits, objects.collect::<Vec<_>>());
+        let objects = (0..names).map(|_| self.rng.random_range(0..OBJECTS)).map(object_hash);
+        let names = PrefixSet::new(bits, objects.collect::<Vec<_>>());
         let then = self.now.back(ago);
-        self.gateway.purged(then, names, Span::ZERO);
+        self.gateway.purge(then, names, Span::ZERO);
     }
 
     /// One txn's turn; `sent` sees the hops.
@@ -217,7 +217,7 @@
         let (object, rule, part, write) = (self.rng.random_range(0..OBJECTS), 0, 0, false);
         let (id, group, size) = (self.counts.asked, object % 256, Some(KB));
         let left = self.case.settings_left();
-        self.gateway.txn(self.now, Txn { id, rule, object, group, part, write, size, left, oldest: None });
+        self.gateway.txn(self.now, Txn { id, rule, object, group, part, is_write: write, size, time_left: left, oldest: None });
         self.pull(self.now, sent);
     }
 
@@ -229,10 +229,10 @@
                     self.counts.hops += 1;
                     let took = self.case.takes();
                     let held = self.rng.random_bool(HELD);
-                    let note = Some(if held { Note::Held } else { Note::Filled });
-                    let (end, closed, first_byte) = (HopEnd::Completed, true, Some(Span::from_millis(20)));
-                    let load = Load::default();
-                    let o = Outcome { txn, hop: 0, end, took, closed, note, first_byte, load };
+                    let note = Some(if held { CacheStatus::Held } else { CacheStatus::Filled });
+                    let (end, closed, first_byte) = (HopStatus::Completed, true, Some(Span::from_millis(20)));
+                    let load = LoadReport::default();
+                    let o = Outcome { txn, hop: 0, end, duration: took, answered: closed, cache_status: note, first_byte, load };
                     self.out.push_back((now + took, o, member));
                 }
                 Decision::Reject { .. } | Decision::Abort { .. } => self.counts.refused += 1,
@@ -366,7 +366,7 @@
 fn one_drains(world: &mut World, round: usize) {
     let mut one = member(format!("cache-{}", round / 2), EDGE, 0, 100.0);
     one.state = if round.is_multiple_of(2) { MemberState::Draining } else { MemberState::Up };
-    world.gateway.members(world.now, false, vec![one]);
+    world.gateway.update_members(world.now, false, vec![one]);
 }
 
 /// One goes and another one, with a name of its own, comes.
@@ -375,11 +375,11 @@
     let mut gone = member(name(round), EDGE, 0, 100.0);
     gone.state = MemberState::Gone;
     let news = vec![gone, member(name(round + 1), EDGE, 0, 100.0)];
-    world.gateway.members(world.now, false, news);
+    world.gateway.update_members(world.now, false, news);
 }
 
 fn whole_list(world: &mut World, _: usize) {
-    world.gateway.members(world.now, true, world.case.list(world.now));
+    world.gateway.update_members(world.now, true, world.case.list(world.now));
 }
 
 pub fn measure(seed: u64, quick: bool) -> Vec<Ladder> {
--- a/scale/src/loopback.rs
+++ b/scale/src/loopback.rs
@@ -8,7 +8,7 @@
 use crate::sim::{Actor, Spent};
 use crate::slopes::{Host, Ladder};
 use hdrhistogram::Histogram;
-use kelpcart::names::of_object;
+use kelpcart::names::object_hash;
 use kelpcart::{Span, Time};
 use kelpcart_feed::Feed;
 use kelpcart_fleet::node::Node;
@@ -136,7 +136,7 @@
             let followed = shared.followed.read().expect("no writer fails");
             self.done.resize(followed.len(), false);
             for (follow, done) in followed.iter().zip(&mut self.done).skip(self.first) {
-                if !*done && names.covers(follow.name) {
+                if !*done && names.contains(follow.name) {
                     *done = true;
                     self.delays.saturating_record(at.saturating_sub(follow.told_us));
                 }
@@ -232,7 +232,7 @@
         }
         let (object, told_us) = line.split_once(' ').unwrap_or_default();
         if let (Ok(object), Ok(told_us)) = (object.parse(), told_us.parse()) {
-            let follow = Follow { name: of_object(object), told_us };
+            let follow = Follow { name: object_hash(object), told_us };
             shared.followed.write().expect("no reader fails").push(follow);
         }
     }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -20,10 +20,10 @@
     // Where there are no parents, nothing need be said of them.
     let cold_parent = || -> Found<ColdStart> {
         Ok(ColdStart {
-            from: number(family, "ParentColdFrom")?,
-            within: span(family, "UpperColdUs")?,
-            multiple: number(family, "ParentFallMultiple")?,
-            over,
+            initial_share: number(family, "ParentColdFrom")?,
+            warm_up: span(family, "UpperColdUs")?,
+            overload_factor: number(family, "ParentFallMultiple")?,
+            overload_window: over,
         })
     };
     let gateways = int(all, "Instances")? as u32;
@@ -36,30 +36,30 @@
         rules: classes.iter().enumerate().map(|(i, c)| rule(c, i, family)).collect::<Found<_>>()?,
         parent_kind,
         origin_kind: kind("OriginKind")?,
-        client_pace: optional(family, "ClientKbPerS", number)?.unwrap_or(0.0),
-        sized: text(all, "Weights")? == "nominal",
-        direct: optional(family, "BypassAllowed", flag)?.unwrap_or(false),
-        joins: optional(family, "CanJoin", flag)?.unwrap_or(false),
-        sibs: match text(family, "Neighbours")? {
-            "any" => Reach::All,
-            "location" => Reach::Zone,
-            _ => Reach::Off,
+        client_rate: optional(family, "ClientKbPerS", number)?.unwrap_or(0.0),
+        capacities_known: text(all, "Weights")? == "nominal",
+        bypass_allowed: optional(family, "BypassAllowed", flag)?.unwrap_or(false),
+        coalescing: optional(family, "CanJoin", flag)?.unwrap_or(false),
+        sibling_fills: match text(family, "Neighbours")? {
+            "any" => FillScope::All,
+            "location" => FillScope::Zone,
+            _ => FillScope::Off,
         },
-        cancel: flag(limits, "Cancel")?,
-        come_back: flag(limits, "RetryAfter")?,
-        longest_come_back: span(limits, "MaxRetryAfterUs")?,
+        cancellation: flag(limits, "Cancel")?,
+        retry_after_allowed: flag(limits, "RetryAfter")?,
+        max_retry_after: span(limits, "MaxRetryAfterUs")?,
         max_hops: int(limits, "MaxAttempts")? as u32,
-        connect_limit: span(limits, "ConnectTimeoutUs")?,
-        cold: ColdStart {
-            from: number(contract, "ColdFrom")?,
-            within: span(contract, "ColdUs")?,
-            multiple: number(contract, "FallMultiple")?,
-            over,
+        connect_timeout: span(limits, "ConnectTimeoutUs")?,
+        cache_cold_start: ColdStart {
+            initial_share: number(contract, "ColdFrom")?,
+            warm_up: span(contract, "ColdUs")?,
+            overload_factor: number(contract, "FallMultiple")?,
+            overload_window: over,
         },
-        cold_parent: if parent_kind.is_some() { cold_parent()? } else { ColdStart::default() },
-        purge_done: span(family, "GoneEverywhereUs")?,
-        list_asked: text(all, "Discovery")? == "ask",
-        list_within: span(contract, "AskWithinUs")?,
+        parent_cold_start: if parent_kind.is_some() { cold_parent()? } else { ColdStart::default() },
+        purge_propagation: span(family, "GoneEverywhereUs")?,
+        subscription_required: text(all, "Discovery")? == "ask",
+        subscribe_within: span(contract, "AskWithinUs")?,
         tick: span(all, "TickUs")?,
     })
 }
@@ -76,24 +76,24 @@
     // What says how a mark is known is told of keyed rules only.
     let (group, memory) = if effect == Effect::Keyed {
         let group = match text(class, "DedupScope")? {
-            "all" => RepeatGroup::All,
-            "zone" => RepeatGroup::Zone,
-            "cell" => RepeatGroup::Cell,
+            "all" => DedupScope::All,
+            "zone" => DedupScope::Zone,
+            "cell" => DedupScope::Cell,
             group => return Err(format!("unknown DedupScope {group}")),
         };
         (group, span(class, "MemorySpanUs")?)
     } else {
-        (RepeatGroup::All, Span::ZERO)
+        (DedupScope::All, Span::ZERO)
     };
     Ok(RemapRule {
         effect,
-        group,
-        memory,
+        dedup_scope: group,
+        dedup_window: memory,
         sla: span(class, "SloUs")?,
-        sla_stretch: optional(class, "AimStretch", number)?.unwrap_or(0.0),
-        fresh: Span::from_micros(of("LifetimeByClassUs").and_then(Value::as_u64).unwrap_or(0)),
-        grace: Span::from_micros(of("UsableAfterUs").and_then(Value::as_u64).unwrap_or(0)),
-        write: of("PassOn").and_then(Value::as_bool).unwrap_or(false),
+        sla_size_factor: optional(class, "AimStretch", number)?.unwrap_or(0.0),
+        max_age: Span::from_micros(of("LifetimeByClassUs").and_then(Value::as_u64).unwrap_or(0)),
+        max_stale: Span::from_micros(of("UsableAfterUs").and_then(Value::as_u64).unwrap_or(0)),
+        is_write: of("PassOn").and_then(Value::as_bool).unwrap_or(false),
     })
 }
 
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -8,7 +8,7 @@
 
 /// A member as it stands for one txn.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Standing {
+pub struct MemberExplanation {
     pub member: MemberId,
     pub state: MemberState,
     /// It answers nothing; a trial goes there at the time.
@@ -23,40 +23,40 @@
 
 /// In the object's hash order each.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Reasons {
+pub struct Explanation {
     /// Caches of the own zone.
-    pub caches: Vec<Standing>,
-    pub parents: Vec<Standing>,
-    pub origins: Vec<Standing>,
+    pub caches: Vec<MemberExplanation>,
+    pub parents: Vec<MemberExplanation>,
+    pub origins: Vec<MemberExplanation>,
     /// The object's fraction, 0 to 1.
     pub fraction: f64,
     /// Its own sending time, as far as it is told.
-    pub sending: Span,
+    pub transfer_time: Span,
     /// The oldest copy that would be asked for; `None`: the remap rule's fresh time.
     pub oldest: Option<Span>,
-    pub origin_sick: bool,
+    pub origin_failing: bool,
 }
 
 impl Gateway {
     /// Why a txn that comes now would go where it goes.
-    pub fn explain(&self, now: Time, txn: &Txn) -> Reasons {
+    pub fn explain(&self, now: Time, txn: &Txn) -> Explanation {
         let all = |role| self.standings(now, role, txn);
-        Reasons {
+        Explanation {
             caches: all(Role::Edge),
             parents: all(Role::Parent),
             origins: all(Role::Origin),
             fraction: self.fraction(txn),
-            sending: Span::from_secs_f64(self.sending(txn)),
+            transfer_time: Span::from_secs_f64(self.sending(txn)),
             oldest: self.oldest_for(now, txn),
-            origin_sick: self.origin_sick(),
+            origin_failing: self.origin_sick(),
         }
     }
 
-    fn standings(&self, now: Time, role: Role, txn: &Txn) -> Vec<Standing> {
+    fn standings(&self, now: Time, role: Role, txn: &Txn) -> Vec<MemberExplanation> {
         let (sending, load) = (self.sending(txn), txn.size.unwrap_or(1.0));
         let one = |i: usize| {
             let c = &self.book.caches[i];
-            Standing {
+            MemberExplanation {
                 member: c.m.id.clone(),
                 state: c.m.state,
                 silent_until: c.trial_at,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -11,10 +11,10 @@
 /// `multiple` of what it can do, kept up `over` a span, pushes it over.
 #[derive(Clone, Debug, Default)]
 pub struct ColdStart {
-    pub from: f64,
-    pub within: Span,
-    pub multiple: f64,
-    pub over: Span,
+    pub initial_share: f64,
+    pub warm_up: Span,
+    pub overload_factor: f64,
+    pub overload_window: Span,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,7 +26,7 @@
 
 /// The caches that drop repeats of a keyed txn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RepeatGroup {
+pub enum DedupScope {
     All,
     Zone,
     Cell,
@@ -35,22 +35,22 @@
 #[derive(Clone, Debug)]
 pub struct RemapRule {
     pub effect: Effect,
-    pub group: RepeatGroup,
-    pub memory: Span,
+    pub dedup_scope: DedupScope,
+    pub dedup_window: Span,
     pub sla: Span,
     /// The SLA time grows by this multiple of the txn's own sending time.
-    pub sla_stretch: f64,
+    pub sla_size_factor: f64,
     /// Zero: a copy is good until it is purged.
-    pub fresh: Span,
+    pub max_age: Span,
     /// How much older than fresh a copy may be when asked for.
-    pub grace: Span,
+    pub max_stale: Span,
     /// Never kept, runs at the origin.
-    pub write: bool,
+    pub is_write: bool,
 }
 
 /// The caches that may be a fill source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
+pub enum FillScope {
     Off,
     Zone,
     All,
@@ -66,25 +66,25 @@
     pub parent_kind: Option<usize>,
     pub origin_kind: Option<usize>,
     /// KB a second of one transfer to a client; zero where it is not told.
-    pub client_pace: f64,
+    pub client_rate: f64,
     /// Members' sizes are told, in transfers at `client_pace`.
-    pub sized: bool,
+    pub capacities_known: bool,
     /// A hop may go straight to a parent or the origin.
-    pub direct: bool,
-    pub joins: bool,
-    pub sibs: Reach,
-    pub cancel: bool,
-    pub come_back: bool,
-    pub longest_come_back: Span,
+    pub bypass_allowed: bool,
+    pub coalescing: bool,
+    pub sibling_fills: FillScope,
+    pub cancellation: bool,
+    pub retry_after_allowed: bool,
+    pub max_retry_after: Span,
     pub max_hops: u32,
-    pub connect_limit: Span,
-    pub cold: ColdStart,
-    pub cold_parent: ColdStart,
+    pub connect_timeout: Span,
+    pub cache_cold_start: ColdStart,
+    pub parent_cold_start: ColdStart,
     /// When all members have dropped what was purged.
-    pub purge_done: Span,
+    pub purge_propagation: Span,
     /// The list must be asked for.
-    pub list_asked: bool,
-    pub list_within: Span,
+    pub subscription_required: bool,
+    pub subscribe_within: Span,
     pub tick: Span,
 }
 
@@ -106,7 +106,7 @@
     /// `None`: long ago.
     pub started: Option<Time>,
     /// A gateway of another site, reached over a link by this gateway alone: no cache can fill from it.
-    pub far: bool,
+    pub remote: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -116,17 +116,17 @@
     pub object: u64,
     pub group: u64,
     pub part: u64,
-    pub write: bool,
+    pub is_write: bool,
     /// KB to be sent; `None` where it is not told.
     pub size: Option<f64>,
     /// How long until the client gives this try up.
-    pub left: Span,
+    pub time_left: Span,
     /// The oldest copy that the asker takes, where it says so.
     pub oldest: Option<Span>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HopEnd {
+pub enum HopStatus {
     Completed,
     Errored,
     TurnedAway,
@@ -142,15 +142,15 @@
     Lacking,
 }
 
-impl HopEnd {
+impl HopStatus {
     pub fn proves_not_run(self) -> bool {
-        use HopEnd::*;
+        use HopStatus::*;
         matches!(self, TurnedAway | Unreachable | NeverSent | Overtaken | Lacking)
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum CacheStatus {
     Held,
     Filled,
     FilledByOrigin,
@@ -165,9 +165,9 @@
 
 /// Load that came with an outcome; `None` where it is not reported.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Load {
+pub struct LoadReport {
     /// Of a cache: transfers on its zone's link over those that fit. Of a parent: fetches out.
-    pub link: Option<f64>,
+    pub link_load: Option<f64>,
 }
 
 #[derive(Clone, Debug)]
@@ -175,14 +175,14 @@
     pub txn: TxnId,
     /// Counted from 0 in a txn.
     pub hop: u32,
-    pub end: HopEnd,
-    pub took: Span,
+    pub end: HopStatus,
+    pub duration: Span,
     /// The txn has its final answer.
-    pub closed: bool,
-    pub note: Option<Note>,
+    pub answered: bool,
+    pub cache_status: Option<CacheStatus>,
     /// Time to the source's first byte or to the fill's failure.
     pub first_byte: Option<Span>,
-    pub load: Load,
+    pub load: LoadReport,
 }
 
 /// What a cache is to do when it lacks a fresh copy.
@@ -190,11 +190,11 @@
 pub struct Fill {
     pub source: MemberId,
     /// 0: pass through; 1 to 3: the rank at which the copy is kept.
-    pub keep: u8,
-    pub join: bool,
+    pub keep_rank: u8,
+    pub coalesce: bool,
     /// The source gives only what it holds.
-    pub held_only: bool,
-    pub renew: bool,
+    pub only_if_cached: bool,
+    pub revalidate: bool,
     /// `None`: the remap rule's fresh time.
     pub oldest: Option<Span>,
 }
@@ -206,7 +206,7 @@
         txn: TxnId,
         member: MemberId,
         fill: Option<Fill>,
-        begin_by: Time,
+        start_by: Time,
         limit: Time,
     },
     Cancel {
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -4,7 +4,7 @@
 
 use crate::histogram::Histogram;
 use crate::interface::*;
-use crate::names::{NameSet, of_group, of_object};
+use crate::names::{PrefixSet, group_hash, object_hash};
 use crate::state::*;
 use crate::time::{Span, Time};
 use rand::{Rng, SeedableRng};
@@ -156,11 +156,11 @@
 }
 
 fn cold_start(set: &Settings, role: Role) -> &ColdStart {
-    if role == Role::Parent { &set.cold_parent } else { &set.cold }
+    if role == Role::Parent { &set.parent_cold_start } else { &set.cache_cold_start }
 }
 
 fn warm(set: &Settings, now: Time, c: &Cache) -> bool {
-    c.m.started.is_none_or(|at| now - at >= cold_start(set, c.role).within)
+    c.m.started.is_none_or(|at| now - at >= cold_start(set, c.role).warm_up)
 }
 
 /// The gateways that send to members of a role.
@@ -179,13 +179,13 @@
             link_part: 1.0,
             next_scan: now,
             next_step: now + SECOND,
-            subscribe_at: set.list_asked.then_some(now),
+            subscribe_at: set.subscription_required.then_some(now),
             set,
         }
     }
 
     /// News of the list; with `whole`, members that it does not name are gone.
-    pub fn members(&mut self, now: Time, whole: bool, list: Vec<Member>) {
+    pub fn update_members(&mut self, now: Time, whole: bool, list: Vec<Member>) {
         let mut new = Vec::new();
         let unnamed = |c: &&mut Cache| whole && list.iter().all(|m| m.id != c.m.id);
         self.book.caches.iter_mut().filter(unnamed).for_each(|c| c.m.state = MemberState::Gone);
@@ -195,7 +195,7 @@
                 k if k == self.set.origin_kind => Role::Origin,
                 _ => Role::Edge,
             };
-            let cold = m.started.is_some_and(|at| now - at < self.set.cold_parent.within);
+            let cold = m.started.is_some_and(|at| now - at < self.set.parent_cold_start.warm_up);
             let weight = if cold { STANDBY } else { FULL };
             if let Some(&i) = self.book.by_id.get(&m.id) {
                 let c = &mut self.book.caches[i];
@@ -230,7 +230,7 @@
         let edges = UNSIZED * self.listed(Role::Edge);
         let whole = match c.role {
             Role::Origin => edges * ORIGIN_PART,
-            _ if self.set.sized => c.m.size,
+            _ if self.set.capacities_known => c.m.size,
             Role::Parent => edges * PARENTS_PART / self.listed(Role::Parent),
             Role::Edge => UNSIZED,
         };
@@ -238,7 +238,7 @@
     }
 
     /// A sign of life that came apart from hops: of a far gateway whose link stands again.
-    pub fn alive(&mut self, now: Time, id: &MemberId) {
+    pub fn member_alive(&mut self, now: Time, id: &MemberId) {
         if let Some(&i) = self.book.by_id.get(id) {
             self.book.caches[i].heard(now);
         }
@@ -246,7 +246,7 @@
 
     /// The list service failed or ended the subscription.
     pub fn list_failed(&mut self, now: Time) {
-        self.subscribe_at = self.set.list_asked.then(|| now + self.set.list_within * SCANS);
+        self.subscribe_at = self.set.subscription_required.then(|| now + self.set.subscribe_within * SCANS);
     }
 
     pub fn txn(&mut self, now: Time, txn: Txn) {
@@ -262,15 +262,15 @@
         follow(&mut self.book.mean_load, txn.size.unwrap_or(1.0), part);
         follow(&mut self.book.mean_sending, sending, part);
         self.book.ready.push_back(txn.id);
-        self.book.open.insert(txn.id, Open::new(txn.clone(), now + txn.left));
+        self.book.open.insert(txn.id, Open::new(txn.clone(), now + txn.time_left));
     }
 
-    pub fn hangup(&mut self, id: TxnId) {
+    pub fn client_left(&mut self, id: TxnId) {
         self.book.open.remove(&id);
     }
 
     /// Nothing older than `ago` is good any more of the objects and groups that `names` covers.
-    pub fn purged(&mut self, now: Time, names: NameSet, ago: Span) {
+    pub fn purge(&mut self, now: Time, names: PrefixSet, ago: Span) {
         self.book.purges.push(Purge { names, at: now.back(ago), told: now });
         let over = |b: &Book| b.purges.len() > PURGES || b.purged_names() > PURGED_NAMES;
         while over(&self.book) && self.join_purges() {}
@@ -290,7 +290,7 @@
         kept.names = kept.names.join(&later.names);
         // Fewer bits shorten a set only where they cover nearly all.
         if kept.names.names().len() > PURGED_NAMES / PURGES {
-            kept.names = NameSet::all();
+            kept.names = PrefixSet::all();
         }
         (kept.at, kept.told) = (kept.at.max(later.at), kept.told.max(later.told));
         self.book.purges_joined += 1;
@@ -301,35 +301,35 @@
         let Some(hop) = self.book.hops.remove(&(o.txn, o.hop)) else { return };
         self.adjust(now, &hop, &o);
         let near = self.book.caches[hop.member].role == Role::Edge;
-        let in_time = o.end == HopEnd::Completed && o.took <= hop.sla;
+        let in_time = o.end == HopStatus::Completed && o.duration <= hop.sla;
         let c = &mut self.book.caches[hop.member];
         c.prompt = c.prompt.max(if in_time { hop.sent } else { c.prompt });
         // Answers that never come, while later hops are completed in time, are no sign of a jam.
-        let jammed = o.end == HopEnd::TimedOut && c.prompt <= hop.sent;
-        if (o.end == HopEnd::Completed || jammed) && hop.sized {
-            self.book.pace.record(hop.sending, o.took.as_secs_f64(), SLOW);
+        let jammed = o.end == HopStatus::TimedOut && c.prompt <= hop.sent;
+        if (o.end == HopStatus::Completed || jammed) && hop.sized {
+            self.book.pace.record(hop.sending, o.duration.as_secs_f64(), SLOW);
         }
-        if let Some(link) = o.load.link.filter(|_| near) {
+        if let Some(link) = o.load.link_load.filter(|_| near) {
             follow(&mut self.book.link, link, QUICK);
         }
-        let filled = matches!(o.note, Some(Note::Filled | Note::FilledByOrigin));
-        let held = matches!(o.note, Some(Note::Held | Note::Old));
+        let filled = matches!(o.cache_status, Some(CacheStatus::Filled | CacheStatus::FilledByOrigin));
+        let held = matches!(o.cache_status, Some(CacheStatus::Held | CacheStatus::Old));
         if let Some(origin) = self.book.origin.filter(|_| hop.to_origin) {
             self.book.caches[origin].carry(now, -hop.load);
         }
         self.book.caches[hop.member].carry(now, -hop.load);
         let c = &mut self.book.caches[hop.member];
-        c.work += hop.sending * one(o.end == HopEnd::Completed);
+        c.work += hop.sending * one(o.end == HopStatus::Completed);
         let silent = match o.end {
-            HopEnd::Unreachable | HopEnd::Broken => true,
-            HopEnd::TimedOut => c.answered <= hop.sent,
+            HopStatus::Unreachable | HopStatus::Broken => true,
+            HopStatus::TimedOut => c.answered <= hop.sent,
             _ => false,
         };
         if silent {
             self.strike(now, hop.member);
         } else if !matches!(
             o.end,
-            HopEnd::TimedOut | HopEnd::Withdrawn | HopEnd::NeverSent | HopEnd::Overtaken
+            HopStatus::TimedOut | HopStatus::Withdrawn | HopStatus::NeverSent | HopStatus::Overtaken
         ) {
             c.heard(now);
         }
@@ -343,15 +343,15 @@
             if held {
                 c.spent.retain(|s| s.2 != (o.txn, o.hop));
             }
-            let refused = matches!(o.note, Some(Note::SourceRefused | Note::OriginFailed));
-            let timed_out = o.end == HopEnd::TimedOut && !silent && c.answered <= hop.sent;
-            let lost = timed_out || o.note == Some(Note::SourceLost);
-            if filled || lost || o.note == Some(Note::SourceRefused) {
+            let refused = matches!(o.cache_status, Some(CacheStatus::SourceRefused | CacheStatus::OriginFailed));
+            let timed_out = o.end == HopStatus::TimedOut && !silent && c.answered <= hop.sent;
+            let lost = timed_out || o.cache_status == Some(CacheStatus::SourceLost);
+            if filled || lost || o.cache_status == Some(CacheStatus::SourceRefused) {
                 c.par.fills += 1.0;
                 c.par.failed += one(!filled && !timed_out);
                 c.par.late += one(timed_out);
             }
-            if let (Some(Note::Filled), Some(first)) = (o.note, o.first_byte) {
+            if let (Some(CacheStatus::Filled), Some(first)) = (o.cache_status, o.first_byte) {
                 c.par.recent.record(first);
                 c.par.settled.record(first);
             }
@@ -367,18 +367,18 @@
         }
         // What a far gateway carries is scored as fills are, by the link's own first sign.
         let c = &mut self.book.caches[hop.member];
-        if c.m.far && c.role == Role::Parent {
+        if c.m.remote && c.role == Role::Parent {
             let failed = matches!(
                 o.end,
-                HopEnd::Unreachable
-                    | HopEnd::Broken
-                    | HopEnd::Errored
-                    | HopEnd::TurnedAway
-                    | HopEnd::NeverSent
-                    | HopEnd::Spoilt
+                HopStatus::Unreachable
+                    | HopStatus::Broken
+                    | HopStatus::Errored
+                    | HopStatus::TurnedAway
+                    | HopStatus::NeverSent
+                    | HopStatus::Spoilt
             );
-            let late = o.end == HopEnd::TimedOut;
-            c.par.fills += one(failed || late || o.end == HopEnd::Completed);
+            let late = o.end == HopStatus::TimedOut;
+            c.par.fills += one(failed || late || o.end == HopStatus::Completed);
             c.par.failed += one(failed);
             c.par.late += one(late);
             if let Some(first) = o.first_byte {
@@ -387,25 +387,25 @@
             }
         }
         let Some(open) = self.book.open.get_mut(&o.txn) else { return };
-        if o.note == Some(Note::Held)
+        if o.cache_status == Some(CacheStatus::Held)
             && open.txn.size.is_none()
             && let Some(row) = self.book.rows.get_mut(open.txn.rule)
         {
-            follow(&mut row.sending, o.took.as_secs_f64(), SLOW);
+            follow(&mut row.sending, o.duration.as_secs_f64(), SLOW);
         }
-        if o.closed {
+        if o.answered {
             self.book.open.remove(&o.txn);
             return;
         }
         open.out = open.out.saturating_sub(1);
-        if o.end == HopEnd::Lacking && hop.source.is_none() {
+        if o.end == HopStatus::Lacking && hop.source.is_none() {
             open.looked = true;
-        } else if o.note == Some(Note::SourceLacks) {
+        } else if o.cache_status == Some(CacheStatus::SourceLacks) {
             open.looked = true;
             open.parent_lacks |= hop.source.is_some_and(|p| self.book.caches[p].role == Role::Parent);
-        } else if o.note == Some(Note::OriginFailed) {
+        } else if o.cache_status == Some(CacheStatus::OriginFailed) {
             open.origin_failed = true;
-        } else if o.end != HopEnd::Overtaken {
+        } else if o.end != HopStatus::Overtaken {
             open.avoid.push(culprit);
         }
         if !o.end.proves_not_run() && open.may_have_run.is_none_or(|(_, at)| hop.sent < at) {
@@ -422,22 +422,22 @@
     /// don't count against the cache, hits against the parent, nor errors of a txn that none can use against any.
     fn adjust(&mut self, now: Time, hop: &Hop, o: &Outcome) {
         let slow_start = o.first_byte.is_some_and(|first| first > hop.sla * SLOW_START);
-        let place = match o.note {
+        let place = match o.cache_status {
             // A second member's error tells of the txn: the first one's gate is given back what it lost.
-            None if o.end == HopEnd::Errored && o.hop > 0 => {
+            None if o.end == HopStatus::Errored && o.hop > 0 => {
                 let first = self.book.open.get(&o.txn).and_then(|open| open.avoid.first().copied());
                 let first = first.filter(|_| o.hop == 1).map(|i| &mut self.book.caches[i]);
                 _ = first.map(|c| c.gate /= GATE_CUT.powf(c.sharers.sqrt()));
                 None
             }
-            None | Some(Note::Held | Note::Old | Note::Joined | Note::NoPlace) => Some(hop.member),
-            Some(Note::OriginFailed) => self.book.origin,
-            Some(Note::FilledByOrigin) if slow_start => self.book.origin,
-            Some(Note::FilledByOrigin) if hop.to_origin && o.took <= hop.sla => self.book.origin,
+            None | Some(CacheStatus::Held | CacheStatus::Old | CacheStatus::Joined | CacheStatus::NoPlace) => Some(hop.member),
+            Some(CacheStatus::OriginFailed) => self.book.origin,
+            Some(CacheStatus::FilledByOrigin) if slow_start => self.book.origin,
+            Some(CacheStatus::FilledByOrigin) if hop.to_origin && o.duration <= hop.sla => self.book.origin,
             _ => hop.source,
         };
-        if o.note == Some(Note::OriginFailed) || o.note == Some(Note::FilledByOrigin) {
-            let bad = slow_start || o.note == Some(Note::OriginFailed);
+        if o.cache_status == Some(CacheStatus::OriginFailed) || o.cache_status == Some(CacheStatus::FilledByOrigin) {
+            let bad = slow_start || o.cache_status == Some(CacheStatus::OriginFailed);
             follow(&mut self.book.origin_bad, one(bad), QUICK);
         }
         let (Some(place), mean) = (place, self.book.mean_load.max(1e-6)) else { return };
@@ -448,11 +448,11 @@
         let each = if c.role == Role::Parent { c.sharers / parents } else { c.sharers };
         let pace = each.sqrt().max(1.0);
         match o.end {
-            HopEnd::Completed if o.took <= hop.sla && held < c.gate * mean / 2.0 => {}
-            HopEnd::Completed if o.took <= hop.sla => c.gate += GATE_GAIN / pace,
+            HopStatus::Completed if o.duration <= hop.sla && held < c.gate * mean / 2.0 => {}
+            HopStatus::Completed if o.duration <= hop.sla => c.gate += GATE_GAIN / pace,
             // Over a link what comes late tells of lost packets; its own window holds back what it can't carry.
-            HopEnd::Completed if c.m.far => {}
-            HopEnd::Completed | HopEnd::TurnedAway | HopEnd::Errored => {
+            HopStatus::Completed if c.m.remote => {}
+            HopStatus::Completed | HopStatus::TurnedAway | HopStatus::Errored => {
                 c.gate = (c.gate * GATE_CUT.powf(pace)).max(least);
             }
             _ => {}
@@ -498,7 +498,7 @@
         let c = &mut self.book.caches[i];
         c.strikes += 1;
         if c.strikes >= STRIKES {
-            let rest = self.set.connect_limit * 2f64.powi((c.strikes - STRIKES).min(3) as i32);
+            let rest = self.set.connect_timeout * 2f64.powi((c.strikes - STRIKES).min(3) as i32);
             c.trial_at = Some(now + rest);
         }
     }
@@ -544,7 +544,7 @@
         if self.book.hops.is_empty() {
             self.book.pace.forget(QUICK);
         }
-        let purge_done = self.set.purge_done;
+        let purge_done = self.set.purge_propagation;
         // By when it was told: one that a cut way brought late still binds.
         self.book.purges.retain(|p| now - p.told < purge_done + SECOND);
         let up = |c: &&Cache| c.role == Role::Parent && c.m.state == MemberState::Up;
@@ -571,11 +571,11 @@
 
     /// Finds members that have gone silent and takes repeatable hops away from them.
     fn scan(&mut self, now: Time) {
-        self.next_scan = now + (self.set.connect_limit * SCANS).max(self.set.tick).max(Span::from_millis(1));
+        self.next_scan = now + (self.set.connect_timeout * SCANS).max(self.set.tick).max(Span::from_millis(1));
         let mut overdue = BTreeMap::new();
         for hop in self.book.hops.values().filter(|h| h.due <= now) {
             let c = &self.book.caches[hop.member];
-            if c.answered <= hop.sent && now - c.answered > self.set.connect_limit {
+            if c.answered <= hop.sent && now - c.answered > self.set.connect_timeout {
                 *overdue.entry(hop.member).or_insert(0) += 1;
             }
         }
@@ -586,7 +586,7 @@
             }
         }
         let caches = &self.book.caches;
-        for (&(id, seq), hop) in self.book.hops.iter_mut().filter(|_| self.set.cancel) {
+        for (&(id, seq), hop) in self.book.hops.iter_mut().filter(|_| self.set.cancellation) {
             let stuck = |i: usize| caches[i].trial_at.is_some() && caches[i].answered <= hop.sent;
             if hop.cancelled || hop.due > now || !(stuck(hop.member) || hop.source.is_some_and(stuck)) {
                 continue;
@@ -603,13 +603,13 @@
     /// The SLA time of a txn; where its size is not told, that of a large one of its rule.
     fn sla(&self, txn: &Txn, rule: &RemapRule) -> Span {
         let sending = if txn.size.is_some() { self.sending(txn) } else { rule.sla.as_secs_f64() * LARGE };
-        rule.sla + Span::from_secs_f64(sending * rule.sla_stretch)
+        rule.sla + Span::from_secs_f64(sending * rule.sla_size_factor)
     }
 
     /// The txn's own sending time, as far as it is told.
     pub(crate) fn sending(&self, txn: &Txn) -> f64 {
         match txn.size {
-            Some(kb) if self.set.client_pace > 0.0 => kb / self.set.client_pace,
+            Some(kb) if self.set.client_rate > 0.0 => kb / self.set.client_rate,
             _ => self.book.rows.get(txn.rule).map_or(0.0, |r| r.sending),
         }
     }
@@ -619,15 +619,15 @@
     pub(crate) fn has_room(&self, now: Time, i: usize, cost: f64) -> bool {
         let c = &self.book.caches[i];
         let (cold, sharers) = (cold_start(&self.set, c.role), c.sharers);
-        let Some(age) = c.m.started.map(|at| now - at).filter(|&age| age < cold.within) else { return true };
+        let Some(age) = c.m.started.map(|at| now - at).filter(|&age| age < cold.warm_up) else { return true };
         let borne = self.book.borne[usize::from(c.role == Role::Parent)] * sharers;
         let untold = (borne, COLD_MARGIN_UNSIZED);
-        let (capacity, margin) = if self.set.sized { (c.m.size, COLD_MARGIN) } else { untold };
-        let present = cold.from + (1.0 - cold.from) * (age / cold.within);
-        let budget = cold.multiple * present * capacity * cold.over.as_secs_f64() / sharers * margin;
-        let since = now.back(cold.over);
+        let (capacity, margin) = if self.set.capacities_known { (c.m.size, COLD_MARGIN) } else { untold };
+        let present = cold.initial_share + (1.0 - cold.initial_share) * (age / cold.warm_up);
+        let budget = cold.overload_factor * present * capacity * cold.overload_window.as_secs_f64() / sharers * margin;
+        let since = now.back(cold.overload_window);
         let spent: f64 = c.spent.iter().filter(|s| s.0 >= since).map(|s| s.1).sum();
-        spent + cost <= budget || spent == 0.0 && !self.set.sized && capacity == 0.0
+        spent + cost <= budget || spent == 0.0 && !self.set.capacities_known && capacity == 0.0
     }
 
     /// Listed as up, and not passed over for its silence; a trial is let through when it is due.
@@ -642,7 +642,7 @@
         let listed = if role == Role::Edge && !all_zones { &self.book.near } else { all };
         let place = |&i: &usize| {
             let c = &self.book.caches[i];
-            (-unit(hash(txn.object, txn.part, c.key)).ln() / c.size(self.set.sized), i)
+            (-unit(hash(txn.object, txn.part, c.key)).ln() / c.size(self.set.capacities_known), i)
         };
         let mut order: Vec<(f64, usize)> = listed.iter().map(place).collect();
         order.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
@@ -692,7 +692,7 @@
                 && self.has_room(now, i, cost)
                 && self.in_group(open, now, i)
         });
-        let size = |i: usize| self.book.caches[i].size(self.set.sized);
+        let size = |i: usize| self.book.caches[i].size(self.set.capacities_known);
         let part = load / sharers(&self.set, Role::Edge);
         let total: f64 = order.iter().map(|&i| self.held(now, i)).sum::<f64>() + part;
         let sizes: f64 = order.iter().map(|&i| size(i)).sum();
@@ -714,11 +714,11 @@
             Effect::Repeatable => true,
             Effect::Unrepeatable => false,
             Effect::Keyed => {
-                now - at < rule.memory
-                    && match rule.group {
-                        RepeatGroup::All => true,
-                        RepeatGroup::Zone => a.zone == b.zone,
-                        RepeatGroup::Cell => a.cell == b.cell,
+                now - at < rule.dedup_window
+                    && match rule.dedup_scope {
+                        DedupScope::All => true,
+                        DedupScope::Zone => a.zone == b.zone,
+                        DedupScope::Cell => a.cell == b.cell,
                     }
             }
         }
@@ -733,16 +733,16 @@
     /// member may hold an older one. Zero would mean no limit.
     fn oldest(&self, now: Time, txn: &Txn, rule: &RemapRule, stale: bool) -> Option<Span> {
         let purges = &self.book.purges;
-        let names = (!purges.is_empty()).then(|| [of_object(txn.object), of_group(txn.group)]);
-        let hits = |p: &&Purge| names.is_some_and(|names| names.iter().any(|&n| p.names.covers(n)));
+        let names = (!purges.is_empty()).then(|| [object_hash(txn.object), group_hash(txn.group)]);
+        let hits = |p: &&Purge| names.is_some_and(|names| names.iter().any(|&n| p.names.contains(n)));
         let purge = purges.iter().filter(hits).map(|p| now - p.at).chain(txn.oldest).min();
-        let fresh = rule.fresh > Span::ZERO;
-        let most = if stale && fresh { rule.fresh + rule.grace } else { rule.fresh };
+        let fresh = rule.max_age > Span::ZERO;
+        let most = if stale && fresh { rule.max_age + rule.max_stale } else { rule.max_age };
         let least = |s: Span| s.max(Span::from_micros(1));
         match purge {
             Some(age) if fresh => Some(least(age.min(most))),
             Some(age) => Some(least(age)),
-            None => (most > rule.fresh).then_some(most),
+            None => (most > rule.max_age).then_some(most),
         }
     }
 
@@ -773,11 +773,11 @@
             let c = &mut self.book.caches[i];
             c.carry(now, load);
             if let Some(at) = &mut c.trial_at {
-                *at = now + self.set.connect_limit;
+                *at = now + self.set.connect_timeout;
             }
             if c.m.started.is_some() {
                 c.spent.push_back((now, cost.max(0.001), key));
-                let old = now.back(self.set.cold.over);
+                let old = now.back(self.set.cache_cold_start.overload_window);
                 while c.spent.front().is_some_and(|s| s.0 < old) {
                     c.spent.pop_front();
                 }
@@ -789,7 +789,7 @@
         }
         let due = now + sla * OVERDUE;
         // Over a link the round trip is the most of it: that is no pace of sending.
-        let far = self.book.caches[member].m.far;
+        let far = self.book.caches[member].m.remote;
         let (sent, cancelled, sized) = (now, false, open.txn.size.is_some() && !far);
         let hop =
             Hop { sized, member, source, sent, due, sla, sending, load, fill_load, to_origin, cancelled };
@@ -799,30 +799,30 @@
         let limit = open.limit;
         // Guards keyed effects against a hop that waits, for a connection say, until its repeat is not known any more.
         let begin_by = match open.may_have_run {
-            Some((_, at)) if rule.effect == Effect::Keyed => limit.min(at + rule.memory),
+            Some((_, at)) if rule.effect == Effect::Keyed => limit.min(at + rule.dedup_window),
             _ => limit,
         };
         self.book.open.insert(id, open);
         let member = Arc::clone(&self.book.caches[member].m.id);
-        Decision::Hop { txn: id, member, fill, begin_by, limit }
+        Decision::Hop { txn: id, member, fill, start_by: begin_by, limit }
     }
 
     /// Where the next hop goes: cache, fill source and how the copy is kept.
     fn plan(&mut self, now: Time, open: &Open, rule: &RemapRule) -> Option<Plan> {
         let txn = &open.txn;
         let mean = self.book.rows[txn.rule].sending;
-        let write = txn.write || rule.write;
-        if write && self.set.direct {
+        let write = txn.is_write || rule.is_write;
+        if write && self.set.bypass_allowed {
             let origin = self.origin(now, open).filter(|&i| self.in_group(open, now, i));
             return origin.map(|i| (i, None, None));
         }
         let source = if write { self.origin(now, open) } else { self.source(now, open) };
-        let far = |i: usize| self.book.caches[i].m.far;
+        let far = |i: usize| self.book.caches[i].m.remote;
         let member = self.edge(now, open, mean, open.load()).filter(|_| !source.is_some_and(far));
         let Some(member) = member else {
             // No cache of the own zone can take it, or none could fill from there: straight to the fill source,
             // where that is allowed.
-            let source = source.filter(|&i| (self.set.direct || far(i)) && self.in_group(open, now, i))?;
+            let source = source.filter(|&i| (self.set.bypass_allowed || far(i)) && self.in_group(open, now, i))?;
             if write {
                 return Some((source, None, None));
             }
@@ -831,7 +831,7 @@
         };
         let source = source.or_else(|| self.sib(now, open, member));
         // No room for a fill: ask the cache for what it holds, once.
-        if source.is_none() && (open.looked || open.origin_failed && rule.grace == Span::ZERO) {
+        if source.is_none() && (open.looked || open.origin_failed && rule.max_stale == Span::ZERO) {
             return None;
         }
         let source = source.unwrap_or(member);
@@ -843,11 +843,11 @@
     /// the zones in reach gives what it holds. Guards against parents lost or crowded while copies stand
     /// elsewhere; adds load to siblings.
     fn sib(&self, now: Time, open: &Open, member: usize) -> Option<usize> {
-        if self.set.sibs == Reach::Off || open.looked || open.origin_failed || open.txn.write {
+        if self.set.sibling_fills == FillScope::Off || open.looked || open.origin_failed || open.txn.is_write {
             return None;
         }
         // What stands in other zones comes over the own link: not while that is full.
-        let all = self.set.sibs == Reach::All && self.book.link < LINK_FULL;
+        let all = self.set.sibling_fills == FillScope::All && self.book.link < LINK_FULL;
         let order = self.order(Role::Edge, &open.txn, all);
         let (load, sending) = (open.load() * self.miss_share, self.sending(&open.txn));
         let fits = |&i: &usize| {
@@ -863,11 +863,11 @@
         let c = &self.book.caches[source];
         Fill {
             source: Arc::clone(&c.m.id),
-            keep,
-            join: self.set.joins,
-            held_only: c.role == Role::Edge
+            keep_rank: keep,
+            coalesce: self.set.coalescing,
+            only_if_cached: c.role == Role::Edge
                 || c.role == Role::Parent && self.origin_sick() && !open.parent_lacks,
-            renew: warm(&self.set, now, c) && rule.fresh > Span::ZERO,
+            revalidate: warm(&self.set, now, c) && rule.max_age > Span::ZERO,
             oldest: self.oldest(now, &open.txn, rule, open.hops > 0 || self.origin_sick()),
         }
     }
@@ -877,13 +877,13 @@
         let txn = open.txn.id;
         let harmless = open.may_have_run.is_none()
             || rule.effect == Effect::Repeatable
-            || rule.effect == Effect::Keyed && rule.group == RepeatGroup::All;
+            || rule.effect == Effect::Keyed && rule.dedup_scope == DedupScope::All;
         if !harmless {
             return Decision::Abort { txn };
         }
         // Soon enough that the SLA time may still be met, spread so that they don't come at once.
         let wait = rule.sla * self.rng.random_range(COME_BACK);
-        let come_back = self.set.come_back.then(|| wait.min(self.set.longest_come_back));
+        let come_back = self.set.retry_after_allowed.then(|| wait.min(self.set.max_retry_after));
         Decision::Reject { txn, come_back }
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -2,7 +2,7 @@
 
 use crate::histogram::Histogram;
 use crate::interface::{Member, MemberId, MemberState, Txn, TxnId};
-use crate::names::NameSet;
+use crate::names::PrefixSet;
 use crate::time::{Span, Time};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -198,7 +198,7 @@
 
 #[derive(Clone)]
 pub struct Purge {
-    pub names: NameSet,
+    pub names: PrefixSet,
     /// Nothing older is good any more.
     pub at: Time,
     pub told: Time,
--- a/tests/cases.rs
+++ b/tests/cases.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use kelpcart::interface::*;
-use kelpcart::names::{NameSet, of_group, of_object};
+use kelpcart::names::{PrefixSet, group_hash, object_hash};
 use kelpcart::{Span, Time};
 use std::sync::Arc;
 
@@ -25,26 +25,26 @@
         .map(|i| {
             let id = first + i;
             let home = source(&world.ask(now, txn(id, 0, 1_000 + i)));
-            world.end(now, id, HopEnd::Completed, Some(Note::Held));
+            world.end(now, id, HopStatus::Completed, Some(CacheStatus::Held));
             home
         })
         .collect()
 }
 
 /// Fills from `sick` end as `note`, all others are served by the parent, for some seconds.
-fn live(world: &mut World, from: u64, secs: u64, first: TxnId, sick: &str, note: Note) {
+fn live(world: &mut World, from: u64, secs: u64, first: TxnId, sick: &str, note: CacheStatus) {
     for i in 0..secs * 50 {
         let now = at(from + i * 20);
         let made = world.ask(now, txn(first + i, 0, 5_000 + i));
         let Some(Decision::Hop { fill: Some(fill), .. }) = made.last() else { continue };
         let (end, note) = if &*fill.source == sick {
-            (HopEnd::TurnedAway, note)
+            (HopStatus::TurnedAway, note)
         } else {
-            (HopEnd::Completed, Note::Filled)
+            (HopStatus::Completed, CacheStatus::Filled)
         };
         let next = world.end(now, first + i, end, Some(note));
         if let Some(Decision::Hop { .. }) = next.last() {
-            world.end(now, first + i, HopEnd::Completed, Some(Note::Filled));
+            world.end(now, first + i, HopStatus::Completed, Some(CacheStatus::Filled));
         }
     }
 }
@@ -57,15 +57,15 @@
 fn weight_steps_down_and_returns_slowly() {
     let mut world = World::new(settings());
     let before = homes(&mut world, at(0), 0);
-    live(&mut world, 0, 2, 10_000, "p1", Note::SourceRefused);
+    live(&mut world, 0, 2, 10_000, "p1", CacheStatus::SourceRefused);
     let early = share(&homes(&mut world, at(2_001), 1_000), "p1");
-    live(&mut world, 2_010, 6, 20_000, "p1", Note::SourceRefused);
+    live(&mut world, 2_010, 6, 20_000, "p1", CacheStatus::SourceRefused);
     let down = share(&homes(&mut world, at(8_100), 2_000), "p1");
     assert!(early < share(&before, "p1") && down < early, "{early} then {down}");
-    live(&mut world, 8_110, 6, 30_000, "", Note::Held);
+    live(&mut world, 8_110, 6, 30_000, "", CacheStatus::Held);
     let still = share(&homes(&mut world, at(14_200), 3_000), "p1");
     assert!(still < early, "back after {still} with too few clean windows");
-    live(&mut world, 14_210, 30, 40_000, "", Note::Held);
+    live(&mut world, 14_210, 30, 40_000, "", CacheStatus::Held);
     assert_eq!(before, homes(&mut world, at(44_300), 4_000), "the old homes come back");
 }
 
@@ -73,9 +73,9 @@
 fn hash_order_is_stable_when_a_parent_leaves() {
     let (mut world, mut fewer) = (World::new(settings()), World::new(settings()));
     let third = member("p3", PARENT);
-    world.gateway.members(at(0), false, vec![third.clone()]);
-    fewer.gateway.members(at(0), false, vec![third.clone()]);
-    fewer.gateway.members(at(0), false, vec![Member { state: MemberState::Gone, ..third }]);
+    world.gateway.update_members(at(0), false, vec![third.clone()]);
+    fewer.gateway.update_members(at(0), false, vec![third.clone()]);
+    fewer.gateway.update_members(at(0), false, vec![Member { state: MemberState::Gone, ..third }]);
     for (all, left) in homes(&mut world, at(1), 0).iter().zip(homes(&mut fewer, at(1), 0)) {
         assert!(all == "p3" || *all == left);
     }
@@ -85,7 +85,7 @@
 fn a_slow_origin_behind_all_parents_moves_no_weight() {
     let mut world = World::new(settings());
     let before = homes(&mut world, at(0), 0);
-    live(&mut world, 0, 5, 10_000, "p1", Note::OriginFailed);
+    live(&mut world, 0, 5, 10_000, "p1", CacheStatus::OriginFailed);
     let after = homes(&mut world, at(5_100), 1_000);
     assert_eq!(before, after);
 }
@@ -95,7 +95,7 @@
     for (kind, id) in [(EDGE, "cold-e"), (PARENT, "cold-p")] {
         let mut world = World::new(settings());
         let cold = Member { started: Some(at(0)), ..member(id, kind) };
-        world.gateway.members(at(0), false, vec![cold]);
+        world.gateway.update_members(at(0), false, vec![cold]);
         let mut spent = 0.0;
         for i in 0..600 {
             let made = world.ask(at(i), txn(i, 0, i));
@@ -103,7 +103,7 @@
             if &**member == id || &*fill.source == id {
                 spent += 0.1;
             }
-            world.end(at(i), i, HopEnd::Completed, Some(Note::Filled));
+            world.end(at(i), i, HopStatus::Completed, Some(CacheStatus::Filled));
         }
         // Half of what two gateways may send in 2 s at the capacity reached after 0.6 s.
         let share = if kind == EDGE { 0.2 + 0.8 * 0.06 } else { 0.1 + 0.9 * 0.03 };
@@ -114,8 +114,8 @@
 #[test]
 fn purges_bound_the_age_of_copies() {
     let mut world = World::new(settings());
-    world.gateway.purged(at(100), NameSet::object(1), ms(50));
-    world.gateway.purged(at(100), NameSet::group(2), Span::ZERO);
+    world.gateway.purge(at(100), PrefixSet::object(1), ms(50));
+    world.gateway.purge(at(100), PrefixSet::group(2), Span::ZERO);
     let mut age = |now, id, object| place(&world.ask(now, txn(id, 0, object))[0]).1.unwrap().oldest;
     assert_eq!(age(at(120), 1, 1), Some(ms(70)));
     assert_eq!(age(at(100), 2, 10), Some(Span::from_micros(1)), "zero would be no limit");
@@ -135,18 +135,18 @@
 #[test]
 fn a_short_name_binds_every_object_that_it_covers_and_no_other() {
     let mut world = World::new(settings());
-    let names = NameSet::new(6, [of_object(1), of_object(2)]);
-    world.gateway.purged(at(100), names.clone(), ms(50));
-    let covered = |o: &u64| names.covers(of_object(*o)) || names.covers(of_group(*o % 8));
+    let names = PrefixSet::new(6, [object_hash(1), object_hash(2)]);
+    world.gateway.purge(at(100), names.clone(), ms(50));
+    let covered = |o: &u64| names.contains(object_hash(*o)) || names.contains(group_hash(*o % 8));
     for object in 0..2_000 {
         let bound = covered(&object).then_some(ms(70));
         assert_eq!(oldest(&mut world, at(120), object), bound, "object {object}");
     }
     assert!((0..2_000).any(|o| o > 2 && covered(&o)) && (0..2_000).any(|o| !covered(&o)));
     let mut world = World::new(settings());
-    world.gateway.purged(at(100), NameSet::object(3), ms(50));
+    world.gateway.purge(at(100), PrefixSet::object(3), ms(50));
     assert_eq!(oldest(&mut world, at(120), 11), None, "an object of the group of the same number");
-    world.gateway.purged(at(100), NameSet::group(4), ms(50));
+    world.gateway.purge(at(100), PrefixSet::group(4), ms(50));
     assert_eq!(oldest(&mut world, at(120), 4 + 8), Some(ms(70)));
     assert_eq!(oldest(&mut world, at(120), 5), None);
 }
@@ -154,7 +154,7 @@
 #[test]
 fn a_purge_that_is_told_late_still_binds_for_its_full_time() {
     let mut world = World::new(settings());
-    world.gateway.purged(at(100), NameSet::object(1), ms(30_000));
+    world.gateway.purge(at(100), PrefixSet::object(1), ms(30_000));
     world.pull(at(1_200));
     assert_eq!(oldest(&mut world, at(1_200), 1), Some(ms(31_100)));
     world.pull(at(6_900));
@@ -168,7 +168,7 @@
     let mut world = World::new(settings());
     for object in 0..3_000 {
         // Not in the order of their ages.
-        world.gateway.purged(at(object), NameSet::object(object), ms(object * 7 % 100));
+        world.gateway.purge(at(object), PrefixSet::object(object), ms(object * 7 % 100));
     }
     assert!(size(&world, "purges kept") <= 512 && size(&world, "purges joined at the bound") >= 2_488);
     for object in 0..3_000 {
@@ -183,7 +183,7 @@
     let of = |set: u64| (0..2_000).map(move |i| set * 2_000 + i);
     for set in sets.clone() {
         let age = ms(800 - set);
-        world.gateway.purged(at(3_000), NameSet::new(64, of(set).map(of_object)), age);
+        world.gateway.purge(at(3_000), PrefixSet::new(64, of(set).map(object_hash)), age);
     }
     assert!(size(&world, "names of purges kept") <= 512 * 512);
     for set in sets {
@@ -197,7 +197,7 @@
     let mut world = World::new(settings());
     for i in 0..150 * 30 {
         let now = at(i * 1_000 / 150);
-        world.gateway.purged(now, NameSet::object(i), ms(20));
+        world.gateway.purge(now, PrefixSet::object(i), ms(20));
         world.pull(now);
     }
     // 150 a second, each for 7 s and what its set spans, let go of once a second.
@@ -210,10 +210,10 @@
 fn unrepeatable_txns_run_once() {
     let mut world = World::new(settings());
     assert_eq!(place(&world.ask(at(0), txn(1, 2, 1))[0]).0, "o");
-    let answer = world.end(at(900), 1, HopEnd::TimedOut, None);
+    let answer = world.end(at(900), 1, HopStatus::TimedOut, None);
     assert_eq!(answer, [Decision::Abort { txn: 1 }]);
     world.ask(at(0), txn(2, 2, 2));
-    let next = world.end(at(1), 2, HopEnd::TurnedAway, None);
+    let next = world.end(at(1), 2, HopStatus::TurnedAway, None);
     assert!(!matches!(next[0], Decision::Abort { .. }), "proven not run");
 }
 
@@ -221,9 +221,9 @@
 fn keyed_txns_repeat_only_in_their_group_and_window() {
     for (wait, out_of_window) in [(500, false), (3_100, true)] {
         let mut world = World::new(settings());
-        let far = Txn { left: ms(9_000), ..txn(1, 1, 1) };
+        let far = Txn { time_left: ms(9_000), ..txn(1, 1, 1) };
         world.ask(at(0), far);
-        let next = world.end(at(wait), 1, HopEnd::Errored, None);
+        let next = world.end(at(wait), 1, HopStatus::Errored, None);
         assert_eq!(matches!(next[0], Decision::Abort { .. }), out_of_window, "{next:?}");
     }
 }
@@ -235,11 +235,11 @@
         let kind = if id == "e1" { EDGE } else { PARENT };
         Member { state: MemberState::Draining, ..member(id, kind) }
     });
-    world.gateway.members(at(0), false, changed.to_vec());
+    world.gateway.update_members(at(0), false, changed.to_vec());
     for i in 0..100 {
         let (to, fill) = place(&world.ask(at(i), txn(i, 0, i))[0]);
         assert!(to != "e1" && &*fill.unwrap().source != "p1");
-        world.end(at(i), i, HopEnd::Completed, Some(Note::Held));
+        world.end(at(i), i, HopStatus::Completed, Some(CacheStatus::Held));
     }
 }
 
@@ -258,7 +258,7 @@
             }
         }
         if stuck.last() != Some(&i) {
-            world.end(at(i * 10), i, HopEnd::Completed, Some(Note::Held));
+            world.end(at(i * 10), i, HopStatus::Completed, Some(CacheStatus::Held));
         }
     }
     assert!(stuck.len() < 25, "{} hops left at a silent cache", stuck.len());
@@ -273,19 +273,19 @@
         for id in (0..3).map(|n| 4 * round + n) {
             let made = world.ask(at(from + 50), txn(id, 0, round));
             assert!(matches!(made[..], [Decision::Hop { .. }]), "{id}: {made:?}");
-            world.end(at(from + 100), id, HopEnd::Completed, Some(Note::Held));
+            world.end(at(from + 100), id, HopStatus::Completed, Some(CacheStatus::Held));
         }
         let took = ms(3_000);
-        let next = world.end_after(at(from + 150), hangs, HopEnd::TimedOut, None, took, Load::default());
+        let next = world.end_after(at(from + 150), hangs, HopStatus::TimedOut, None, took, LoadReport::default());
         if let Some(Decision::Hop { .. }) = next.last() {
-            world.end(at(from + 160), hangs, HopEnd::Completed, Some(Note::Held));
+            world.end(at(from + 160), hangs, HopStatus::Completed, Some(CacheStatus::Held));
         }
     }
 }
 
 #[test]
 fn a_full_zone_rejects_at_once_and_says_when_to_come_back() {
-    let mut world = World::new(Settings { cancel: false, ..settings() });
+    let mut world = World::new(Settings { cancellation: false, ..settings() });
     let answers: Vec<Decision> = (0..200).flat_map(|i| world.ask(at(i * 5), txn(i, 0, i))).collect();
     let rejected =
         |d: &&Decision| matches!(d, Decision::Reject { come_back: Some(wait), .. } if *wait > Span::ZERO);
@@ -298,23 +298,23 @@
     let mut world = World::new(settings());
     for i in 0..30 {
         world.ask(at(i), txn(i, 0, i));
-        world.end(at(i), i, HopEnd::TurnedAway, Some(Note::OriginFailed));
+        world.end(at(i), i, HopStatus::TurnedAway, Some(CacheStatus::OriginFailed));
     }
     let fill = place(&world.ask(at(40), txn(900, 0, 900))[0]).1.unwrap();
-    assert!(fill.held_only);
-    let on = world.end(at(41), 900, HopEnd::Lacking, Some(Note::SourceLacks));
-    assert!(!place(&on[0]).1.unwrap().held_only);
+    assert!(fill.only_if_cached);
+    let on = world.end(at(41), 900, HopStatus::Lacking, Some(CacheStatus::SourceLacks));
+    assert!(!place(&on[0]).1.unwrap().only_if_cached);
 }
 
 #[test]
 fn with_every_parent_gone_the_origin_fills() {
     let mut world = World::new(settings());
     let gone = ["p1", "p2"].map(|id| Member { state: MemberState::Gone, ..member(id, PARENT) });
-    world.gateway.members(at(0), false, gone.to_vec());
+    world.gateway.update_members(at(0), false, gone.to_vec());
     assert_eq!(source(&world.ask(at(1), txn(1, 0, 1))), "o");
-    world.gateway.members(at(1), true, Vec::new());
+    world.gateway.update_members(at(1), true, Vec::new());
     assert!(matches!(world.ask(at(2), txn(2, 0, 2))[0], Decision::Reject { .. }));
-    world.gateway.members(at(3), true, vec![Member { id: Arc::from("p1"), ..member("p1", PARENT) }]);
+    world.gateway.update_members(at(3), true, vec![Member { id: Arc::from("p1"), ..member("p1", PARENT) }]);
     assert_eq!(place(&world.ask(at(4), txn(3, 0, 3))[0]).0, "p1", "straight to the parent");
 }
 
@@ -323,17 +323,17 @@
     let mut world = World::new(settings());
     let small = ["p1", "p2"].map(|id| Member { size: 0.5, ..member(id, PARENT) });
     world.gateway = kelpcart::Gateway::new(settings(), 7, at(0));
-    world.gateway.members(
+    world.gateway.update_members(
         at(0),
         true,
         fleet().into_iter().filter(|m| m.kind != PARENT).chain(small).collect(),
     );
     let mut made = (1..20).map(|i| place(&world.ask(at(1), txn(i, 0, i))[0]));
-    let (i, (to, fill)) = (1..).zip(made.by_ref()).find(|(_, m)| m.1.as_ref().unwrap().held_only).unwrap();
+    let (i, (to, fill)) = (1..).zip(made.by_ref()).find(|(_, m)| m.1.as_ref().unwrap().only_if_cached).unwrap();
     drop(made);
     let fill = fill.unwrap();
-    assert!(fill.held_only && fill.source.starts_with('e') && *fill.source != *to);
-    let next = world.end(at(2), i, HopEnd::Lacking, Some(Note::SourceLacks));
+    assert!(fill.only_if_cached && fill.source.starts_with('e') && *fill.source != *to);
+    let next = world.end(at(2), i, HopStatus::Lacking, Some(CacheStatus::SourceLacks));
     assert!(matches!(next[0], Decision::Reject { .. }), "{next:?}");
 }
 
@@ -341,10 +341,10 @@
 fn an_origin_that_turns_fills_away_is_asked_for_fewer() {
     let mut world = World::new(settings());
     let gone = ["p1", "p2"].map(|id| Member { state: MemberState::Gone, ..member(id, PARENT) });
-    world.gateway.members(at(0), false, gone.to_vec());
+    world.gateway.update_members(at(0), false, gone.to_vec());
     for i in 0..60 {
         if let [Decision::Hop { .. }] = world.ask(at(i), txn(i, 0, i))[..] {
-            world.end(at(i), i, HopEnd::TurnedAway, Some(Note::SourceRefused));
+            world.end(at(i), i, HopStatus::TurnedAway, Some(CacheStatus::SourceRefused));
         }
     }
     let made: Vec<Decision> = (100..140).flat_map(|i| world.ask(at(100), txn(i, 0, i))).collect();
@@ -354,7 +354,7 @@
 
 #[test]
 fn an_object_spills_to_two_caches_at_most() {
-    let mut world = World::new(Settings { direct: false, ..settings() });
+    let mut world = World::new(Settings { bypass_allowed: false, ..settings() });
     let made: Vec<Decision> = (0..60).flat_map(|i| world.ask(at(1), txn(i, 0, 7))).collect();
     let places: std::collections::BTreeSet<_> = made
         .iter()
@@ -373,7 +373,7 @@
         let id = 1_000 + i;
         again.push(source(&world.ask(at(1_000 + i * 20), txn(id, 0, 1_000 + i))));
         if i >= 2 {
-            world.end(at(1_000 + i * 20), id - 2, HopEnd::Completed, Some(Note::Filled));
+            world.end(at(1_000 + i * 20), id - 2, HopStatus::Completed, Some(CacheStatus::Filled));
         }
     }
     assert_eq!(before, again);
@@ -382,13 +382,13 @@
 #[test]
 fn an_idle_moment_is_no_room_where_many_share_a_parent() {
     let fills = |gateways| {
-        let mut world = World::new(Settings { gateways, direct: false, sibs: Reach::Off, ..settings() });
+        let mut world = World::new(Settings { gateways, bypass_allowed: false, sibling_fills: FillScope::Off, ..settings() });
         let filled = (0..40).filter(|&i| {
             let made = world.ask(at(i * 200), txn(i, 0, i));
             let fill =
                 matches!(&made[..], [Decision::Hop { fill: Some(f), .. }] if f.source.starts_with('p'));
-            let note = if fill { Note::Filled } else { Note::Held };
-            world.end(at(i * 200 + 190), i, HopEnd::Completed, Some(note));
+            let note = if fill { CacheStatus::Filled } else { CacheStatus::Held };
+            world.end(at(i * 200 + 190), i, HopStatus::Completed, Some(note));
             fill
         });
         filled.count()
@@ -399,10 +399,10 @@
 
 #[test]
 fn siblings_behind_a_full_gate_are_not_asked() {
-    let mut world = World::new(Settings { direct: false, ..settings() });
+    let mut world = World::new(Settings { bypass_allowed: false, ..settings() });
     let gone = ["p1", "p2", "o"].map(|id| Member { state: MemberState::Gone, ..member(id, PARENT) });
-    world.gateway.members(at(0), false, gone.to_vec());
-    let sources = (0..300).flat_map(|i| world.ask(at(i), Txn { left: ms(60_000), ..txn(i, 0, i) }));
+    world.gateway.update_members(at(0), false, gone.to_vec());
+    let sources = (0..300).flat_map(|i| world.ask(at(i), Txn { time_left: ms(60_000), ..txn(i, 0, i) }));
     let sibs =
         sources.filter(|d| matches!(d, Decision::Hop { member, fill: Some(f), .. } if f.source != *member));
     assert!((1..150).contains(&sibs.count()));
@@ -416,11 +416,11 @@
     assert!(taken(&world.ask(at(0), large(1))));
     for i in 10..200 {
         world.ask(at(i), txn(i, 0, i));
-        world.end_after(at(i), i, HopEnd::Completed, Some(Note::Held), ms(300), Load::default());
+        world.end_after(at(i), i, HopStatus::Completed, Some(CacheStatus::Held), ms(300), LoadReport::default());
     }
     assert!(matches!(world.ask(at(200), large(900))[..], [Decision::Reject { come_back: Some(_), .. }]));
     assert!(taken(&world.ask(at(200), txn(901, 0, 901))), "what can be in time is taken");
-    [1, 901].into_iter().for_each(|id| drop(world.end(at(300), id, HopEnd::Completed, Some(Note::Held))));
+    [1, 901].into_iter().for_each(|id| drop(world.end(at(300), id, HopStatus::Completed, Some(CacheStatus::Held))));
     (1..20).for_each(|s| drop(world.pull(at(200 + s * 1_000))));
     assert!(taken(&world.ask(at(20_000), large(902))));
 }
@@ -432,8 +432,8 @@
     for id in 0..200 {
         let kb = if id % 2 == 0 { 20 } else { 80 };
         world.ask(at(id * 20), Txn { size: Some(kb as f64), ..txn(id, 0, id) });
-        let note = Some(Note::Held);
-        world.end_after(at(id * 20 + 10), id, HopEnd::Completed, note, ms(100 + kb), Load::default());
+        let note = Some(CacheStatus::Held);
+        world.end_after(at(id * 20 + 10), id, HopStatus::Completed, note, ms(100 + kb), LoadReport::default());
     }
     let large = world.ask(at(4_000), Txn { size: Some(600.0), ..txn(900, 0, 900) });
     assert!(matches!(large[..], [Decision::Hop { .. }]), "{large:?}");
@@ -442,19 +442,19 @@
 #[test]
 fn spoilt_answers_and_txns_that_every_member_errs_on_narrow_no_gate() {
     // Guards usual clients against those whose txns no cache can use.
-    let admitted = |errors: u64, end: HopEnd| {
+    let admitted = |errors: u64, end: HopStatus| {
         let mut world = World::new(settings());
         for id in 0..errors * 40 {
             let mut made = world.ask(at(id), txn(id, 0, id));
             if id % 40 != 39 {
-                world.end(at(id), id, HopEnd::Completed, Some(Note::Held));
+                world.end(at(id), id, HopStatus::Completed, Some(CacheStatus::Held));
                 continue;
             }
             while let Some(Decision::Hop { .. }) = made.last() {
                 made = world.end(at(id), id, end, None);
                 // Spoilt answers come once; an error of one's own comes from all.
-                if end == HopEnd::Spoilt {
-                    world.gateway.hangup(id);
+                if end == HopStatus::Spoilt {
+                    world.gateway.client_left(id);
                     break;
                 }
             }
@@ -462,9 +462,9 @@
         let asked = (5_000..5_400).map(|id| world.ask(at(6_000), txn(id, 0, id)));
         asked.filter(|made| matches!(made[..], [Decision::Hop { .. }])).count()
     };
-    let fresh = admitted(0, HopEnd::Errored);
-    assert!(fresh < 400 && admitted(60, HopEnd::Spoilt) * 10 > fresh * 9);
-    assert!(admitted(60, HopEnd::Errored) * 10 > fresh * 9);
+    let fresh = admitted(0, HopStatus::Errored);
+    assert!(fresh < 400 && admitted(60, HopStatus::Spoilt) * 10 > fresh * 9);
+    assert!(admitted(60, HopStatus::Errored) * 10 > fresh * 9);
 }
 
 #[test]
@@ -477,15 +477,15 @@
     for n in 0..100 {
         let new = member(&format!("n{n}"), EDGE);
         let list = old.drain(..).map(gone).chain([new.clone()]).collect();
-        world.gateway.members(at(n), false, list);
+        world.gateway.update_members(at(n), false, list);
         old.push(new);
     }
     let kept = world.gateway.sizes(at(100)).find(|s| s.0 == "members kept").unwrap().1;
     assert!(kept <= fleet().len() + 2, "{kept}");
     // What ends at the old ones is not booked on the new one.
     for id in 0..40 {
-        world.gateway.hangup(id);
-        world.end(at(100), id, HopEnd::Broken, None);
+        world.gateway.client_left(id);
+        world.end(at(100), id, HopStatus::Broken, None);
     }
     assert_eq!(place(&world.ask(at(101), txn(100, 0, 1))[0]).0, "n99");
 }
@@ -493,7 +493,7 @@
 #[test]
 fn small_txns_find_room_where_large_ones_do_not() {
     let taken = |size: f64| {
-        let mut world = World::new(Settings { direct: false, client_pace: 50_000.0, ..settings() });
+        let mut world = World::new(Settings { bypass_allowed: false, client_rate: 50_000.0, ..settings() });
         let sized = |id, size| Txn { size: Some(size), ..txn(id, 0, id) };
         (0..600).for_each(|i| drop(world.ask(at(i / 2), sized(i, 100.0))));
         let made = (900..920).flat_map(|id| world.ask(at(301), sized(id, size)));
@@ -507,7 +507,7 @@
     // Of the counts of mean txns out, those at which one of the size still finds room.
     let room = |size: f64| {
         let taken = |out: &u64| {
-            let mut world = World::new(Settings { direct: false, client_pace: 50_000.0, ..settings() });
+            let mut world = World::new(Settings { bypass_allowed: false, client_rate: 50_000.0, ..settings() });
             let sized = |id, size| Txn { size: Some(size), ..txn(id, 0, id) };
             (0..*out).for_each(|i| drop(world.ask(at(i / 2), sized(i, 100.0))));
             matches!(world.ask(at(301), sized(900, size))[..], [Decision::Hop { .. }])
@@ -520,14 +520,14 @@
 
 /// Fills named among fifty txns that end as hits, each report giving `link`, after some seconds of the same.
 fn fills_behind(link: f64) -> usize {
-    let sibs = Reach::Off;
-    let mut world = World::new(Settings { gateways: 200, sibs, direct: false, ..settings() });
+    let sibs = FillScope::Off;
+    let mut world = World::new(Settings { gateways: 200, sibling_fills: sibs, bypass_allowed: false, ..settings() });
     let filled = (0..300).filter(|&i| {
         let now = at(i * 20);
         let made = world.ask(now, txn(i, 0, i));
         let fill = matches!(&made[..], [Decision::Hop { fill: Some(f), .. }] if f.source.starts_with('p'));
-        let load = Load { link: Some(link) };
-        world.end_after(at(i * 20 + 19), i, HopEnd::Completed, Some(Note::Filled), ms(50), load);
+        let load = LoadReport { link_load: Some(link) };
+        world.end_after(at(i * 20 + 19), i, HopStatus::Completed, Some(CacheStatus::Filled), ms(50), load);
         fill && i >= 250
     });
     filled.count()
@@ -541,10 +541,10 @@
 #[test]
 fn untold_sizes_share_one_first_gate_among_all_gateways() {
     let taken = |zone_gateways| {
-        let set = Settings { sized: false, client_pace: 0.0, direct: false, zone_gateways, ..settings() };
+        let set = Settings { capacities_known: false, client_rate: 0.0, bypass_allowed: false, zone_gateways, ..settings() };
         let calm = RemapRule { sla: ms(60_000), ..rule(Effect::Repeatable) };
         let mut world = World::new(Settings { rules: vec![calm], ..set });
-        let ask = |i| Txn { size: None, left: ms(300_000), ..txn(i, 0, i) };
+        let ask = |i| Txn { size: None, time_left: ms(300_000), ..txn(i, 0, i) };
         let made = (0..300).flat_map(|i| world.ask(at(i * 20), ask(i)));
         made.filter(|d| matches!(d, Decision::Hop { .. })).count()
     };
@@ -553,10 +553,10 @@
 
 /// Two far parents and a far origin beside nothing else, as at a branch without caches of its own.
 fn branch() -> World {
-    let far = |id, kind| Member { far: true, zone: 9, ..member(id, kind) };
-    let mut world = World::new(Settings { direct: false, ..settings() });
+    let far = |id, kind| Member { remote: true, zone: 9, ..member(id, kind) };
+    let mut world = World::new(Settings { bypass_allowed: false, ..settings() });
     let list = vec![far("f1", PARENT), far("f2", PARENT), far("f1/o", ORIGIN), far("f2/o", ORIGIN)];
-    world.gateway.members(at(0), true, list);
+    world.gateway.update_members(at(0), true, list);
     world
 }
 
@@ -573,9 +573,9 @@
     let mut homes = std::collections::BTreeMap::<String, usize>::new();
     for i in 0..60 {
         let (first, _) = hop_to(&world.ask(at(i), txn(i, 0, i))).unwrap();
-        world.end(at(i), i, HopEnd::Completed, None);
+        world.end(at(i), i, HopStatus::Completed, None);
         let (again, _) = hop_to(&world.ask(at(i), txn(1_000 + i, 0, i))).unwrap();
-        world.end(at(i), 1_000 + i, HopEnd::Completed, None);
+        world.end(at(i), 1_000 + i, HopStatus::Completed, None);
         assert_eq!(first, again);
         *homes.entry(first).or_default() += 1;
     }
@@ -585,13 +585,13 @@
 #[test]
 fn a_far_gateway_is_never_a_fill_source_for_a_cache() {
     let mut world = World::new(settings());
-    let far = Member { far: true, ..member("f1", PARENT) };
+    let far = Member { remote: true, ..member("f1", PARENT) };
     let rest = ["p1", "p2"].map(|id| Member { state: MemberState::Gone, ..member(id, PARENT) });
-    world.gateway.members(at(0), false, rest.into_iter().chain([far]).collect());
+    world.gateway.update_members(at(0), false, rest.into_iter().chain([far]).collect());
     for i in 0..20 {
         let (to, _) = hop_to(&world.ask(at(i), txn(i, 0, i))).unwrap();
         assert_eq!(to, "f1");
-        world.end(at(i), i, HopEnd::Completed, None);
+        world.end(at(i), i, HopStatus::Completed, None);
     }
 }
 
@@ -607,9 +607,9 @@
             // Every third at the first one ends badly: the link is bad, not silent.
             let bad = to == "f1" && i % 3 == 0 && second >= 2;
             n += u64::from(to == "f1");
-            world.end(now, id, if bad { HopEnd::TurnedAway } else { HopEnd::Completed }, None);
+            world.end(now, id, if bad { HopStatus::TurnedAway } else { HopStatus::Completed }, None);
             if bad {
-                world.end(now, id, HopEnd::Completed, None);
+                world.end(now, id, HopStatus::Completed, None);
             }
         }
         to_first.push(n);
@@ -621,28 +621,28 @@
 
 #[test]
 fn a_book_over_a_link_has_a_second_hop_only_if_the_first_is_proven_not_run() {
-    let write = |id| Txn { write: true, ..txn(id, 2, 77) };
+    let write = |id| Txn { is_write: true, ..txn(id, 2, 77) };
     let mut world = branch();
     let (first, _) = hop_to(&world.ask(at(0), write(1))).unwrap();
-    let (second, _) = hop_to(&world.end(at(10), 1, HopEnd::Unreachable, None)).unwrap();
+    let (second, _) = hop_to(&world.end(at(10), 1, HopStatus::Unreachable, None)).unwrap();
     assert!(first != second && first.ends_with("/o") && second.ends_with("/o"), "{first} {second}");
-    let after = world.end(at(20), 1, HopEnd::Broken, None);
+    let after = world.end(at(20), 1, HopStatus::Broken, None);
     assert_eq!(after, [Decision::Abort { txn: 1 }]);
     world.ask(at(30), write(2));
-    assert_eq!(world.end(at(40), 2, HopEnd::Broken, None), [Decision::Abort { txn: 2 }]);
+    assert_eq!(world.end(at(40), 2, HopStatus::Broken, None), [Decision::Abort { txn: 2 }]);
 }
 
 #[test]
 fn a_far_gateway_that_was_passed_over_is_used_again_once_its_link_stands() {
     let mut world = branch();
-    world.gateway.members(at(0), true, vec![Member { far: true, ..member("f1", PARENT) }]);
+    world.gateway.update_members(at(0), true, vec![Member { remote: true, ..member("f1", PARENT) }]);
     for id in 0..4 {
         if hop_to(&world.ask(at(id), txn(id, 0, id))).is_some() {
-            world.end(at(id), id, HopEnd::Unreachable, None);
+            world.end(at(id), id, HopStatus::Unreachable, None);
         }
     }
     assert_eq!(hop_to(&world.ask(at(10), txn(10, 0, 10))), None);
-    world.gateway.alive(at(20), &Arc::from("f1"));
+    world.gateway.member_alive(at(20), &Arc::from("f1"));
     assert!(hop_to(&world.ask(at(20), txn(11, 0, 11))).is_some());
 }
 
@@ -655,7 +655,7 @@
     };
     assert_eq!(oldest(&mut world, 0, 1, None), None);
     assert_eq!(oldest(&mut world, 0, 2, Some(700)), Some(ms(700)));
-    world.gateway.purged(at(100), NameSet::object(5), ms(0));
+    world.gateway.purge(at(100), PrefixSet::object(5), ms(0));
     assert_eq!(oldest(&mut world, 300, 3, Some(700)), Some(ms(200)));
     assert_eq!(oldest(&mut world, 1_500, 4, Some(700)), Some(ms(700)));
 }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -30,8 +30,8 @@
 impl Day {
     fn settings(&self) -> Settings {
         let mut set = settings();
-        (set.sized, set.gateways, set.zone_gateways) = (self.sized, self.sharers, self.sharers);
-        (set.direct, set.sibs) = (false, Reach::Off);
+        (set.capacities_known, set.gateways, set.zone_gateways) = (self.sized, self.sharers, self.sharers);
+        (set.bypass_allowed, set.sibling_fills) = (false, FillScope::Off);
         set
     }
 
@@ -50,11 +50,11 @@
         let mut rng = Pcg64Mcg::seed_from_u64(self.seed);
         let start = |seed, now| {
             let mut gateway = Gateway::new(set.clone(), seed, now);
-            gateway.members(now, true, list.clone());
+            gateway.update_members(now, true, list.clone());
             gateway
         };
         let mut gateways: Vec<Gateway> = (0..self.sharers).map(|i| start(i.into(), at(0))).collect();
-        let ends = set.cold.within;
+        let ends = set.cache_cold_start.warm_up;
         let restarts = (0..self.sharers).map(|_| at(rng.random_range(0..ends.as_micros() / 1_000)));
         let mut restarts: Vec<Option<Time>> = restarts.map(|at| self.restarts.then_some(at)).collect();
         // Some gateways see several times the mean.
@@ -81,11 +81,11 @@
             }
             while out.front().is_some_and(|o| o.0 <= now) {
                 let (_, i, txn, hop) = out.pop_front().unwrap();
-                let (end, took) = (HopEnd::Completed, ms(100));
-                let (note, load) = (Some(Note::Held), Load::default());
+                let (end, took) = (HopStatus::Completed, ms(100));
+                let (note, load) = (Some(CacheStatus::Held), LoadReport::default());
                 let first_byte = None;
                 gateways[i]
-                    .outcome(now, Outcome { txn, hop, end, took, closed: true, note, first_byte, load });
+                    .outcome(now, Outcome { txn, hop, end, duration: took, answered: true, cache_status: note, first_byte, load });
             }
             for (i, gateway) in gateways.iter_mut().enumerate() {
                 while let Some(decision) = gateway.poll(now) {
@@ -101,11 +101,11 @@
         let mut worst: f64 = 0.0;
         for times in &cold {
             for (i, at_end) in times.iter().enumerate() {
-                let in_span = times[..=i].iter().filter(|t| *at_end - **t < set.cold.over).count();
+                let in_span = times[..=i].iter().filter(|t| *at_end - **t < set.cache_cold_start.overload_window).count();
                 let age = (*at_end - at(0)) / ends;
-                let present = set.cold.from + (1.0 - set.cold.from) * age;
+                let present = set.cache_cold_start.initial_share + (1.0 - set.cache_cold_start.initial_share) * age;
                 let capacity = present * self.size / SENDING;
-                let n = set.cold.multiple * capacity * set.cold.over.as_secs_f64();
+                let n = set.cache_cold_start.overload_factor * capacity * set.cache_cold_start.overload_window.as_secs_f64();
                 worst = worst.max(in_span as f64 / (n + 2.0 * n.sqrt() + 2.0));
             }
         }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -21,13 +21,13 @@
 pub fn rule(effect: Effect) -> RemapRule {
     RemapRule {
         effect,
-        group: RepeatGroup::Zone,
-        memory: ms(3_000),
+        dedup_scope: DedupScope::Zone,
+        dedup_window: ms(3_000),
         sla: ms(400),
-        sla_stretch: 1.5,
-        fresh: Span::ZERO,
-        grace: Span::ZERO,
-        write: effect == Effect::Unrepeatable,
+        sla_size_factor: 1.5,
+        max_age: Span::ZERO,
+        max_stale: Span::ZERO,
+        is_write: effect == Effect::Unrepeatable,
     }
 }
 
@@ -39,28 +39,28 @@
         rules: vec![rule(Effect::Repeatable), rule(Effect::Keyed), rule(Effect::Unrepeatable)],
         parent_kind: Some(PARENT),
         origin_kind: Some(ORIGIN),
-        client_pace: 1_000.0,
-        sized: true,
-        direct: true,
-        joins: true,
-        sibs: Reach::All,
-        cancel: true,
-        come_back: true,
-        longest_come_back: ms(1_000),
+        client_rate: 1_000.0,
+        capacities_known: true,
+        bypass_allowed: true,
+        coalescing: true,
+        sibling_fills: FillScope::All,
+        cancellation: true,
+        retry_after_allowed: true,
+        max_retry_after: ms(1_000),
         max_hops: 6,
-        connect_limit: ms(400),
-        cold: ColdStart { from: 0.2, within: ms(10_000), multiple: 2.0, over: ms(2_000) },
-        cold_parent: ColdStart { from: 0.1, within: ms(20_000), multiple: 2.0, over: ms(2_000) },
-        purge_done: ms(6_000),
-        list_asked: false,
-        list_within: ms(10_000),
+        connect_timeout: ms(400),
+        cache_cold_start: ColdStart { initial_share: 0.2, warm_up: ms(10_000), overload_factor: 2.0, overload_window: ms(2_000) },
+        parent_cold_start: ColdStart { initial_share: 0.1, warm_up: ms(20_000), overload_factor: 2.0, overload_window: ms(2_000) },
+        purge_propagation: ms(6_000),
+        subscription_required: false,
+        subscribe_within: ms(10_000),
         tick: ms(2),
     }
 }
 
 pub fn member(id: &str, kind: usize) -> Member {
     let state = MemberState::Up;
-    Member { id: Arc::from(id), zone: 0, kind, cell: 0, state, size: 8.0, started: None, far: false }
+    Member { id: Arc::from(id), zone: 0, kind, cell: 0, state, size: 8.0, started: None, remote: false }
 }
 
 pub fn fleet() -> Vec<Member> {
@@ -71,7 +71,7 @@
 
 pub fn txn(id: TxnId, rule: usize, object: u64) -> Txn {
     let (group, part, write, size, left) = (object % 8, 0, false, Some(100.0), ms(2_000));
-    Txn { id, rule, object, group, part, write, size, left, oldest: None }
+    Txn { id, rule, object, group, part, is_write: write, size, time_left: left, oldest: None }
 }
 
 pub struct World {
@@ -82,7 +82,7 @@
 impl World {
     pub fn new(set: Settings) -> World {
         let mut gateway = Gateway::new(set, 7, at(0));
-        gateway.members(at(0), true, fleet());
+        gateway.update_members(at(0), true, fleet());
         World { gateway, hops: BTreeMap::new() }
     }
 
@@ -103,22 +103,22 @@
     }
 
     /// Ends the txn's last hop.
-    pub fn end(&mut self, now: Time, txn: TxnId, end: HopEnd, note: Option<Note>) -> Vec<Decision> {
-        self.end_after(now, txn, end, note, ms(50), Load::default())
+    pub fn end(&mut self, now: Time, txn: TxnId, end: HopStatus, note: Option<CacheStatus>) -> Vec<Decision> {
+        self.end_after(now, txn, end, note, ms(50), LoadReport::default())
     }
 
     pub fn end_after(
         &mut self,
         now: Time,
         txn: TxnId,
-        end: HopEnd,
-        note: Option<Note>,
+        end: HopStatus,
+        note: Option<CacheStatus>,
         took: Span,
-        load: Load,
+        load: LoadReport,
     ) -> Vec<Decision> {
         let hop = self.hops[&txn] - 1;
-        let (closed, first_byte) = (end == HopEnd::Completed, Some(ms(20)));
-        self.gateway.outcome(now, Outcome { txn, hop, end, took, closed, note, first_byte, load });
+        let (closed, first_byte) = (end == HopStatus::Completed, Some(ms(20)));
+        self.gateway.outcome(now, Outcome { txn, hop, end, duration: took, answered: closed, cache_status: note, first_byte, load });
         self.pull(now)
     }
 }
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -4,34 +4,34 @@
 
 use common::*;
 use kelpcart::interface::*;
-use kelpcart::names::{NameSet, of_group, of_object};
+use kelpcart::names::{PrefixSet, group_hash, object_hash};
 use kelpcart::{Span, Time};
 use quickcheck::{Gen, QuickCheck};
 use std::collections::BTreeMap;
 
 type Step = (u8, u8, u16);
 
-const ENDS: [HopEnd; 10] = [
-    HopEnd::Completed,
-    HopEnd::Errored,
-    HopEnd::TurnedAway,
-    HopEnd::TimedOut,
-    HopEnd::Unreachable,
-    HopEnd::Broken,
-    HopEnd::Withdrawn,
-    HopEnd::NeverSent,
-    HopEnd::Overtaken,
-    HopEnd::Lacking,
+const ENDS: [HopStatus; 10] = [
+    HopStatus::Completed,
+    HopStatus::Errored,
+    HopStatus::TurnedAway,
+    HopStatus::TimedOut,
+    HopStatus::Unreachable,
+    HopStatus::Broken,
+    HopStatus::Withdrawn,
+    HopStatus::NeverSent,
+    HopStatus::Overtaken,
+    HopStatus::Lacking,
 ];
-const NOTES: [Option<Note>; 8] = [
+const NOTES: [Option<CacheStatus>; 8] = [
     None,
-    Some(Note::Held),
-    Some(Note::Filled),
-    Some(Note::FilledByOrigin),
-    Some(Note::SourceLost),
-    Some(Note::SourceLacks),
-    Some(Note::NoPlace),
-    Some(Note::OriginFailed),
+    Some(CacheStatus::Held),
+    Some(CacheStatus::Filled),
+    Some(CacheStatus::FilledByOrigin),
+    Some(CacheStatus::SourceLost),
+    Some(CacheStatus::SourceLacks),
+    Some(CacheStatus::NoPlace),
+    Some(CacheStatus::OriginFailed),
 ];
 
 struct Asked {
@@ -51,30 +51,30 @@
     list: BTreeMap<MemberId, Member>,
     asked: BTreeMap<TxnId, Asked>,
     /// What was purged, as of when, and when it was told.
-    purges: Vec<(NameSet, Time, Time)>,
+    purges: Vec<(PrefixSet, Time, Time)>,
     sent: Vec<(MemberId, Time, f64, TxnId)>,
 }
 
 fn shaped(shape: u16) -> Settings {
     let mut set = settings();
     let bit = |n: u16| shape >> n & 1 == 1;
-    (set.direct, set.cancel, set.come_back, set.joins) = (bit(0), bit(1), bit(2), bit(3));
-    set.sibs = if bit(4) { Reach::Off } else { Reach::Zone };
+    (set.bypass_allowed, set.cancellation, set.retry_after_allowed, set.coalescing) = (bit(0), bit(1), bit(2), bit(3));
+    set.sibling_fills = if bit(4) { FillScope::Off } else { FillScope::Zone };
     if bit(5) {
         set.parent_kind = None;
     }
     if bit(6) && bit(7) {
-        (set.client_pace, set.connect_limit, set.gateways, set.zone_gateways) = (0.0, Span::ZERO, 0, 0);
-        (set.cold, set.cold_parent) = (ColdStart::default(), ColdStart::default());
+        (set.client_rate, set.connect_timeout, set.gateways, set.zone_gateways) = (0.0, Span::ZERO, 0, 0);
+        (set.cache_cold_start, set.parent_cold_start) = (ColdStart::default(), ColdStart::default());
     }
     if bit(8) {
-        set.rules[0].fresh = ms(500);
-        set.rules[0].grace = ms(1_500);
+        set.rules[0].max_age = ms(500);
+        set.rules[0].max_stale = ms(1_500);
     }
     if bit(10) {
         (set.gateways, set.zone_gateways) = (400, 12);
     }
-    set.rules[1].group = if bit(9) { RepeatGroup::All } else { RepeatGroup::Cell };
+    set.rules[1].dedup_scope = if bit(9) { DedupScope::All } else { DedupScope::Cell };
     set
 }
 
@@ -89,7 +89,7 @@
             self.sent.retain(|s| s.0 != id);
         }
         let m = m.clone();
-        self.world.gateway.members(self.now, false, vec![m]);
+        self.world.gateway.update_members(self.now, false, vec![m]);
     }
 
     fn outcome(&mut self, pick: u8, what: u16) -> Vec<Decision> {
@@ -101,11 +101,11 @@
         if !end.proves_not_run() && ask.ran.is_none() {
             ask.ran = hop;
         }
-        if end == HopEnd::Completed {
+        if end == HopStatus::Completed {
             self.asked.remove(&id);
         }
         let note = NOTES[usize::from(what / 16) % NOTES.len()];
-        if note == Some(Note::Held) {
+        if note == Some(CacheStatus::Held) {
             let (list, parent) = (&self.list, self.set.parent_kind);
             self.sent.retain(|s| s.3 != id || Some(list[&s.0].kind) != parent);
         }
@@ -118,11 +118,11 @@
             return None;
         }
         let parent = Some(m.kind) == self.set.parent_kind;
-        let cold = if parent { &self.set.cold_parent } else { &self.set.cold };
-        let age = m.started.map(|at| self.now - at).filter(|age| *age < cold.within)?;
+        let cold = if parent { &self.set.parent_cold_start } else { &self.set.cache_cold_start };
+        let age = m.started.map(|at| self.now - at).filter(|age| *age < cold.warm_up)?;
         let sharers = if parent { self.set.gateways } else { self.set.zone_gateways };
-        let present = cold.from + (1.0 - cold.from) * (age / cold.within);
-        Some(cold.multiple * present * m.size * cold.over.as_secs_f64() / f64::from(sharers))
+        let present = cold.initial_share + (1.0 - cold.initial_share) * (age / cold.warm_up);
+        Some(cold.overload_factor * present * m.size * cold.overload_window.as_secs_f64() / f64::from(sharers))
     }
 
     fn check_hop(&mut self, id: TxnId, member: &MemberId, fill: Option<&Fill>) {
@@ -135,8 +135,8 @@
         if let Some((first, when)) = &ask.ran {
             assert!(rule.effect != Effect::Unrepeatable, "an effect may happen twice");
             if rule.effect == Effect::Keyed {
-                assert!(rule.group == RepeatGroup::All || to.cell == self.list[first].cell);
-                assert!(self.now - *when < rule.memory);
+                assert!(rule.dedup_scope == DedupScope::All || to.cell == self.list[first].cell);
+                assert!(self.now - *when < rule.dedup_window);
             }
         }
         ask.out = Some((member.clone(), self.now));
@@ -148,13 +148,13 @@
         }
         for place in [Some(member), source].into_iter().flatten() {
             let Some(budget) = self.budget(place) else { continue };
-            let since = self.now.back(self.set.cold.over);
+            let since = self.now.back(self.set.cache_cold_start.overload_window);
             let spent = self.sent.iter().filter(|s| s.0 == *place && s.1 >= since);
             assert!(spent.map(|s| s.2).sum::<f64>() <= budget + 1e-9, "{place} pushed over");
         }
-        let names = [of_object(object), of_group(object % 8)];
-        let binds = |p: &&(NameSet, Time, Time)| {
-            names.iter().any(|n| p.0.covers(*n)) && self.now - p.2 < self.set.purge_done
+        let names = [object_hash(object), group_hash(object % 8)];
+        let binds = |p: &&(PrefixSet, Time, Time)| {
+            names.iter().any(|n| p.0.contains(*n)) && self.now - p.2 < self.set.purge_propagation
         };
         let purge = self.purges.iter().filter(binds);
         if let (Some(age), Some(fill)) = (purge.map(|p| self.now - p.1).min(), fill) {
@@ -166,11 +166,11 @@
     fn check(&mut self, decisions: Vec<Decision>) {
         for decision in decisions {
             match decision {
-                Decision::Hop { txn, member, fill, begin_by, limit } => {
+                Decision::Hop { txn, member, fill, start_by: begin_by, limit } => {
                     // Before this one is booked as sent, or it would be its own first.
                     let (ask, first) = (&self.asked[&txn], self.asked[&txn].ran.as_ref().map(|ran| ran.1));
                     let rule = &self.set.rules[ask.rule];
-                    let known = first.filter(|_| rule.effect == Effect::Keyed).map(|at| at + rule.memory);
+                    let known = first.filter(|_| rule.effect == Effect::Keyed).map(|at| at + rule.dedup_window);
                     assert!(begin_by <= known.unwrap_or(ask.limit));
                     self.check_hop(txn, &member, fill.as_ref());
                     assert!(limit <= self.asked[&txn].limit);
@@ -178,17 +178,17 @@
                 Decision::Reject { txn, come_back } => {
                     let ask = self.asked.remove(&txn).expect("a second answer");
                     let rule = &self.set.rules[ask.rule];
-                    let all = rule.effect == Effect::Keyed && rule.group == RepeatGroup::All;
+                    let all = rule.effect == Effect::Keyed && rule.dedup_scope == DedupScope::All;
                     assert!(ask.out.is_none());
                     assert!(ask.ran.is_none() || all || rule.effect == Effect::Repeatable);
-                    assert_eq!(come_back.is_some(), self.set.come_back);
+                    assert_eq!(come_back.is_some(), self.set.retry_after_allowed);
                 }
                 Decision::Abort { txn } => {
                     let ask = self.asked.remove(&txn).expect("a second answer");
                     assert!(ask.out.is_none());
                 }
                 Decision::Cancel { txn, .. } => {
-                    assert!(self.set.cancel && self.asked[&txn].out.is_some());
+                    assert!(self.set.cancellation && self.asked[&txn].out.is_some());
                 }
                 Decision::Subscribe => panic!("nothing to ask here"),
             }
@@ -209,7 +209,7 @@
         let mut made = match kind % 16 {
             0..=7 => {
                 let left = ms(50 + u64::from(what) % 3_000);
-                let txn = Txn { left, ..txn(id, usize::from(what) % 3, object) };
+                let txn = Txn { time_left: left, ..txn(id, usize::from(what) % 3, object) };
                 let (rule, limit) = (txn.rule, model.now + left);
                 model.asked.insert(id, Asked { rule, object, limit, hops: 0, out: None, ran: None });
                 model.world.ask(model.now, txn)
@@ -223,15 +223,15 @@
                 let ago = ms(u64::from(pick) * u64::from(what) % 9_000);
                 // Exact ones and short ones that cover some others, too.
                 let names =
-                    NameSet::new([64, 6][i % 2], [[of_object(object), of_group(object % 8)][i / 2 % 2]]);
+                    PrefixSet::new([64, 6][i % 2], [[object_hash(object), group_hash(object % 8)][i / 2 % 2]]);
                 model.purges.push((names.clone(), model.now.back(ago), model.now));
-                model.world.gateway.purged(model.now, names, ago);
+                model.world.gateway.purge(model.now, names, ago);
                 Vec::new()
             }
             _ => {
                 let gone = model.asked.keys().next().copied().unwrap_or(id);
                 model.asked.remove(&gone);
-                model.world.gateway.hangup(gone);
+                model.world.gateway.client_left(gone);
                 Vec::new()
             }
         };
