--- a/drill/src/wire.rs
+++ b/drill/src/wire.rs
@@ -1,7 +1,7 @@
 //! The wire: decodes batches into calls of the decision module and encodes what it decides.
 
+use kelpcart::hash_prefix::PrefixSet;
 use kelpcart::interface::*;
-use kelpcart::names::PrefixSet;
 use kelpcart::{Gateway, Span, Time};
 use kelpcart_settings::*;
 use serde_json::{Value, json};
@@ -20,7 +20,7 @@
 
 impl Host {
     /// Plays one batch and gives the reply line.
-    pub fn batch(&mut self, line: &str) -> Found<String> {
+    pub fn batch(&mut self, line: &str) -> ParseResult<String> {
         let batch: Value = serde_json::from_str(line).map_err(|e| format!("not JSON: {e}"))?;
         let batch = batch.as_object().ok_or("not an object")?;
         let now = Time::from_micros(int(batch, "TUs")?);
@@ -46,7 +46,7 @@
         Ok(json!({ "orders": orders }).to_string())
     }
 
-    fn event(&mut self, now: Time, name: &str, who: u64, body: &Fields) -> Found<()> {
+    fn event(&mut self, now: Time, name: &str, who: u64, body: &Fields) -> ParseResult<()> {
         if name == "Up" {
             let set = settings(object(body, "Settings")?)?;
             let gateway = Gateway::new(set, int(body, "Entropy")?, now);
@@ -59,13 +59,14 @@
             "Update" => match text(body, "Form")? {
                 "error" => gateway.list_failed(now),
                 form @ ("diff" | "snapshot" | "disk") => {
-                    let entries: Found<Vec<Member>> = list(body, "Entries")?.iter().map(member).collect();
+                    let entries: ParseResult<Vec<Member>> =
+                        list(body, "Entries")?.iter().map(member).collect();
                     gateway.update_members(now, form != "diff", entries?);
                 }
                 form => return Err(format!("unknown Form {form}")),
             },
-            "Ingress" => gateway.txn(now, txn(body)?),
-            "ReportBack" => gateway.outcome(now, outcome(body)?),
+            "Ingress" => gateway.submit(now, txn(body)?),
+            "ReportBack" => gateway.record_outcome(now, outcome(body)?),
             "Hangup" => gateway.client_left(int(body, "Req")?),
             "Outdated" => {
                 let group = optional(body, "Group", int)?.unwrap_or(0);
@@ -104,17 +105,18 @@
 
 fn encode(who: u64, decision: Decision) -> Value {
     match decision {
-        Decision::Hop { txn, member, fill: None, limit, .. } => {
+        Decision::Hop { txn, member, fill: None, deadline: limit, .. } => {
             json!({"PassOn": {"Who": who, "Req": txn, "Cache": &*member, "TryUntilUs": limit.as_micros()}})
         }
-        Decision::Hop { txn, member, fill: Some(fill), limit, .. } => {
-            let mode = u8::from(fill.coalesce) + 2 * u8::from(fill.only_if_cached) + 8 * u8::from(fill.revalidate);
-            let age = fill.oldest.map_or(0, Span::as_micros);
+        Decision::Hop { txn, member, fill: Some(fill), deadline: limit, .. } => {
+            let mode =
+                u8::from(fill.coalesce) + 2 * u8::from(fill.only_if_cached) + 8 * u8::from(fill.revalidate);
+            let age = fill.max_age.map_or(0, Span::as_micros);
             json!({"ServeVia": {"Who": who, "Req": txn, "Cache": &*member, "Keep": fill.keep_rank,
                 "Supplier": &*fill.source, "Mode": mode, "TryUntilUs": limit.as_micros(), "AgeUs": age}})
         }
         Decision::Cancel { txn, hop } => json!({"DropAttempt": {"Who": who, "Req": txn, "SeqNo": hop}}),
-        Decision::Reject { txn, come_back } => {
+        Decision::Reject { txn, retry_after: come_back } => {
             let wait = come_back.map_or(0, Span::as_micros);
             json!({"Refuse": {"Who": who, "Req": txn, "RetryInUs": wait}})
         }
@@ -123,7 +125,7 @@
     }
 }
 
-fn txn(body: &Fields) -> Found<Txn> {
+fn txn(body: &Fields) -> ParseResult<Txn> {
     Ok(Txn {
         id: int(body, "Req")?,
         rule: int(body, "Service")? as usize,
@@ -133,11 +135,11 @@
         is_write: optional(body, "Mutates", flag)?.unwrap_or(false),
         size: optional(body, "BytesK", number)?.filter(|&kb| kb > 0.0),
         time_left: span(body, "LeftUs")?,
-        oldest: None,
+        max_age: None,
     })
 }
 
-fn outcome(body: &Fields) -> Found<Outcome> {
+fn outcome(body: &Fields) -> ParseResult<Outcome> {
     let end = match text(body, "StateCode")? {
         "success" => HopStatus::Completed,
         "failure" => HopStatus::Errored,
@@ -169,7 +171,7 @@
     Ok(Outcome {
         txn: int(body, "Req")?,
         hop: int(body, "SeqNo")? as u32,
-        end,
+        status: end,
         duration: span(body, "DurationUs")?,
         answered: optional(body, "Terminal", flag)?.unwrap_or(false),
         cache_status: note,
@@ -178,7 +180,7 @@
     })
 }
 
-fn member(entry: &Value) -> Found<Member> {
+fn member(entry: &Value) -> ParseResult<Member> {
     let entry = entry.as_object().ok_or("an entry is not an object")?;
     Ok(Member {
         id: Arc::from(text(entry, "Cache")?),
@@ -186,7 +188,7 @@
         kind: optional(entry, "Type", int)?.unwrap_or(0) as usize,
         cell: optional(entry, "Group", int)?.unwrap_or(0),
         state: state(entry, "Availability")?,
-        size: optional(entry, "Share", number)?.unwrap_or(0.0),
+        capacity: optional(entry, "Share", number)?.unwrap_or(0.0),
         started: optional(entry, "StartedAtUs", int)?.filter(|&at| at > 0).map(Time::from_micros),
         remote: false,
     })
--- a/examples/purge_cost.rs
+++ b/examples/purge_cost.rs
@@ -5,8 +5,8 @@
 mod common;
 
 use common::{World, at, ms, settings, txn};
-use kelpcart::interface::{HopStatus, CacheStatus};
-use kelpcart::names::{PrefixSet, object_hash};
+use kelpcart::hash_prefix::{PrefixSet, object_hash};
+use kelpcart::interface::{CacheStatus, HopStatus};
 use std::time::Instant;
 
 const READS: u64 = 100_000;
--- a/feed/src/code.rs
+++ b/feed/src/code.rs
@@ -2,7 +2,7 @@
 //! Coding Techniques", 1979). Must never give another set back than went in, nor believe a length that the bytes don't
 //! bear out.
 
-use kelpcart::names::PrefixSet;
+use kelpcart::hash_prefix::PrefixSet;
 use prost::encoding::{decode_varint, encode_varint, encoded_len_varint};
 
 /// Names are cut to so many bits; with the least ones every set takes 520 bytes at the most.
@@ -34,12 +34,12 @@
 
 /// Bytes that a set takes.
 pub fn size(names: &PrefixSet) -> usize {
-    length(names.names(), parameter(names.names()).1)
+    length(names.prefixes(), parameter(names.prefixes()).1)
 }
 
 /// Bits, parameter, count and then the differences.
 pub fn encode(names: &PrefixSet) -> Vec<u8> {
-    let all = names.names();
+    let all = names.prefixes();
     let (k, coded_bits) = parameter(all);
     let mut out = Vec::with_capacity(length(all, coded_bits));
     out.extend([names.bits(), k]);
--- a/feed/src/compose.rs
+++ b/feed/src/compose.rs
@@ -6,7 +6,7 @@
 use crate::common::SIGNATURE;
 use crate::positions::MOST_NO;
 use crate::wire::{Bundle, MOST_BUNDLE, MOST_LINE, PIECE, Piece, Range};
-use kelpcart::names::{self, PrefixSet};
+use kelpcart::hash_prefix::{self, PrefixSet};
 use kelpcart::{Span, Time};
 use prost::Message;
 use serde_json::Value;
@@ -65,7 +65,7 @@
             Some(lot) => Some(lot.as_u64()?).filter(|l| *l != 0),
             None => None,
         };
-        let names = [item.map(names::object_hash), lot.map(names::group_hash)];
+        let names = [item.map(hash_prefix::object_hash), lot.map(hash_prefix::group_hash)];
         names.iter().any(Option::is_some).then_some(Event::Purge { names, issued })
     };
     Ok((no, purge().unwrap_or(Event::Other)))
--- a/feed/src/lib.rs
+++ b/feed/src/lib.rs
@@ -21,7 +21,7 @@
 use crate::hub::Hub;
 use crate::site::Site;
 use crate::wire::Packet;
-use kelpcart::names::PrefixSet;
+use kelpcart::hash_prefix::PrefixSet;
 use kelpcart::{Span, Time};
 use prost::Message;
 use std::collections::VecDeque;
--- a/feed/src/site.rs
+++ b/feed/src/site.rs
@@ -12,7 +12,7 @@
 use crate::streams::{Stream, Streams};
 use crate::wire::{Bundle, Confirm, Fetch, Follow, MOST_RANGES, Named, Passed, Range, Said};
 use crate::{Counts, Out, Unusable};
-use kelpcart::names::PrefixSet;
+use kelpcart::hash_prefix::PrefixSet;
 use kelpcart::{Span, Time};
 use prost::Message;
 use rand::seq::IteratorRandom;
--- a/feed/src/streams.rs
+++ b/feed/src/streams.rs
@@ -6,7 +6,7 @@
 use crate::log::Seen;
 use crate::positions::Positions;
 use crate::wire::{Bundle, Range};
-use kelpcart::names::PrefixSet;
+use kelpcart::hash_prefix::PrefixSet;
 use kelpcart::{Span, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64;
--- a/feed/tests/code.rs
+++ b/feed/tests/code.rs
@@ -1,6 +1,6 @@
 //! The code of names, ranges of positions, and events as bundles and back: round trips, bounds, and what is damaged.
 
-use kelpcart::names::{PrefixSet, object_hash};
+use kelpcart::hash_prefix::{PrefixSet, object_hash};
 use kelpcart_feed::code::{self, LEAST_BITS, MOST_BITS};
 use kelpcart_feed::positions::{MOST_RANGES, Positions};
 use quickcheck::quickcheck;
@@ -27,7 +27,7 @@
 
     fn whatever_comes_is_decoded_or_refused(bytes: Vec<u8>) -> bool {
         // What is decoded takes no more memory than its bytes can stand for.
-        code::decode(&bytes).is_none_or(|set| set.names().len() <= bytes.len() * 8)
+        code::decode(&bytes).is_none_or(|set| set.prefixes().len() <= bytes.len() * 8)
     }
 
     fn positions_know_what_was_told_and_no_more(ranges: Vec<(u8, u8)>) -> bool {
@@ -57,7 +57,7 @@
         assert!(bytes.len() <= most_bytes, "{n} names: {} bytes", bytes.len());
         let set = code::decode(&bytes).unwrap();
         assert!(all.iter().all(|name| set.contains(*name)));
-        assert_eq!((set.bits(), set.names().len() <= n), (bits, true));
+        assert_eq!((set.bits(), set.prefixes().len() <= n), (bits, true));
     }
 }
 
--- a/feed/tests/common/mod.rs
+++ b/feed/tests/common/mod.rs
@@ -3,7 +3,7 @@
 //! checked after every step. Chance comes from one seed.
 #![allow(dead_code, reason = "each test file uses its part")]
 
-use kelpcart::names::{PrefixSet, group_hash, object_hash};
+use kelpcart::hash_prefix::{PrefixSet, group_hash, object_hash};
 use kelpcart::{Span, Time};
 use kelpcart_feed::seal::{Keys, MOST_DATAGRAM};
 use kelpcart_feed::settings::{self, Key};
@@ -674,7 +674,7 @@
         let track = &mut self.places[i].track;
         track.purges += 1;
         track.purges_of_all += u64::from(names.bits() == 0);
-        track.names += names.names().len() as u64;
+        track.names += names.prefixes().len() as u64;
         if names.bits() > 0 {
             track.least_bits = track.least_bits.min(names.bits());
         }
--- a/feed/tests/hard.rs
+++ b/feed/tests/hard.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use kelpcart::Span;
-use kelpcart::names::PrefixSet;
+use kelpcart::hash_prefix::PrefixSet;
 use kelpcart_feed::seal::Keys;
 use kelpcart_feed::wire::{Bundle, Fetch, Follow, Passed, Range, Said};
 use kelpcart_feed::{VERSION, code};
--- a/feed/tests/hub.rs
+++ b/feed/tests/hub.rs
@@ -1,6 +1,6 @@
 //! What a hub signs for who asks, asked by hand: never a range without its events, nor more than its pace.
 
-use kelpcart::names::object_hash;
+use kelpcart::hash_prefix::object_hash;
 use kelpcart::{Span, Time};
 use kelpcart_feed::code;
 use kelpcart_feed::seal::Keys;
--- a/gateway/src/buffers.rs
+++ b/gateway/src/buffers.rs
@@ -2,7 +2,7 @@
 //! counted. A body takes its place whole before its first byte is read, so that bodies half read can't hold each
 //! other up. Must never hand out more than its bound; who asks beyond that waits, and what it reads waits with it.
 
-use crate::counters::Held;
+use crate::counters::CountGuard;
 use event_listener::Event;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -48,7 +48,7 @@
         while self.out.get() + n > self.most {
             let freed = self.freed.listen();
             if self.out.get() + n > self.most {
-                let _waits = Held::new(&self.waiting);
+                let _waits = CountGuard::new(&self.waiting);
                 freed.await;
             }
         }
--- a/gateway/src/caches.rs
+++ b/gateway/src/caches.rs
@@ -5,11 +5,11 @@
 use crate::Tasks;
 use crate::buffers::Pool;
 use crate::clock::Clock;
-use crate::config::Listed;
-use crate::counters::{Counters, Held};
-use crate::end::End;
+use crate::config::ListedMember;
+use crate::connection_end::ConnectionEnd;
+use crate::counters::{CountGuard, Counters};
+use crate::dispatch_api::{HopRequest, HopResult, Permit, SharedLimits};
 use crate::http;
-use crate::seam::{Common, Ended, Job, Permit};
 use async_io::Async;
 use event_listener::Event;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
@@ -29,13 +29,13 @@
 
 /// What a hop has come to: its end should its time be over now, and its waits for the gateway's own means.
 struct Progress {
-    late: Cell<End>,
+    late: Cell<ConnectionEnd>,
     own: Cell<Span>,
 }
 
 struct Link {
     stream: Async<TcpStream>,
-    _held: Held,
+    _held: CountGuard,
     _permit: Option<Box<dyn Permit>>,
 }
 
@@ -68,7 +68,7 @@
     /// A hop has ended, so that its descriptor may be free.
     freed: Event,
     /// Bounds in common with other gateways, where there are any.
-    common: OnceCell<Rc<dyn Common>>,
+    common: OnceCell<Rc<dyn SharedLimits>>,
 }
 
 /// Tells of the end of a hop, also of one that is taken back.
@@ -97,7 +97,7 @@
     }
 
     /// Connections and fills need a permit from now on.
-    pub fn bound_by(&self, common: Rc<dyn Common>) {
+    pub fn bound_by(&self, common: Rc<dyn SharedLimits>) {
         // A second one has no place beside the first.
         _ = self.common.set(common);
     }
@@ -122,7 +122,7 @@
 
     /// News of the list; with `whole`, members that it does not name are gone. Gives those that are not what they were:
     /// gone, draining, started anew or elsewhere.
-    pub fn members(&self, whole: bool, list: &[Listed]) -> BTreeSet<MemberId> {
+    pub fn members(&self, whole: bool, list: &[ListedMember]) -> BTreeSet<MemberId> {
         let (mut places, mut kept) = (self.places.borrow_mut(), self.kept.borrow_mut());
         let mut changed = BTreeSet::new();
         if whole {
@@ -162,27 +162,27 @@
     }
 
     /// Runs one hop to its end, which comes by the job's time at the latest.
-    pub async fn hop(&self, job: Job) -> Ended {
-        let progress = Progress { late: Cell::new(End::LateUnsent), own: Cell::default() };
+    pub async fn hop(&self, job: HopRequest) -> HopResult {
+        let progress = Progress { late: Cell::new(ConnectionEnd::LateUnsent), own: Cell::default() };
         let _tells = Tells(&self.freed);
-        let run = self.clock.by(job.until, self.run(&job, &progress));
+        let run = self.clock.by(job.deadline, self.run(&job, &progress));
         // Guards against a first byte at a time at which the hop may not be begun any more.
         let too_late = async {
-            self.clock.sleep_until(job.begin_by).await;
-            if job.begun.get() {
+            self.clock.sleep_until(job.start_by).await;
+            if job.started.get() {
                 future::pending::<()>().await;
             }
-            Some(End::Overtaken.into())
+            Some(ConnectionEnd::Overtaken.into())
         };
         let ended = future::or(run, too_late).await;
         let mut ended = ended.unwrap_or_else(|| progress.late.get().into());
-        (ended.at, ended.own) = (Some(self.clock.now()), progress.own.get());
-        self.counters.ended(ended.end);
+        (ended.at, ended.local_wait) = (Some(self.clock.now()), progress.own.get());
+        self.counters.record_end(ended.end);
         ended
     }
 
     /// Guards members against being held to be slow for what the gateway itself lacks.
-    async fn own<T>(&self, progress: &Progress, late: End, wait: impl Future<Output = T>) -> T {
+    async fn own<T>(&self, progress: &Progress, late: ConnectionEnd, wait: impl Future<Output = T>) -> T {
         let (before, since) = (progress.late.replace(late), self.clock.now());
         let got = wait.await;
         progress.late.set(before);
@@ -190,25 +190,25 @@
         got
     }
 
-    async fn run(&self, job: &Job, progress: &Progress) -> Ended {
+    async fn run(&self, job: &HopRequest, progress: &Progress) -> HopResult {
         let place = self.places.borrow().get(&job.member).map(|p| p.address);
-        let Some(address) = place else { return End::NoSocket.into() };
+        let Some(address) = place else { return ConnectionEnd::NoSocket.into() };
         let mut fill = None;
-        if let Some(permit) = self.common.get().and_then(|common| common.fill(job)) {
-            fill = self.own(progress, End::LateUnsent, permit).await;
+        if let Some(permit) = self.common.get().and_then(|common| common.acquire_fill(job)) {
+            fill = self.own(progress, ConnectionEnd::LateUnsent, permit).await;
             if fill.is_none() {
                 self.counters.add("hops without a fill in common");
-                return End::NoSocket.into();
+                return ConnectionEnd::NoSocket.into();
             }
         }
         let ended = self.talk(job, address, progress).await;
-        if let Some(fill) = fill.as_mut().filter(|_| ended.end == End::Whole) {
-            fill.done();
+        if let Some(fill) = fill.as_mut().filter(|_| ended.end == ConnectionEnd::Whole) {
+            fill.complete();
         }
         ended
     }
 
-    async fn talk(&self, job: &Job, address: SocketAddr, progress: &Progress) -> Ended {
+    async fn talk(&self, job: &HopRequest, address: SocketAddr, progress: &Progress) -> HopResult {
         let (mut link, again) = match self.take_idle(&job.member) {
             Some(link) => (link, true),
             None => match self.connect(&job.member, address, progress).await {
@@ -219,28 +219,28 @@
         let host = address.to_string();
         let request = http::Request {
             rule: &job.rule,
-            object: &job.ask.subject,
-            part: job.ask.part,
-            trace: &job.ask.req,
+            object: &job.request.object_name,
+            part: job.request.part,
+            trace: &job.request.request_id,
             host: &host,
-            patience: job.until - self.clock.now(),
+            patience: job.deadline - self.clock.now(),
             fill: job.fill.as_ref(),
-            have: job.ask.seen.as_deref().filter(|_| !job.write),
-            mark: job.ask.mark.as_deref(),
-            body: job.write.then_some(job.ask.body.len()),
+            have: job.request.client_etag.as_deref().filter(|_| !job.write),
+            mark: job.request.idempotency_key.as_deref(),
+            body: job.write.then_some(job.request.body.len()),
         };
         let mut bytes = request.encode();
         if job.write {
-            bytes.extend_from_slice(&job.ask.body);
+            bytes.extend_from_slice(&job.request.body);
         }
-        job.begun.set(true);
+        job.started.set(true);
         if link.stream.write_all(&bytes).await.is_err() {
-            return if again { End::KeptClosed } else { End::CutUnsent }.into();
+            return if again { ConnectionEnd::KeptClosed } else { ConnectionEnd::CutUnsent }.into();
         }
-        progress.late.set(End::Late);
+        progress.late.set(ConnectionEnd::Late);
         match self.answer(&mut link, request.have.is_some(), progress).await {
             Ok((ended, keep)) => {
-                if keep && ended.end.leaves_connection() {
+                if keep && ended.end.leaves_connection_usable() {
                     self.keep(&job.member, address, link);
                 }
                 ended
@@ -255,17 +255,17 @@
         link: &mut Link,
         has_copy: bool,
         progress: &Progress,
-    ) -> Result<(Ended, bool), End> {
+    ) -> Result<(HopResult, bool), ConnectionEnd> {
         let damaged = |what: &str| {
             log::debug!("a cache's answer can't be used: {what}");
-            End::Damaged
+            ConnectionEnd::Damaged
         };
         let mut bytes = [0; http::MOST_HEAD];
         let mut n = 0;
         let (head, used) = loop {
-            let got = link.stream.read(&mut bytes[n..]).await.map_err(|_| End::Cut)?;
+            let got = link.stream.read(&mut bytes[n..]).await.map_err(|_| ConnectionEnd::Cut)?;
             if got == 0 {
-                return Err(End::Cut);
+                return Err(ConnectionEnd::Cut);
             }
             n += got;
             if let Some(found) = http::head(&bytes[..n]).map_err(|d| damaged(d.0))? {
@@ -275,29 +275,30 @@
         if head.length > MOST_BODY {
             return Err(damaged("too large"));
         }
-        let room = self.own(progress, End::LateForRoom, self.pool.body(head.length)).await;
-        let mut body = room.ok_or(End::Damaged)?;
+        let room = self.own(progress, ConnectionEnd::LateForRoom, self.pool.body(head.length)).await;
+        let mut body = room.ok_or(ConnectionEnd::Damaged)?;
         // What follows a whole answer does not make it a bad one; but nothing more is read from there.
         let more = body.fill(&bytes[used..n]) < n - used;
         while !body.is_full() {
-            let got = link.stream.read(body.space()).await.map_err(|_| End::Cut)?;
+            let got = link.stream.read(body.space()).await.map_err(|_| ConnectionEnd::Cut)?;
             if got == 0 {
-                return Err(End::Cut);
+                return Err(ConnectionEnd::Cut);
             }
             body.advance(got);
         }
         let end = match (head.status, head.declined) {
-            (200, _) => End::Whole,
-            (304, _) if has_copy => End::Current,
+            (200, _) => ConnectionEnd::Whole,
+            (304, _) if has_copy => ConnectionEnd::Current,
             // Guards a client without a copy from an answer without bytes.
             (304, _) => return Err(damaged("it confirms a copy that nobody has")),
-            (404, _) => End::Lacking,
-            (503, true) => End::Full,
-            (504, true) => End::Over,
-            _ => End::Errored,
+            (404, _) => ConnectionEnd::Lacking,
+            (503, true) => ConnectionEnd::Full,
+            (504, true) => ConnectionEnd::Over,
+            _ => ConnectionEnd::Errored,
         };
-        let body = (end == End::Whole).then_some(body);
-        let ended = Ended { note: head.note, waited: head.waited, stats: head.stats, body, ..end.into() };
+        let body = (end == ConnectionEnd::Whole).then_some(body);
+        let ended =
+            HopResult { cache_status: head.note, waited: head.waited, stats: head.stats, body, ..end.into() };
         Ok((ended, !head.close && !more))
     }
 
@@ -328,23 +329,23 @@
         member: &MemberId,
         address: SocketAddr,
         progress: &Progress,
-    ) -> Result<Link, End> {
+    ) -> Result<Link, ConnectionEnd> {
         let room = self.clock.within(self.bounds.connect, self.room());
-        self.own(progress, End::LateUnsent, room).await.ok_or(End::NoSocket)?;
+        self.own(progress, ConnectionEnd::LateUnsent, room).await.ok_or(ConnectionEnd::NoSocket)?;
         let mut permit = None;
         if let Some(common) = self.common.get() {
-            let permits = common.connection(member, self.clock.now() + self.bounds.connect);
-            permit = self.own(progress, End::LateUnsent, permits).await;
+            let permits = common.acquire_connection(member, self.clock.now() + self.bounds.connect);
+            permit = self.own(progress, ConnectionEnd::LateUnsent, permits).await;
             if permit.is_none() {
                 self.counters.add("hops without a connection in common");
-                return Err(End::NoSocket);
+                return Err(ConnectionEnd::NoSocket);
             }
         }
         let limit = self.clock.now() + self.bounds.connect;
-        let held = Held::new(&self.counters.hops);
+        let held = CountGuard::new(&self.counters.hops);
         self.counters.add("hop connections opened");
         let connected = self.clock.by(limit, Async::<TcpStream>::connect(address)).await;
-        let stream = connected.ok_or(End::NoConnection)?.map_err(refusal)?;
+        let stream = connected.ok_or(ConnectionEnd::NoConnection)?.map_err(refusal)?;
         stream.get_ref().set_nodelay(true).map_err(refusal)?;
         Ok(Link { stream, _held: held, _permit: permit })
     }
@@ -370,10 +371,10 @@
     }
 }
 
-fn refusal(e: io::Error) -> End {
+fn refusal(e: io::Error) -> ConnectionEnd {
     // EMFILE and ENFILE have no kind of their own.
     match (e.kind(), e.raw_os_error()) {
-        (ErrorKind::AddrNotAvailable, _) | (_, Some(23 | 24)) => End::NoSocket,
-        _ => End::Refused,
+        (ErrorKind::AddrNotAvailable, _) | (_, Some(23 | 24)) => ConnectionEnd::NoSocket,
+        _ => ConnectionEnd::Refused,
     }
 }
--- a/gateway/src/clients.rs
+++ b/gateway/src/clients.rs
@@ -6,10 +6,10 @@
 use crate::Tasks;
 use crate::buffers::{Body, Pool};
 use crate::clock::Clock;
-use crate::counters::{Counters, Held};
-use crate::end::End;
+use crate::connection_end::ConnectionEnd;
+use crate::counters::{CountGuard, Counters};
+use crate::dispatch_api::{Event as Said, Responder, ResponderKeys, Service};
 use crate::rpc::{self, Fault, Message, Word};
-use crate::seam::{Caller, Event as Said, Keys, Service};
 use async_channel::{Receiver, Sender};
 use async_io::Async;
 use event_listener::Event;
@@ -53,7 +53,7 @@
     tail: Vec<u8>,
     /// When nobody waits for it any more, and what goes out then in its place.
     until: Option<(Time, u64)>,
-    _held: [Held; 2],
+    _held: [CountGuard; 2],
 }
 
 pub struct Client {
@@ -85,7 +85,7 @@
         if !self.open.borrow_mut().remove(&id) {
             return;
         }
-        let _held = [Held::new(&self.counters.unwritten), Held::new(&self.waiting)];
+        let _held = [CountGuard::new(&self.counters.unwritten), CountGuard::new(&self.waiting)];
         // It fails only when the connection is gone.
         _ = self.out.try_send(Frame { head, body, tail, until, _held });
     }
@@ -115,7 +115,7 @@
     }
 }
 
-impl Caller for Client {
+impl Responder for Client {
     fn key(&self) -> u64 {
         self.id
     }
@@ -155,7 +155,7 @@
     pub dispatcher: Sender<Said>,
     pub most: usize,
     pub connected: Rc<RefCell<BTreeMap<u64, Rc<Client>>>>,
-    pub keys: Keys,
+    pub keys: ResponderKeys,
     pub ending: Rc<Ending>,
 }
 
@@ -169,7 +169,7 @@
 }
 
 impl Service for Front {
-    fn stop(&self) {}
+    fn shutdown(&self) {}
 
     fn close(&self) {
         if !self.ending.begun.replace(true) {
@@ -182,7 +182,7 @@
         self.ending.deaf.get() && self.connected.borrow().is_empty()
     }
 
-    fn sizes(&self) -> Vec<(&'static str, usize)> {
+    fn table_sizes(&self) -> Vec<(&'static str, usize)> {
         vec![("clients connected", self.connected.borrow().len())]
     }
 }
@@ -208,7 +208,7 @@
                 Ok(stream) => {
                     wait = Span::from_millis(10);
                     self.counters.add("client connections");
-                    let (front, held) = (self.clone(), Held::new(&self.counters.clients));
+                    let (front, held) = (self.clone(), CountGuard::new(&self.counters.clients));
                     let task = async move {
                         front.serve(stream).await;
                         drop(held);
@@ -271,24 +271,24 @@
         let end = future::or(self.read(&stream, &client), write.as_mut()).await;
         match end {
             // Guards the answer that is half written against the end: the one writer goes on to the last of them.
-            End::PeerDamaged => {
+            ConnectionEnd::PeerDamaged => {
                 self.give_up(&client).await;
                 write.await;
                 self.close(&stream, &client).await;
             }
-            End::PeerSilent => self.close(&stream, &client).await,
+            ConnectionEnd::PeerSilent => self.close(&stream, &client).await,
             // There is nobody to close for.
             _ => {}
         }
         frames.close();
-        self.counters.ended(end);
-        _ = self.dispatcher.send(Said::Left { client: id }).await;
+        self.counters.record_end(end);
+        _ = self.dispatcher.send(Said::Disconnected { client: id }).await;
         self.connected.borrow_mut().remove(&id);
     }
 
     /// The end of one that sent what can't be read: each of its open requests gets an answer that promises nothing.
     async fn give_up(&self, client: &Client) {
-        _ = self.dispatcher.send(Said::Left { client: client.id }).await;
+        _ = self.dispatcher.send(Said::Disconnected { client: client.id }).await;
         let open: Vec<u64> = client.open.borrow().iter().copied().collect();
         open.into_iter().for_each(|id| client.refuse(id, Word::Lost, &[]));
         client.out.close();
@@ -306,7 +306,7 @@
     }
 
     /// Whether a connection that is to end can do so now: it is owed nothing, and nothing comes in this moment.
-    fn leaves(&self, stream: &Async<TcpStream>, client: &Client, half: bool) -> Option<End> {
+    fn leaves(&self, stream: &Async<TcpStream>, client: &Client, half: bool) -> Option<ConnectionEnd> {
         let now = self.clock.now();
         // One that came last has its first request on the way, half a message its other half.
         let on_the_way = !client.has_asked() && !client.crowded.get() && now < client.since + CROSSING;
@@ -323,7 +323,7 @@
         end
     }
 
-    async fn read(&self, mut stream: &Async<TcpStream>, client: &Rc<Client>) -> End {
+    async fn read(&self, mut stream: &Async<TcpStream>, client: &Rc<Client>) -> ConnectionEnd {
         let mut held: Vec<u8> = Vec::new();
         let mut bytes = vec![0; 16 * 1024];
         // When what is held began to come, or the connection.
@@ -353,7 +353,7 @@
                 None
             };
             let n = match future::or(read, told).await {
-                Some(Some(Ok(0) | Err(_))) => return End::PeerLeft,
+                Some(Some(Ok(0) | Err(_))) => return ConnectionEnd::PeerLeft,
                 Some(Some(Ok(n))) => n,
                 // Nothing more is taken from one that sends half a message; what it is owed still goes out.
                 Some(None) if due && began + WHOLE <= self.clock.now() => {
@@ -381,7 +381,7 @@
                     Ok(None) => break,
                     Ok(Some((message, len))) => {
                         if !self.take(client, message, at).await {
-                            return End::PeerDamaged;
+                            return ConnectionEnd::PeerDamaged;
                         }
                         len
                     }
@@ -389,10 +389,12 @@
                         self.counters.add("client messages refused");
                         log::debug!("a client's message is refused: {fault:?}");
                         let (Fault::Damaged { id } | Fault::Refused { id, .. }) = fault;
-                        let Some(id) = id.filter(|id| client.take(*id)) else { return End::PeerDamaged };
+                        let Some(id) = id.filter(|id| client.take(*id)) else {
+                            return ConnectionEnd::PeerDamaged;
+                        };
                         client.invalid(id);
                         if matches!(fault, Fault::Damaged { .. }) {
-                            return End::PeerDamaged;
+                            return ConnectionEnd::PeerDamaged;
                         }
                         len
                     }
@@ -410,7 +412,7 @@
     }
 
     /// Waits until a client has all that it is owed; what it sends meanwhile is thrown away, but that it leaves is seen.
-    async fn await_owed(&self, mut stream: &Async<TcpStream>, client: &Client) -> End {
+    async fn await_owed(&self, mut stream: &Async<TcpStream>, client: &Client) -> ConnectionEnd {
         let (mut bytes, mut left) = (vec![0; 16 * 1024], MOST_DRAINED);
         while !client.is_idle() {
             if left == 0 {
@@ -418,13 +420,13 @@
                 continue;
             }
             match self.clock.within(LOOKS, stream.read(&mut bytes)).await {
-                Some(Ok(0) | Err(_)) => return End::PeerLeft,
+                Some(Ok(0) | Err(_)) => return ConnectionEnd::PeerLeft,
                 Some(Ok(n)) => left = left.saturating_sub(n),
                 None => {}
             }
             future::yield_now().await;
         }
-        End::PeerSilent
+        ConnectionEnd::PeerSilent
     }
 
     /// `false`: the connection can't go on.
@@ -434,7 +436,7 @@
                 for id in ids {
                     if client.open.borrow_mut().remove(&id) {
                         self.counters.add("requests interrupted");
-                        _ = self.dispatcher.send(Said::Interrupted { client: client.id, id }).await;
+                        _ = self.dispatcher.send(Said::Cancelled { client: client.id, id }).await;
                     }
                 }
                 return true;
@@ -443,7 +445,7 @@
                 self.counters.add("message ids used again");
                 return false;
             }
-            Message::Check { id } => Said::Check { client: Rc::clone(client) as _, id },
+            Message::Check { id } => Said::HealthCheck { client: Rc::clone(client) as _, id },
             Message::Request { id, .. } if client.open.borrow().len() > MOST_OPEN => {
                 self.counters.add("requests over the connection's bound");
                 client.reject(id, None);
@@ -451,7 +453,7 @@
             }
             Message::Request { id, method, ask } => {
                 self.counters.add("requests");
-                Said::Asked { client: Rc::clone(client) as _, id, method, ask, at }
+                Said::Request { client: Rc::clone(client) as _, id, method, request: ask, at }
             }
         };
         // It fails only when the dispatcher has ended, and with it the process.
@@ -459,7 +461,12 @@
         true
     }
 
-    async fn write(&self, stream: &Async<TcpStream>, client: &Client, frames: &Receiver<Frame>) -> End {
+    async fn write(
+        &self,
+        stream: &Async<TcpStream>,
+        client: &Client,
+        frames: &Receiver<Frame>,
+    ) -> ConnectionEnd {
         while let Ok(mut frame) = frames.recv().await {
             if let Some((_, id)) = frame.until.filter(|(until, _)| *until < self.clock.now()) {
                 // Nobody waits for these bytes: they would only keep the buffers and the line busy.
@@ -477,14 +484,14 @@
             client.heard.set(self.clock.now());
             client.written.notify(1);
         }
-        End::PeerLeft
+        ConnectionEnd::PeerLeft
     }
 
     async fn write_all(
         &self,
         mut stream: &Async<TcpStream>,
         mut slices: &mut [IoSlice<'_>],
-    ) -> Result<(), End> {
+    ) -> Result<(), ConnectionEnd> {
         IoSlice::advance_slices(&mut slices, 0);
         let mut moved = self.clock.now();
         while !slices.is_empty() {
@@ -495,10 +502,10 @@
                 None => {
                     let limit = if self.pool.is_short() { STALLED_SHORT } else { STALLED };
                     if self.clock.now() - moved >= limit {
-                        return Err(End::PeerStalled);
+                        return Err(ConnectionEnd::PeerStalled);
                     }
                 }
-                Some(Ok(0) | Err(_)) => return Err(End::PeerLeft),
+                Some(Ok(0) | Err(_)) => return Err(ConnectionEnd::PeerLeft),
                 Some(Ok(n)) => {
                     moved = self.clock.now();
                     IoSlice::advance_slices(&mut slices, n);
@@ -510,11 +517,11 @@
 }
 
 /// How a connection that nobody uses ends; `None`: something has come, so that it is used.
-fn look(stream: &Async<TcpStream>) -> Option<End> {
+fn look(stream: &Async<TcpStream>) -> Option<ConnectionEnd> {
     match stream.get_ref().peek(&mut [0]) {
         Ok(1..) => None,
-        Err(e) if e.kind() == ErrorKind::WouldBlock => Some(End::PeerSilent),
-        _ => Some(End::PeerLeft),
+        Err(e) if e.kind() == ErrorKind::WouldBlock => Some(ConnectionEnd::PeerSilent),
+        _ => Some(ConnectionEnd::PeerLeft),
     }
 }
 
--- a/gateway/src/end.rs
+++ b/gateway/src/connection_end.rs
@@ -5,7 +5,7 @@
 use kelpcart::interface::HopStatus;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum End {
+pub enum ConnectionEnd {
     /// 200: the bytes, whole.
     Whole,
     /// 304: the client's own copy is the one.
@@ -70,66 +70,85 @@
     PeerDamaged,
 }
 
-impl End {
-    pub const ALL: [End; 31] = [
-        End::Whole,
-        End::Current,
-        End::Lacking,
-        End::Full,
-        End::Over,
-        End::Errored,
-        End::Refused,
-        End::NoConnection,
-        End::NoSocket,
-        End::LateUnsent,
-        End::Overtaken,
-        End::CutUnsent,
-        End::KeptClosed,
-        End::Cut,
-        End::Damaged,
-        End::Late,
-        End::LateForRoom,
-        End::Withdrawn,
-        End::FarDown,
-        End::FarFull,
-        End::FarTurned,
-        End::FarLoop,
-        End::FarNever,
-        End::FarLost,
-        End::FarRejected,
-        End::FarAborted,
-        End::FarInvalid,
-        End::PeerLeft,
-        End::PeerSilent,
-        End::PeerStalled,
-        End::PeerDamaged,
+impl ConnectionEnd {
+    pub const ALL: [ConnectionEnd; 31] = [
+        ConnectionEnd::Whole,
+        ConnectionEnd::Current,
+        ConnectionEnd::Lacking,
+        ConnectionEnd::Full,
+        ConnectionEnd::Over,
+        ConnectionEnd::Errored,
+        ConnectionEnd::Refused,
+        ConnectionEnd::NoConnection,
+        ConnectionEnd::NoSocket,
+        ConnectionEnd::LateUnsent,
+        ConnectionEnd::Overtaken,
+        ConnectionEnd::CutUnsent,
+        ConnectionEnd::KeptClosed,
+        ConnectionEnd::Cut,
+        ConnectionEnd::Damaged,
+        ConnectionEnd::Late,
+        ConnectionEnd::LateForRoom,
+        ConnectionEnd::Withdrawn,
+        ConnectionEnd::FarDown,
+        ConnectionEnd::FarFull,
+        ConnectionEnd::FarTurned,
+        ConnectionEnd::FarLoop,
+        ConnectionEnd::FarNever,
+        ConnectionEnd::FarLost,
+        ConnectionEnd::FarRejected,
+        ConnectionEnd::FarAborted,
+        ConnectionEnd::FarInvalid,
+        ConnectionEnd::PeerLeft,
+        ConnectionEnd::PeerSilent,
+        ConnectionEnd::PeerStalled,
+        ConnectionEnd::PeerDamaged,
     ];
 
     /// `None`: the connection carried no hop.
-    pub fn to_module(self) -> Option<HopStatus> {
+    pub fn hop_status(self) -> Option<HopStatus> {
         Some(match self {
-            End::Whole | End::Current => HopStatus::Completed,
-            End::Lacking => HopStatus::Lacking,
-            End::Full | End::FarTurned | End::FarLoop | End::FarRejected | End::FarInvalid => {
-                HopStatus::TurnedAway
-            }
-            End::Errored | End::FarAborted => HopStatus::Errored,
+            ConnectionEnd::Whole | ConnectionEnd::Current => HopStatus::Completed,
+            ConnectionEnd::Lacking => HopStatus::Lacking,
+            ConnectionEnd::Full
+            | ConnectionEnd::FarTurned
+            | ConnectionEnd::FarLoop
+            | ConnectionEnd::FarRejected
+            | ConnectionEnd::FarInvalid => HopStatus::TurnedAway,
+            ConnectionEnd::Errored | ConnectionEnd::FarAborted => HopStatus::Errored,
             // An answer that can't be read is one all the same: its sender is alive and took the txn.
-            End::Damaged => HopStatus::Spoilt,
-            End::Refused | End::NoConnection | End::CutUnsent => HopStatus::Unreachable,
-            End::FarDown | End::FarNever => HopStatus::Unreachable,
-            End::FarFull | End::Over | End::NoSocket | End::LateUnsent | End::KeptClosed => HopStatus::NeverSent,
-            End::Overtaken => HopStatus::Overtaken,
-            End::Cut | End::FarLost => HopStatus::Broken,
-            End::Late => HopStatus::TimedOut,
+            ConnectionEnd::Damaged => HopStatus::Spoilt,
+            ConnectionEnd::Refused | ConnectionEnd::NoConnection | ConnectionEnd::CutUnsent => {
+                HopStatus::Unreachable
+            }
+            ConnectionEnd::FarDown | ConnectionEnd::FarNever => HopStatus::Unreachable,
+            ConnectionEnd::FarFull
+            | ConnectionEnd::Over
+            | ConnectionEnd::NoSocket
+            | ConnectionEnd::LateUnsent
+            | ConnectionEnd::KeptClosed => HopStatus::NeverSent,
+            ConnectionEnd::Overtaken => HopStatus::Overtaken,
+            ConnectionEnd::Cut | ConnectionEnd::FarLost => HopStatus::Broken,
+            ConnectionEnd::Late => HopStatus::TimedOut,
             // Given up here for a reason of the gateway's own: nothing is told of the member.
-            End::Withdrawn | End::LateForRoom => HopStatus::Withdrawn,
-            End::PeerLeft | End::PeerSilent | End::PeerStalled | End::PeerDamaged => return None,
+            ConnectionEnd::Withdrawn | ConnectionEnd::LateForRoom => HopStatus::Withdrawn,
+            ConnectionEnd::PeerLeft
+            | ConnectionEnd::PeerSilent
+            | ConnectionEnd::PeerStalled
+            | ConnectionEnd::PeerDamaged => return None,
         })
     }
 
     /// The answer came whole, so that the connection can carry another request.
-    pub fn leaves_connection(self) -> bool {
-        matches!(self, End::Whole | End::Current | End::Lacking | End::Full | End::Over | End::Errored)
+    pub fn leaves_connection_usable(self) -> bool {
+        matches!(
+            self,
+            ConnectionEnd::Whole
+                | ConnectionEnd::Current
+                | ConnectionEnd::Lacking
+                | ConnectionEnd::Full
+                | ConnectionEnd::Over
+                | ConnectionEnd::Errored
+        )
     }
 }
--- a/gateway/src/counters.rs
+++ b/gateway/src/counters.rs
@@ -1,7 +1,7 @@
 //! Owns the numbers of what the gateway takes in, sends and answers. Must never decide anything: nothing reads a
 //! count but the lines that are written on SIGUSR1 and at the exit.
 
-use crate::end::End;
+use crate::connection_end::ConnectionEnd;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,7 +10,7 @@
 #[derive(Default)]
 pub struct Counters {
     counts: RefCell<BTreeMap<&'static str, u64>>,
-    ends: RefCell<BTreeMap<End, u64>>,
+    ends: RefCell<BTreeMap<ConnectionEnd, u64>>,
     /// Answers handed to connections and not yet written.
     pub unwritten: Rc<Cell<usize>>,
     /// Descriptors of clients, and of hops with those kept for later ones.
@@ -25,7 +25,7 @@
         *self.counts.borrow_mut().entry(what).or_default() += 1;
     }
 
-    pub fn ended(&self, end: End) {
+    pub fn record_end(&self, end: ConnectionEnd) {
         *self.ends.borrow_mut().entry(end).or_default() += 1;
     }
 }
@@ -41,16 +41,16 @@
 }
 
 /// Counts a thing as there until it is dropped.
-pub struct Held(Rc<Cell<usize>>);
+pub struct CountGuard(Rc<Cell<usize>>);
 
-impl Held {
-    pub fn new(count: &Rc<Cell<usize>>) -> Held {
+impl CountGuard {
+    pub fn new(count: &Rc<Cell<usize>>) -> CountGuard {
         count.set(count.get() + 1);
-        Held(Rc::clone(count))
+        CountGuard(Rc::clone(count))
     }
 }
 
-impl Drop for Held {
+impl Drop for CountGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
--- a/gateway/src/bulletin.rs
+++ b/gateway/src/discovery.rs
@@ -3,10 +3,10 @@
 //! asks for what follows the last good one.
 
 use crate::clock::Clock;
-use crate::config::{Names, news};
+use crate::config::{Names, parse_event};
+use crate::connection_end::ConnectionEnd;
 use crate::counters::Counters;
-use crate::end::End;
-use crate::seam::Event;
+use crate::dispatch_api::Event;
 use async_channel::{Receiver, Sender};
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
@@ -38,7 +38,7 @@
     fn ended(&mut self) {}
 }
 
-pub struct Bulletin<H> {
+pub struct DiscoveryClient<H> {
     pub address: SocketAddr,
     /// Further addresses, as the configuration comes to name them.
     pub moves: Receiver<SocketAddr>,
@@ -47,7 +47,7 @@
     pub subscriber: H,
 }
 
-impl<H: Subscriber> Bulletin<H> {
+impl<H: Subscriber> DiscoveryClient<H> {
     pub async fn follow(mut self) {
         let (moves, mut wait) = (self.moves.clone(), WAITS.start);
         loop {
@@ -64,9 +64,9 @@
                 self.subscriber.wanted().await;
                 let (before, mut healthy) = (self.subscriber.after(), false);
                 let end = self.read(&mut healthy).await;
-                self.counters.ended(end);
+                self.counters.record_end(end);
                 let after = self.subscriber.after();
-                if end == End::PeerDamaged || after > before && end != End::Withdrawn {
+                if end == ConnectionEnd::PeerDamaged || after > before && end != ConnectionEnd::Withdrawn {
                     log::warn!("the bulletin's connection ended ({end:?}); asking again after {after}");
                 }
                 self.subscriber.ended();
@@ -84,17 +84,17 @@
     }
 
     /// `healthy` becomes true with the first line that can be used.
-    async fn read(&mut self, healthy: &mut bool) -> End {
+    async fn read(&mut self, healthy: &mut bool) -> ConnectionEnd {
         let mut stream = match self.clock.within(CONNECT, Async::<TcpStream>::connect(self.address)).await {
             Some(Ok(stream)) => stream,
-            Some(Err(_)) => return End::Refused,
-            None => return End::NoConnection,
+            Some(Err(_)) => return ConnectionEnd::Refused,
+            None => return ConnectionEnd::NoConnection,
         };
         let ask = format!("after {}\n", self.subscriber.after());
         match self.clock.within(SILENT, stream.write_all(ask.as_bytes())).await {
             Some(Ok(())) => {}
-            Some(Err(_)) => return End::PeerLeft,
-            None => return End::PeerSilent,
+            Some(Err(_)) => return ConnectionEnd::PeerLeft,
+            None => return ConnectionEnd::PeerSilent,
         }
         let (mut held, mut bytes, mut heard) = (Vec::new(), vec![0; PIECE], self.clock.now());
         loop {
@@ -105,11 +105,11 @@
                 self.subscriber.unwanted().await;
                 None
             };
-            let Some(got) = future::or(read, unwanted).await else { return End::Withdrawn };
+            let Some(got) = future::or(read, unwanted).await else { return ConnectionEnd::Withdrawn };
             let n = match got {
-                Some(Ok(0) | Err(_)) => return End::PeerLeft,
+                Some(Ok(0) | Err(_)) => return ConnectionEnd::PeerLeft,
                 Some(Ok(n)) => n,
-                None => return End::PeerSilent,
+                None => return ConnectionEnd::PeerSilent,
             };
             let seen = held.len();
             held.extend_from_slice(&bytes[..n]);
@@ -118,7 +118,7 @@
                 let end = seen.max(used) + end;
                 if let Err(why) = self.subscriber.line(&held[used..end]) {
                     log::warn!("a line of the bulletin can't be used: {why}");
-                    return End::PeerDamaged;
+                    return ConnectionEnd::PeerDamaged;
                 }
                 *healthy = true;
                 heard = self.clock.now();
@@ -126,7 +126,7 @@
             }
             held.drain(..used);
             if held.len() > MOST_LINE {
-                return End::PeerDamaged;
+                return ConnectionEnd::PeerDamaged;
             }
         }
     }
@@ -161,7 +161,7 @@
         if let Some(no) = value.as_u64() {
             return if no > self.last { Err(gap(no)) } else { Ok(()) };
         }
-        let (no, said) = news(&value, &self.names)?;
+        let (no, said) = parse_event(&value, &self.names)?;
         if no > self.last + 1 {
             return Err(gap(no));
         }
@@ -170,7 +170,7 @@
             self.counters.add("bulletin events");
             if let Some(said) = said {
                 // It fails only when the dispatcher has ended, and with it the process.
-                _ = self.dispatcher.try_send(Event::News(said));
+                _ = self.dispatcher.try_send(Event::Discovery(said));
             }
         }
         Ok(())
--- a/gateway/src/seam.rs
+++ b/gateway/src/dispatch_api.rs
@@ -3,9 +3,9 @@
 //! nor decide: the dispatcher and all fronts and carriers depend on this, and none of them on another.
 
 use crate::buffers::Body;
-use crate::config::News;
-use crate::end::End;
-use kelpcart::interface::{Fill, MemberId, CacheStatus, TxnId};
+use crate::config::DiscoveryEvent;
+use crate::connection_end::ConnectionEnd;
+use kelpcart::interface::{CacheStatus, Fill, MemberId, TxnId};
 use kelpcart::{Span, Time};
 use std::cell::Cell;
 use std::future::Future;
@@ -14,31 +14,31 @@
 
 /// What a txn asks for, as its front read it.
 #[derive(Debug, Default, PartialEq)]
-pub struct Ask {
+pub struct Request {
     /// The client's own id, as it was sent and as a number.
-    pub req: String,
-    pub trace: u64,
+    pub request_id: String,
+    pub request_number: u64,
     /// The object, as it was sent and as a number.
-    pub subject: String,
+    pub object_name: String,
     pub object: u64,
     pub part: u64,
     pub group: u8,
     pub timeout_ms: u32,
     /// The size in KB.
-    pub need: Option<f64>,
+    pub size_kb: Option<f64>,
     /// The tag of a copy that the client holds.
-    pub seen: Option<String>,
+    pub client_etag: Option<String>,
     /// The mark by which caches know a repeat of a keyed txn, as it was sent.
-    pub mark: Option<String>,
+    pub idempotency_key: Option<String>,
     pub body: Vec<u8>,
     /// The oldest copy that the asker takes, where it says so.
-    pub oldest: Option<Span>,
+    pub max_age: Option<Span>,
     /// The sites that it has crossed, oldest first.
-    pub path: Vec<String>,
+    pub via: Vec<String>,
 }
 
 /// How a front is told what became of a txn; each is called once at most for an id.
-pub trait Caller {
+pub trait Responder {
     /// Unique among all callers of the process.
     fn key(&self) -> u64;
     /// Without a body the asker's own copy is the one. After `until` nobody waits for it.
@@ -54,9 +54,9 @@
 
 /// Gives each caller its own key, whatever its front.
 #[derive(Clone, Default)]
-pub struct Keys(Rc<Cell<u64>>);
+pub struct ResponderKeys(Rc<Cell<u64>>);
 
-impl Keys {
+impl ResponderKeys {
     pub fn next(&self) -> u64 {
         self.0.set(self.0.get() + 1);
         self.0.get()
@@ -64,110 +64,118 @@
 }
 
 pub enum Event {
-    Asked {
-        client: Rc<dyn Caller>,
+    Request {
+        client: Rc<dyn Responder>,
         id: u64,
         method: String,
-        ask: Box<Ask>,
+        request: Box<Request>,
         at: Time,
     },
-    Check {
-        client: Rc<dyn Caller>,
+    HealthCheck {
+        client: Rc<dyn Responder>,
         id: u64,
     },
-    Interrupted {
+    Cancelled {
         client: u64,
         id: u64,
     },
-    Left {
+    Disconnected {
         client: u64,
     },
-    HopEnded {
+    HopFinished {
         txn: TxnId,
         hop: u32,
-        ended: Ended,
+        result: HopResult,
     },
-    News(News),
+    Discovery(DiscoveryEvent),
     /// A sign of life apart from hops.
-    Alive {
+    MemberAlive {
         member: MemberId,
     },
-    Tell,
-    Stop,
+    DumpCounters,
+    Shutdown,
 }
 
 /// One hop, as the module ordered it.
-pub struct Job {
+pub struct HopRequest {
     pub member: MemberId,
     /// Its first byte goes out by then, or none does.
-    pub begin_by: Time,
+    pub start_by: Time,
     /// Set just before its first byte: from there on what was ordered can't be taken for never sent.
-    pub begun: Rc<Cell<bool>>,
-    pub until: Time,
+    pub started: Rc<Cell<bool>>,
+    pub deadline: Time,
     /// When the txn's SLA time is over.
-    pub wanted: Time,
+    pub sla_deadline: Time,
     pub rule: Rc<str>,
     pub write: bool,
     /// It must not run twice.
-    pub once: bool,
-    pub ask: Rc<Ask>,
+    pub unrepeatable: bool,
+    pub request: Rc<Request>,
     pub fill: Option<Fill>,
 }
 
-pub struct Ended {
-    pub end: End,
-    pub note: Option<CacheStatus>,
+pub struct HopResult {
+    pub end: ConnectionEnd,
+    pub cache_status: Option<CacheStatus>,
     pub waited: Option<Span>,
     pub stats: Option<Vec<u8>>,
     pub body: Option<Body>,
     /// When it ended at the socket; `None` where no task reports it.
     pub at: Option<Time>,
     /// How long the hop waited for what the gateway itself lacked.
-    pub own: Span,
+    pub local_wait: Span,
 }
 
-impl From<End> for Ended {
-    fn from(end: End) -> Ended {
-        Ended { end, note: None, waited: None, stats: None, body: None, at: None, own: Span::ZERO }
+impl From<ConnectionEnd> for HopResult {
+    fn from(end: ConnectionEnd) -> HopResult {
+        HopResult {
+            end,
+            cache_status: None,
+            waited: None,
+            stats: None,
+            body: None,
+            at: None,
+            local_wait: Span::ZERO,
+        }
     }
 }
 
-pub type Running = Pin<Box<dyn Future<Output = Ended>>>;
+pub type HopFuture = Pin<Box<dyn Future<Output = HopResult>>>;
 
 /// Work beside that of the dispatcher.
 pub trait Service {
     /// The process is told to stop.
-    fn stop(&self);
+    fn shutdown(&self);
     /// Nothing more comes: what is owed goes out, and then connections end.
     fn close(&self) {}
     fn is_closed(&self) -> bool {
         true
     }
     /// How much is kept, by name.
-    fn sizes(&self) -> Vec<(&'static str, usize)>;
+    fn table_sizes(&self) -> Vec<(&'static str, usize)>;
 }
 
 /// A way to some members other than a connection of HTTP to each.
-pub trait Carrier: Service {
+pub trait Transport: Service {
     /// Members that are reached by it.
-    fn carries(&self, member: &MemberId) -> bool;
+    fn reaches(&self, member: &MemberId) -> bool;
     /// Runs one hop to its end, which comes by the job's time at the latest; dropped, the hop is given up.
-    fn hop(&self, job: Job) -> Running;
+    fn hop(&self, job: HopRequest) -> HopFuture;
 }
 
 /// Given back when it is dropped.
 pub trait Permit {
     /// What it was given for is done, and need not be done again by another gateway.
-    fn done(&mut self);
+    fn complete(&mut self);
 }
 
-pub type Permits = Pin<Box<dyn Future<Output = Option<Box<dyn Permit>>>>>;
+pub type PermitFuture = Pin<Box<dyn Future<Output = Option<Box<dyn Permit>>>>>;
 
 /// Bounds that hold for several gateways together. It only narrows what the module has ordered: a hop for which there
 /// is no permit in time ends as never sent.
-pub trait Common {
+pub trait SharedLimits {
     /// For one connection to a member; `None`: there is none in time.
-    fn connection(&self, member: &MemberId, until: Time) -> Permits;
+    fn acquire_connection(&self, member: &MemberId, until: Time) -> PermitFuture;
     /// For a fill of the object through a member; `None` at once where fills are not counted now.
-    fn fill(&self, job: &Job) -> Option<Permits>;
+    fn acquire_fill(&self, job: &HopRequest) -> Option<PermitFuture>;
 }
--- a/gateway/src/dispatcher.rs
+++ b/gateway/src/dispatcher.rs
@@ -6,15 +6,15 @@
 use crate::Tasks;
 use crate::caches::Caches;
 use crate::clock::Clock;
-use crate::config::{Config, Listed, News};
+use crate::config::{Config, DiscoveryEvent, ListedMember};
+use crate::connection_end::ConnectionEnd;
 use crate::counters::Counters;
-use crate::end::End;
+use crate::dispatch_api::{Event, HopRequest, HopResult, Request, Responder, Service, Transport};
 use crate::http;
-use crate::seam::{Ask, Caller, Carrier, Ended, Event, Job, Service};
 use async_channel::{Receiver, Sender};
 use async_executor::Task;
+use kelpcart::hash_prefix::{group_hash, object_hash};
 use kelpcart::interface::*;
-use kelpcart::names::{group_hash, object_hash};
 use kelpcart::{Gateway, Span, Time};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -42,10 +42,10 @@
 }
 
 struct Open {
-    client: Rc<dyn Caller>,
+    client: Rc<dyn Responder>,
     id: u64,
     rule: usize,
-    ask: Rc<Ask>,
+    ask: Rc<Request>,
     /// When its SLA time is over.
     wanted: Time,
     limit: Time,
@@ -66,15 +66,15 @@
     clock: Clock,
     tasks: Tasks,
     caches: Rc<Caches>,
-    carriers: Vec<Rc<dyn Carrier>>,
+    carriers: Vec<Rc<dyn Transport>>,
     /// What is told of a stop and asked for its sizes.
     services: Vec<Rc<dyn Service>>,
     /// Members that carriers reach, listed beside those of the bulletin.
-    carried: Vec<Listed>,
+    carried: Vec<ListedMember>,
     counters: Rc<Counters>,
     queue: (Sender<Event>, Receiver<Event>),
     /// Ends that no task reports: of hops never begun, or taken back.
-    own: VecDeque<(TxnId, u32, End)>,
+    own: VecDeque<(TxnId, u32, ConnectionEnd)>,
     open: BTreeMap<TxnId, Open>,
     by_message: BTreeMap<(u64, u64), TxnId>,
     /// Open txns by the clients' own ids.
@@ -114,10 +114,10 @@
             rules: rules.collect(),
             pace: set.client_rate,
             max_hops: set.max_hops,
-            most_open: config.most_open,
+            most_open: config.max_open_txns,
             held: 0,
-            most_held: config.memory / 8,
-            most_wait: config.longest,
+            most_held: config.memory_limit / 8,
+            most_wait: config.max_time_limit,
             gateway: Gateway::new(set, config.seed, clock.now()),
             clock,
             tasks,
@@ -135,18 +135,18 @@
             next: 0,
             stopped: None,
         };
-        for said in config.known {
+        for said in config.initial_events {
             dispatcher.news(said);
         }
         dispatcher
     }
 
     /// Adds a way to members of its own; they stay listed whatever the bulletin says.
-    pub fn add(&mut self, carrier: Rc<dyn Carrier>, members: Vec<Listed>) {
+    pub fn add(&mut self, carrier: Rc<dyn Transport>, members: Vec<ListedMember>) {
         self.services.push(carrier.clone());
         self.carriers.push(carrier);
         self.carried.extend(members.iter().cloned());
-        self.news(News::Roster { whole: false, list: members });
+        self.news(DiscoveryEvent::Roster { whole: false, list: members });
     }
 
     pub fn add_service(&mut self, service: Rc<dyn Service>) {
@@ -190,22 +190,24 @@
 
     fn event(&mut self, event: Event) {
         match event {
-            Event::Asked { client, id, method, ask, at } => self.asked(client, id, &method, ask, at),
-            Event::Check { client, id } => client.ready(id, self.stopped.is_none()),
-            Event::Interrupted { client, id } => self.left((client, id)),
-            Event::Left { client } => {
+            Event::Request { client, id, method, request: ask, at } => {
+                self.asked(client, id, &method, ask, at)
+            }
+            Event::HealthCheck { client, id } => client.ready(id, self.stopped.is_none()),
+            Event::Cancelled { client, id } => self.left((client, id)),
+            Event::Disconnected { client } => {
                 let of_client = self.by_message.range((client, 0)..=(client, u64::MAX));
                 let keys: Vec<_> = of_client.map(|(key, _)| *key).collect();
                 keys.into_iter().for_each(|key| self.left(key));
             }
-            Event::HopEnded { txn, hop, ended } => self.ended(txn, hop, ended),
-            Event::News(said) => self.news(said),
-            Event::Alive { member } => self.gateway.member_alive(self.clock.now(), &member),
-            Event::Tell => self.tell(),
-            Event::Stop => {
+            Event::HopFinished { txn, hop, result: ended } => self.ended(txn, hop, ended),
+            Event::Discovery(said) => self.news(said),
+            Event::MemberAlive { member } => self.gateway.member_alive(self.clock.now(), &member),
+            Event::DumpCounters => self.tell(),
+            Event::Shutdown => {
                 log::info!("told to stop, {} txns open", self.open.len());
                 self.stopped.get_or_insert(self.clock.now());
-                self.services.iter().for_each(|b| b.stop());
+                self.services.iter().for_each(|b| b.shutdown());
             }
         }
     }
@@ -219,17 +221,17 @@
             ("hops out", self.out.len()),
             ("bytes of writes", self.held),
         ];
-        let services = self.services.iter().flat_map(|b| b.sizes());
+        let services = self.services.iter().flat_map(|b| b.table_sizes());
         let all = own.into_iter().chain(self.caches.sizes()).chain(services);
-        let all = all.chain(self.gateway.sizes(self.clock.now()));
+        let all = all.chain(self.gateway.table_sizes(self.clock.now()));
         *self.counters.sizes.borrow_mut() = all.collect();
         log::info!("{}", self.counters);
     }
 
-    fn news(&mut self, said: News) {
+    fn news(&mut self, said: DiscoveryEvent) {
         let now = self.clock.now();
         match said {
-            News::Roster { whole, mut list } => {
+            DiscoveryEvent::Roster { whole, mut list } => {
                 if whole {
                     list.extend(self.carried.iter().cloned());
                 }
@@ -238,7 +240,7 @@
                 let by = |m: &MemberId| changed.contains(m);
                 self.overtake(|_, out| by(&out.member) || out.source.as_ref().is_some_and(by));
             }
-            News::Purge { names, issued_ms } => {
+            DiscoveryEvent::Purge { names, issued_ms } => {
                 // The end of its millisecond, lest a copy made in the same one passes for newer.
                 let at = Time::from_micros(issued_ms.saturating_add(1).saturating_mul(1_000));
                 self.gateway.purge(now, names.clone(), now - at);
@@ -251,24 +253,24 @@
 
     /// Takes back hops that wait for a descriptor, a connection or a permit and that news has changed: what was true
     /// when a hop was ordered has to be true when its first byte is written.
-    fn overtake(&mut self, hit: impl Fn(&Ask, &Out) -> bool) {
+    fn overtake(&mut self, hit: impl Fn(&Request, &Out) -> bool) {
         let open = |txn| self.open.get(&txn).map(|open: &Open| &*open.ask);
         let waits = self.out.iter().filter(|(_, out)| !out.begun.get());
         let hits = waits.filter(|(key, out)| open(key.0).is_some_and(|ask| hit(ask, out)));
         for (txn, hop) in hits.map(|(key, _)| *key).collect::<Vec<_>>() {
             self.counters.add("waiting hops overtaken by news");
-            self.take_back(txn, hop, End::Overtaken);
+            self.take_back(txn, hop, ConnectionEnd::Overtaken);
         }
     }
 
-    fn asked(&mut self, client: Rc<dyn Caller>, id: u64, method: &str, ask: Box<Ask>, at: Time) {
+    fn asked(&mut self, client: Rc<dyn Responder>, id: u64, method: &str, ask: Box<Request>, at: Time) {
         let Some(rule) = self.rules.iter().position(|r| *r.name == *method) else {
             self.counters.add("unknown methods");
             return client.invalid(id);
         };
         let write = self.rules[rule].write;
         // Guards caches from two txns under one id, and from bodies that nobody reads.
-        let same = self.by_req.range((ask.trace, 0)..=(ask.trace, TxnId::MAX));
+        let same = self.by_req.range((ask.request_number, 0)..=(ask.request_number, TxnId::MAX));
         let other = same.map(|(_, txn)| &self.open[txn].ask).any(|open| open.object != ask.object);
         if other || !write && !ask.body.is_empty() {
             self.counters.add("requests at odds with their method or id");
@@ -283,23 +285,36 @@
         let (txn, now) = (self.next, self.clock.now());
         // Nobody waits longer than the settings say: what claims to would only stay in the tables.
         let limit = at + Span::from_millis(ask.timeout_ms.into()).min(self.most_wait);
-        let (object, group, part, size) = (ask.object, ask.group.into(), ask.part, ask.need);
-        let (left, oldest) = (limit - now, ask.oldest);
-        let sending = ask.need.filter(|_| self.pace > 0.0).map_or(0.0, |kb| kb / self.pace);
+        let (object, group, part, size) = (ask.object, ask.group.into(), ask.part, ask.size_kb);
+        let (left, oldest) = (limit - now, ask.max_age);
+        let sending = ask.size_kb.filter(|_| self.pace > 0.0).map_or(0.0, |kb| kb / self.pace);
         let (sla, stretch) = self.rules[rule].sla;
         let wanted = at + sla + Span::from_secs_f64(sending * stretch);
         self.held += ask.body.len();
         self.by_message.insert((client.key(), id), txn);
-        self.by_req.insert((ask.trace, txn));
+        self.by_req.insert((ask.request_number, txn));
         self.open.insert(txn, Open { client, id, rule, ask: Rc::from(ask), wanted, limit, hops: 0 });
-        self.gateway.txn(now, Txn { id: txn, rule, object, group, part, is_write: write, size, time_left: left, oldest });
+        self.gateway.submit(
+            now,
+            Txn {
+                id: txn,
+                rule,
+                object,
+                group,
+                part,
+                is_write: write,
+                size,
+                time_left: left,
+                max_age: oldest,
+            },
+        );
     }
 
     /// Takes a txn off the table: from here on it can't be answered again.
     fn close(&mut self, txn: TxnId) -> Option<Open> {
         let open = self.open.remove(&txn)?;
         self.by_message.remove(&(open.client.key(), open.id));
-        self.by_req.remove(&(open.ask.trace, txn));
+        self.by_req.remove(&(open.ask.request_number, txn));
         self.held -= open.ask.body.len();
         Some(open)
     }
@@ -322,23 +337,27 @@
         let now = self.clock.now();
         let hops: Vec<_> = self.out.range((txn, 0)..=(txn, u32::MAX)).map(|(k, o)| (k.1, o.until)).collect();
         for (hop, until) in hops {
-            self.take_back(txn, hop, if now + AT_LIMIT >= until { End::Late } else { End::Withdrawn });
+            self.take_back(
+                txn,
+                hop,
+                if now + AT_LIMIT >= until { ConnectionEnd::Late } else { ConnectionEnd::Withdrawn },
+            );
         }
     }
 
-    fn take_back(&mut self, txn: TxnId, hop: u32, end: End) {
+    fn take_back(&mut self, txn: TxnId, hop: u32, end: ConnectionEnd) {
         let Some(out) = self.out.get_mut(&(txn, hop)) else { return };
         // One that has ended has its outcome in the queue already.
         if let Some(task) = out.task.take_if(|task| !task.is_finished()) {
             drop(task);
-            self.counters.ended(end);
+            self.counters.record_end(end);
             self.own.push_back((txn, hop, end));
         }
     }
 
-    fn ended(&mut self, txn: TxnId, hop: u32, ended: Ended) {
+    fn ended(&mut self, txn: TxnId, hop: u32, ended: HopResult) {
         let Some(out) = self.out.remove(&(txn, hop)) else { return };
-        let Some(end) = ended.end.to_module() else { return };
+        let Some(end) = ended.end.hop_status() else { return };
         let now = self.clock.now();
         if end == HopStatus::Completed
             && let Some(open) = self.close(txn)
@@ -349,8 +368,8 @@
         let link = ended.stats.as_deref().and_then(|report| http::stat(report, "x1"));
         let first_byte = ended.waited.filter(|waited| *waited > Span::ZERO);
         // At the socket, and without the gateway's own waits: neither is the member's slowness.
-        let took = ended.at.unwrap_or(now).back(ended.own) - out.sent;
-        let (closed, note) = (!self.open.contains_key(&txn), ended.note);
+        let took = ended.at.unwrap_or(now).back(ended.local_wait) - out.sent;
+        let (closed, note) = (!self.open.contains_key(&txn), ended.cache_status);
         log::trace!(
             "txn {txn} hop {hop} at {} ended {:?} {note:?} after {} us, link {link:?}, closed {closed}",
             out.member,
@@ -358,7 +377,19 @@
             took.as_micros()
         );
         let load = LoadReport { link_load: link };
-        self.gateway.outcome(now, Outcome { txn, hop, end, duration: took, answered: closed, cache_status: note, first_byte, load });
+        self.gateway.record_outcome(
+            now,
+            Outcome {
+                txn,
+                hop,
+                status: end,
+                duration: took,
+                answered: closed,
+                cache_status: note,
+                first_byte,
+                load,
+            },
+        );
     }
 
     fn pull(&mut self, now: Time) {
@@ -373,11 +404,11 @@
 
     fn order(&mut self, now: Time, decision: Decision) {
         match decision {
-            Decision::Hop { txn, member, fill, start_by: begin_by, limit } => {
+            Decision::Hop { txn, member, fill, start_by: begin_by, deadline: limit } => {
                 self.hop(now, txn, member, fill, [begin_by, limit]);
             }
-            Decision::Cancel { txn, hop } => self.take_back(txn, hop, End::Withdrawn),
-            Decision::Reject { txn, come_back } => {
+            Decision::Cancel { txn, hop } => self.take_back(txn, hop, ConnectionEnd::Withdrawn),
+            Decision::Reject { txn, retry_after: come_back } => {
                 let Some(open) = self.give_up(now, txn, "txns rejected") else { return };
                 open.client.reject(open.id, come_back);
             }
@@ -411,23 +442,23 @@
         let (ask, begun) = (Rc::clone(&open.ask), Rc::<Cell<bool>>::default());
         let source = fill.as_ref().map(|fill| Arc::clone(&fill.source));
         let to = member.clone();
-        let job = Job {
+        let job = HopRequest {
             member: to,
-            begin_by,
-            begun: Rc::clone(&begun),
-            until,
-            wanted,
+            start_by: begin_by,
+            started: Rc::clone(&begun),
+            deadline: until,
+            sla_deadline: wanted,
             rule,
             write,
-            once,
-            ask,
+            unrepeatable: once,
+            request: ask,
             fill,
         };
         let mut task = None;
         if hop >= self.max_hops || until <= now {
-            self.own.push_back((txn, hop, End::LateUnsent));
+            self.own.push_back((txn, hop, ConnectionEnd::LateUnsent));
         } else {
-            task = Some(match self.carriers.iter().find(|c| c.carries(&job.member)) {
+            task = Some(match self.carriers.iter().find(|c| c.reaches(&job.member)) {
                 Some(carrier) => {
                     // What a carrier has taken over may cross at any time.
                     begun.set(true);
@@ -442,12 +473,12 @@
         self.out.insert((txn, hop), Out { member, source, begun, task, sent: now, until });
     }
 
-    fn report(&self, txn: TxnId, hop: u32, running: impl Future<Output = Ended> + 'static) -> Task<()> {
+    fn report(&self, txn: TxnId, hop: u32, running: impl Future<Output = HopResult> + 'static) -> Task<()> {
         let queue = self.queue.0.clone();
         self.tasks.spawn(async move {
             let ended = running.await;
             // It fails only when the dispatcher has ended, and with it the process.
-            _ = queue.try_send(Event::HopEnded { txn, hop, ended });
+            _ = queue.try_send(Event::HopFinished { txn, hop, result: ended });
         })
     }
 
--- a/gateway/src/feed.rs
+++ b/gateway/src/feed.rs
@@ -4,11 +4,11 @@
 //! of it runs unless the file that `KELPCART_FLEET` names has a `feed`.
 
 use crate::Tasks;
-use crate::bulletin::{Bulletin, Subscriber};
 use crate::clock::Clock;
-use crate::config::{self, Listed, Names, News};
+use crate::config::{self, DiscoveryEvent, ListedMember, Names};
 use crate::counters::Counters;
-use crate::seam::Event;
+use crate::discovery::{DiscoveryClient, Subscriber};
+use crate::dispatch_api::Event;
 use async_channel::{Receiver, Sender};
 use async_io::Async;
 use async_signal::{Signal, Signals};
@@ -43,7 +43,12 @@
 
 impl Owners {
     /// What a list of one stream changes in the list of all, and how many were left out at the bound.
-    pub fn change(&mut self, stream: usize, whole: bool, list: Vec<Listed>) -> (Vec<Listed>, usize) {
+    pub fn change(
+        &mut self,
+        stream: usize,
+        whole: bool,
+        list: Vec<ListedMember>,
+    ) -> (Vec<ListedMember>, usize) {
         let named: BTreeSet<MemberId> = list.iter().map(|l| l.member.id.clone()).collect();
         let (mut all, mut left_out) = (Vec::new(), 0);
         if whole {
@@ -71,18 +76,18 @@
     }
 }
 
-fn gone(id: &MemberId) -> Listed {
+fn gone(id: &MemberId) -> ListedMember {
     let member = Member {
         id: id.clone(),
         zone: 0,
         kind: 0,
         cell: 0,
         state: MemberState::Gone,
-        size: 0.0,
+        capacity: 0.0,
         started: None,
         remote: false,
     };
-    Listed { member, address: None }
+    ListedMember { member, address: None }
 }
 
 /// Where events go at a gateway.
@@ -90,7 +95,7 @@
     pub dispatcher: Sender<Event>,
     pub names: Names,
     /// The events that the configuration holds, of the feed's own stream, and the number of the last.
-    pub known: Vec<News>,
+    pub known: Vec<DiscoveryEvent>,
     pub last: u64,
 }
 
@@ -145,7 +150,7 @@
             // well, they are nobody's until a stream names them.
             let alone = of.streams.iter().enumerate().all(|(i, s)| i == of.own || s.known == 0);
             for said in serves.known {
-                if let News::Roster { whole, list } = said {
+                if let DiscoveryEvent::Roster { whole, list } = said {
                     owners.change(if alone { of.own } else { NOBODY }, whole, list);
                 }
             }
@@ -187,7 +192,7 @@
             });
             let subscriber = Stream { feed: Rc::clone(self), place: i };
             let (clock, counters) = (self.clock, Rc::clone(&self.counters));
-            tasks.spawn(Bulletin { address, moves, clock, counters, subscriber }.follow()).detach();
+            tasks.spawn(DiscoveryClient { address, moves, clock, counters, subscriber }.follow()).detach();
         }
     }
 
@@ -253,7 +258,7 @@
                         self.counters.add("fleet feed datagrams not sent");
                     }
                 }
-                Out::Purge { names, issued_ms, .. } => self.news(News::Purge { names, issued_ms }),
+                Out::Purge { names, issued_ms, .. } => self.news(DiscoveryEvent::Purge { names, issued_ms }),
                 Out::Line { stream, line, .. } => self.line(stream, &line),
             }
         }
@@ -270,8 +275,8 @@
     fn line(&self, stream: usize, line: &[u8]) {
         let Some(hears) = &self.hears else { return };
         let value: Result<serde_json::Value, _> = serde_json::from_slice(line);
-        match value.map_err(|e| e.to_string()).and_then(|v| config::news(&v, &hears.names)) {
-            Ok((_, Some(News::Roster { whole, list }))) => {
+        match value.map_err(|e| e.to_string()).and_then(|v| config::parse_event(&v, &hears.names)) {
+            Ok((_, Some(DiscoveryEvent::Roster { whole, list }))) => {
                 let (list, left_out) = hears.owners.borrow_mut().change(stream, whole, list);
                 if left_out > 0 {
                     self.counters.add("fleet feed lists beyond the bound");
@@ -279,7 +284,7 @@
                         "{left_out} caches of a list are beyond the bound of {MOST_LISTED} and left out"
                     );
                 }
-                self.news(News::Roster { whole: false, list });
+                self.news(DiscoveryEvent::Roster { whole: false, list });
             }
             Ok((_, Some(said))) => self.news(said),
             Ok((_, None)) => {}
@@ -290,11 +295,11 @@
         }
     }
 
-    fn news(&self, said: News) {
+    fn news(&self, said: DiscoveryEvent) {
         if let Some(hears) = &self.hears {
             self.counters.add("bulletin events");
             // It fails only when the dispatcher has ended, and with it the process.
-            _ = hears.dispatcher.try_send(Event::News(said));
+            _ = hears.dispatcher.try_send(Event::Discovery(said));
         }
     }
 
--- a/gateway/src/fleet.rs
+++ b/gateway/src/fleet.rs
@@ -3,13 +3,13 @@
 //! decided by the core in `kelpcart-fleet`. Nothing of it runs unless `KELPCART_FLEET` names a file.
 
 use crate::Tasks;
-use crate::bulletin::Subscriber;
 use crate::caches::Caches;
 use crate::clock::Clock;
 use crate::config::{self, Config, Names};
 use crate::counters::Counters;
+use crate::discovery::Subscriber;
+use crate::dispatch_api::{Event, HopRequest, Permit, PermitFuture, Service, SharedLimits};
 use crate::feed::{self, Feed, Serves};
-use crate::seam::{Common, Event, Job, Permit, Permits, Service};
 use async_channel::{Receiver, Sender};
 use async_io::Async;
 use event_listener::Event as Woken;
@@ -91,7 +91,7 @@
         let now = means.clock.now();
         let mut rng = rand::rng();
         let (run, seed) = (rng.random_range(1..=u64::MAX), rng.random());
-        let node = Node::new(&file, run, seed, now, config.last, known).map_err(|e| e.to_string())?;
+        let node = Node::new(&file, run, seed, now, config.last_event, known).map_err(|e| e.to_string())?;
         let socket =
             Async::<UdpSocket>::bind(file.listen).map_err(|e| format!("listen: {}: {e}", file.listen))?;
         let socket = Rc::new(socket);
@@ -104,8 +104,8 @@
         let serves = Serves {
             dispatcher: means.dispatcher.clone(),
             names: config.names.clone(),
-            known: config.known.clone(),
-            last: config.last,
+            known: config.initial_events.clone(),
+            last: config.last_event,
         };
         let feed = Feed::start(of_feed, &file, Some(serves))?;
         let counts = file.budgets.connections.is_some()
@@ -270,11 +270,11 @@
 
     fn news(&self, line: &[u8]) {
         let value: Result<serde_json::Value, _> = serde_json::from_slice(line);
-        match value.map_err(|e| e.to_string()).and_then(|v| config::news(&v, &self.names)) {
+        match value.map_err(|e| e.to_string()).and_then(|v| config::parse_event(&v, &self.names)) {
             Ok((_, Some(said))) => {
                 self.counters.add("bulletin events");
                 // It fails only when the dispatcher has ended, and with it the process.
-                _ = self.dispatcher.try_send(Event::News(said));
+                _ = self.dispatcher.try_send(Event::Discovery(said));
             }
             Ok((_, None)) => {}
             Err(why) => {
@@ -354,7 +354,7 @@
 }
 
 impl Permit for Lent {
-    fn done(&mut self) {
+    fn complete(&mut self) {
         self.done = true;
     }
 }
@@ -369,8 +369,8 @@
 
 struct Bounds(Rc<Fleet>);
 
-impl Common for Bounds {
-    fn connection(&self, member: &MemberId, until: Time) -> Permits {
+impl SharedLimits for Bounds {
+    fn acquire_connection(&self, member: &MemberId, until: Time) -> PermitFuture {
         let waits = self.0.want((Kind::Connections, rank::key(member)), until);
         let fleet = Rc::clone(&self.0);
         Box::pin(async move {
@@ -384,14 +384,14 @@
         })
     }
 
-    fn fill(&self, job: &Job) -> Option<Permits> {
+    fn acquire_fill(&self, job: &HopRequest) -> Option<PermitFuture> {
         if job.write || job.fill.is_none() || self.0.phase.get() >= Phase::Serving {
             return None;
         }
         let fleet = Rc::clone(&self.0);
         let now = fleet.clock.now();
-        let until = now + (job.wanted - now) * fleet.wait_part;
-        let object = rank::key(&format!("{}/{}/{}", job.rule, job.ask.subject, job.ask.part));
+        let until = now + (job.sla_deadline - now) * fleet.wait_part;
+        let object = rank::key(&format!("{}/{}/{}", job.rule, job.request.object_name, job.request.part));
         let at = (Kind::FillsAt, rank::key(&job.member));
         let first = fleet.want((Kind::Fill, object), until);
         Some(Box::pin(async move {
@@ -416,11 +416,11 @@
 }
 
 impl Service for Fleet {
-    fn stop(&self) {
+    fn shutdown(&self) {
         self.tell(|node, now| node.leave(now));
     }
 
-    fn sizes(&self) -> Vec<(&'static str, usize)> {
+    fn table_sizes(&self) -> Vec<(&'static str, usize)> {
         let node = self.node.borrow();
         let (m, r, l, t) = (&node.members.counts, &node.relay.counts, &node.leases.counts, &node.traffic);
         let age = node.relay.age(self.clock.now()).map_or(u64::MAX, Span::as_micros);
--- a/gateway/src/http.rs
+++ b/gateway/src/http.rs
@@ -3,7 +3,7 @@
 
 use crate::{digits, number};
 use kelpcart::Span;
-use kelpcart::interface::{Fill, CacheStatus};
+use kelpcart::interface::{CacheStatus, Fill};
 use std::fmt::Write;
 
 pub const MOST_HEAD: usize = 8 * 1024;
@@ -39,11 +39,12 @@
             if fill.keep_rank > 0 {
                 line(format_args!("X-Keep: {}\r\n", fill.keep_rank));
             }
-            if let Some(oldest) = fill.oldest {
+            if let Some(oldest) = fill.max_age {
                 // Rounded down, but never to 0: that would lift the limit.
                 line(format_args!("X-Max-Age-Ms: {}\r\n", (oldest.as_micros() / 1_000).max(1)));
             }
-            let flags = [(fill.coalesce, "ride"), (fill.only_if_cached, "have-only"), (fill.revalidate, "update")];
+            let flags =
+                [(fill.coalesce, "ride"), (fill.only_if_cached, "have-only"), (fill.revalidate, "update")];
             let flags: Vec<&str> = flags.iter().filter(|f| f.0).map(|f| f.1).collect();
             if !flags.is_empty() {
                 line(format_args!("X-Flags: {}\r\n", flags.join("+")));
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,20 +1,20 @@
 //! The gateway on sockets: everything round the decision module that talks to clients, caches and the bulletin.
 
 pub mod buffers;
-pub mod bulletin;
 pub mod caches;
 pub mod clients;
 pub mod clock;
 pub mod config;
+pub mod connection_end;
 pub mod counters;
+pub mod discovery;
+pub mod dispatch_api;
 pub mod dispatcher;
-pub mod end;
 pub mod feed;
 pub mod fleet;
 pub mod http;
 pub mod logger;
 pub mod rpc;
-pub mod seam;
 pub mod sites;
 
 use async_executor::LocalExecutor;
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -8,16 +8,16 @@
 use futures_lite::{StreamExt, future};
 use kelpcart_fleet::settings::Fleet as FleetFile;
 use kelpcart_gateway::buffers::Pool;
-use kelpcart_gateway::bulletin::{Alone, Bulletin};
 use kelpcart_gateway::caches::{Bounds, Caches};
 use kelpcart_gateway::clients::Front;
 use kelpcart_gateway::clock::Clock;
 use kelpcart_gateway::config::{self, Config};
 use kelpcart_gateway::counters::Counters;
+use kelpcart_gateway::discovery::{Alone, DiscoveryClient};
+use kelpcart_gateway::dispatch_api::{Event, ResponderKeys};
 use kelpcart_gateway::dispatcher::Dispatcher;
 use kelpcart_gateway::feed;
 use kelpcart_gateway::fleet::{Asker, Fleet, Means as FleetMeans};
-use kelpcart_gateway::seam::{Event, Keys};
 use kelpcart_gateway::sites::{Between, Means};
 use kelpcart_gateway::{Tasks, logger};
 use std::env;
@@ -94,14 +94,14 @@
     let (clock, counters) = (Clock::start(), Rc::new(Counters::default()));
     let (dispatcher, events) = async_channel::unbounded();
     // Clients hold a third of the descriptors at most; some of theirs may still be closing.
-    let clients = config.sockets / 3 + RESERVE / 2;
-    let hops = config.sockets.saturating_sub(clients + RESERVE).max(1);
-    let pool = Pool::new(config.memory / 2);
-    let bounds = Bounds { connect: config.settings.connect_timeout, idle: config.idle, most: hops };
+    let clients = config.descriptor_limit / 3 + RESERVE / 2;
+    let hops = config.descriptor_limit.saturating_sub(clients + RESERVE).max(1);
+    let pool = Pool::new(config.memory_limit / 2);
+    let bounds = Bounds { connect: config.settings.connect_timeout, idle: config.idle_timeout, most: hops };
     let caches = Caches::new(clock, Rc::clone(&pool), Rc::clone(&counters), bounds);
     caches.sweep(tasks);
     let (moved, moves) = async_channel::unbounded();
-    let keys = Keys::default();
+    let keys = ResponderKeys::default();
     let means = Means {
         tasks,
         clock,
@@ -131,17 +131,19 @@
         (_, Some(feed)) => feed.follow(tasks, Some((address, moves))),
         (None, None) => {
             let subscriber = Alone {
-                last: config.last,
+                last: config.last_event,
                 names: config.names.clone(),
                 counters: Rc::clone(&counters),
                 dispatcher: dispatcher.clone(),
             };
-            let bulletin = Bulletin { address, moves, clock, counters: Rc::clone(&counters), subscriber };
+            let bulletin =
+                DiscoveryClient { address, moves, clock, counters: Rc::clone(&counters), subscriber };
             tasks.spawn(bulletin.follow()).detach();
         }
         (Some(fleet), None) => {
             let subscriber = Asker(Rc::clone(fleet));
-            let bulletin = Bulletin { address, moves, clock, counters: Rc::clone(&counters), subscriber };
+            let bulletin =
+                DiscoveryClient { address, moves, clock, counters: Rc::clone(&counters), subscriber };
             tasks.spawn(bulletin.follow()).detach();
         }
     }
@@ -171,7 +173,7 @@
     let told = async {
         while let Some(signal) = signals.next().await {
             match signal {
-                Ok(Signal::Usr1) => _ = dispatcher.send(Event::Tell).await,
+                Ok(Signal::Usr1) => _ = dispatcher.send(Event::DumpCounters).await,
                 Ok(Signal::Hup) => {
                     match read(path, config::bulletin) {
                         Ok(address) => _ = moved.try_send(address),
@@ -183,7 +185,7 @@
                         fleet.rekey(read(of, whole));
                     }
                 }
-                Ok(_) => _ = dispatcher.send(Event::Stop).await,
+                Ok(_) => _ = dispatcher.send(Event::Shutdown).await,
                 Err(e) => log::warn!("signals: {e}"),
             }
         }
--- a/gateway/src/rpc.rs
+++ b/gateway/src/rpc.rs
@@ -1,7 +1,7 @@
 //! Reads and writes MessagePack-RPC, without I/O. Must never panic on what a client sends, nor hold more than one
 //! frame of the bounded length; what the frames mean to the gateway is decided elsewhere.
 
-use crate::seam::Ask;
+use crate::dispatch_api::Request;
 use crate::{digits, number};
 
 /// A body of 48,000 bytes with its fields fits; more is no request.
@@ -23,7 +23,7 @@
 
 #[derive(Debug, PartialEq)]
 pub enum Message {
-    Request { id: u64, method: String, ask: Box<Ask> },
+    Request { id: u64, method: String, ask: Box<Request> },
     Check { id: u64 },
     Interrupt { ids: Vec<u64> },
 }
@@ -187,7 +187,7 @@
     }
 }
 
-fn ask(params: &[Value]) -> Result<Ask, &'static str> {
+fn ask(params: &[Value]) -> Result<Request, &'static str> {
     let (fields, body) = match params {
         [Value::Map(fields)] => (fields, &[][..]),
         [Value::Map(fields), Value::Nil] => (fields, &[][..]),
@@ -198,21 +198,21 @@
     if body.len() > MOST_BODY || (0..fields.len()).any(twice) {
         return Err("too long a body, or a field twice");
     }
-    let mut ask = Ask { body: body.to_vec(), ..Ask::default() };
+    let mut ask = Request { body: body.to_vec(), ..Request::default() };
     let (mut part, mut group, mut timeout) = (None, None, None);
     for (name, value) in fields {
         let (Some(name), Some(value)) = (name.bytes(), value.bytes()) else {
             return Err("a field is no text");
         };
         match name {
-            b"req" => (ask.req, ask.trace) = hex(value).ok_or("no req")?,
-            b"subject" => (ask.subject, ask.object) = hex(value).ok_or("no subject")?,
+            b"req" => (ask.request_id, ask.request_number) = hex(value).ok_or("no req")?,
+            b"subject" => (ask.object_name, ask.object) = hex(value).ok_or("no subject")?,
             b"slice" => part = digits::<u32>(value),
             b"set" => group = digits(value),
             b"timeout" => timeout = digits(value).filter(|ms| *ms > 0),
-            b"need" => ask.need = Some(size(value).ok_or("no need")?),
-            b"seen" => ask.seen = Some(hex(value).ok_or("no seen")?.0),
-            b"opkey" => ask.mark = Some(mark(value).ok_or("no opkey")?),
+            b"need" => ask.size_kb = Some(size(value).ok_or("no need")?),
+            b"seen" => ask.client_etag = Some(hex(value).ok_or("no seen")?.0),
+            b"opkey" => ask.idempotency_key = Some(mark(value).ok_or("no opkey")?),
             b"resent" if value != b"1" => return Err("no resent"),
             _ => {}
         }
@@ -220,7 +220,7 @@
     ask.part = part.ok_or("no slice")?.into();
     ask.group = group.ok_or("no set")?;
     ask.timeout_ms = timeout.ok_or("no timeout")?;
-    if ask.req.is_empty() || ask.subject.is_empty() {
+    if ask.request_id.is_empty() || ask.object_name.is_empty() {
         return Err("no req or subject");
     }
     Ok(ask)
--- a/gateway/src/sites.rs
+++ b/gateway/src/sites.rs
@@ -9,9 +9,9 @@
 use crate::Tasks;
 use crate::buffers::{Body, Pool};
 use crate::clock::Clock;
-use crate::config::{Config, Listed};
-use crate::counters::{Counters, Held};
-use crate::seam::{Carrier, Event, Job, Keys, Running, Service};
+use crate::config::{Config, ListedMember};
+use crate::counters::{CountGuard, Counters};
+use crate::dispatch_api::{Event, HopFuture, HopRequest, ResponderKeys, Service, Transport};
 use async_channel::{Receiver, Sender};
 use copies::Copies;
 use far::Door;
@@ -37,7 +37,7 @@
     pub pool: Rc<Pool>,
     pub counters: Rc<Counters>,
     pub dispatcher: Sender<Event>,
-    pub keys: Keys,
+    pub keys: ResponderKeys,
 }
 
 /// What is written to a stream in one piece.
@@ -46,7 +46,7 @@
     body: Option<Body>,
     /// Nobody waits for it after that.
     until: Option<Time>,
-    _held: Option<Held>,
+    _held: Option<CountGuard>,
 }
 
 impl From<Vec<u8>> for Frame {
@@ -93,7 +93,7 @@
         text: &str,
         copies: Option<&str>,
         config: &Config,
-    ) -> Result<(Rc<Between>, Vec<Listed>), String> {
+    ) -> Result<(Rc<Between>, Vec<ListedMember>), String> {
         let file = Rc::new(Sites::read(text).map_err(|e| e.to_string())?);
         let (members, links) = members(&file, config)?;
         let keys = quic::Keys::read(&file.keys, file.congestion).map_err(|e| e.to_string())?;
@@ -139,7 +139,7 @@
 }
 
 /// Each peer is a member for each thing that it stands for.
-fn members(file: &Sites, config: &Config) -> Result<(Vec<Listed>, BTreeMap<MemberId, usize>), String> {
+fn members(file: &Sites, config: &Config) -> Result<(Vec<ListedMember>, BTreeMap<MemberId, usize>), String> {
     let (mut all, mut links) = (Vec::new(), BTreeMap::new());
     for (link, peer) in file.peers.iter().enumerate() {
         for &stands in &peer.stands_for {
@@ -157,11 +157,11 @@
                 kind,
                 cell: 0,
                 state: MemberState::Up,
-                size: peer.size,
+                capacity: peer.size,
                 started: None,
                 remote: true,
             };
-            all.push(Listed { member, address: None });
+            all.push(ListedMember { member, address: None });
         }
     }
     Ok((all, links))
@@ -172,24 +172,24 @@
     rand::rng().random_range(1..=u64::MAX)
 }
 
-impl Carrier for Between {
-    fn carries(&self, member: &MemberId) -> bool {
+impl Transport for Between {
+    fn reaches(&self, member: &MemberId) -> bool {
         self.ways.carries(member)
     }
 
-    fn hop(&self, job: Job) -> Running {
+    fn hop(&self, job: HopRequest) -> HopFuture {
         let ways = Rc::clone(&self.ways);
         Box::pin(async move { ways.hop(job).await })
     }
 }
 
 impl Service for Between {
-    fn stop(&self) {
+    fn shutdown(&self) {
         self.door.iter().for_each(|door| door.stop());
         self.copies.iter().for_each(|copies| copies.stop());
     }
 
-    fn sizes(&self) -> Vec<(&'static str, usize)> {
+    fn table_sizes(&self) -> Vec<(&'static str, usize)> {
         let mut all = self.ways.sizes();
         all.extend(self.door.iter().flat_map(|door| door.sizes()));
         all.extend(self.copies.iter().flat_map(|copies| copies.sizes()));
--- a/gateway/src/sites/far.rs
+++ b/gateway/src/sites/far.rs
@@ -5,8 +5,8 @@
 use super::copies::{Copies, Heard};
 use super::{Frame, LEAST_SLEEP, Means, fresh_number, write_frames};
 use crate::buffers::Body;
-use crate::counters::Held;
-use crate::seam::{Ask, Caller, Event};
+use crate::counters::CountGuard;
+use crate::dispatch_api::{Event, Request, Responder};
 use async_channel::{Receiver, Sender};
 use event_listener::Event as Poke;
 use futures_lite::future;
@@ -42,7 +42,7 @@
 /// A request that waits for the core's word.
 struct Pending {
     method: String,
-    ask: Box<Ask>,
+    ask: Box<Request>,
     at: Time,
 }
 
@@ -278,7 +278,7 @@
                 Do::HangUp { call } => {
                     self.calls.borrow_mut().remove(&call);
                     // It fails only when the dispatcher has ended, and with it the process.
-                    _ = self.means.dispatcher.try_send(Event::Interrupted { client: self.key, id: call });
+                    _ = self.means.dispatcher.try_send(Event::Cancelled { client: self.key, id: call });
                     let answer = Arc::new(Answer { ending: Ending::Aborted, body: Vec::new() });
                     self.core.borrow_mut().ended(now, call, &answer);
                 }
@@ -330,7 +330,7 @@
         let Some(client) = self.itself.upgrade() else { return };
         self.means.counters.add("far requests");
         // It fails only when the dispatcher has ended, and with it the process.
-        _ = self.means.dispatcher.try_send(Event::Asked { client, id: call, method, ask, at });
+        _ = self.means.dispatcher.try_send(Event::Request { client, id: call, method, request: ask, at });
     }
 
     fn control(&self, session: SessionId, frame: Frame) {
@@ -366,7 +366,7 @@
             Bytes::Body(body) => frame.body = Some(body),
             Bytes::None => {}
         }
-        (frame.until, frame._held) = (until, Some(Held::new(&self.means.counters.unwritten)));
+        (frame.until, frame._held) = (until, Some(CountGuard::new(&self.means.counters.unwritten)));
         self.write(session, number, frame, true);
     }
 
@@ -515,23 +515,23 @@
         if let Some(reply) = reply {
             self.replies.borrow_mut().insert((session, number), reply);
         }
-        let ask = Ask {
-            req: format!("{:016x}", r.trace),
-            trace: r.trace,
-            subject: format!("{:016x}", r.object),
+        let ask = Request {
+            request_id: format!("{:016x}", r.trace),
+            request_number: r.trace,
+            object_name: format!("{:016x}", r.object),
             object: r.object,
             part: r.part,
             group: r.group as u8,
             timeout_ms: (r.left_us / 1_000).clamp(1, u32::MAX.into()) as u32,
-            need: r.need,
-            seen: r.seen,
-            mark: r.mark,
+            size_kb: r.need,
+            client_etag: r.seen,
+            idempotency_key: r.mark,
             body: r.body,
-            oldest: r.oldest_us.map(Span::from_micros),
-            path: r.path,
+            max_age: r.oldest_us.map(Span::from_micros),
+            via: r.path,
         };
         let importance = r.importance as u8;
-        let asked = Asked { number, once: r.once, importance, path: &ask.path };
+        let asked = Asked { number, once: r.once, importance, path: &ask.via };
         let call = self.core.borrow_mut().request(now, session, &asked);
         if let Some(call) = call {
             let pending = Pending { method: r.rule, ask: Box::new(ask), at: now };
@@ -559,7 +559,7 @@
     }
 }
 
-impl Caller for Door {
+impl Responder for Door {
     fn key(&self) -> u64 {
         self.key
     }
--- a/gateway/src/sites/near.rs
+++ b/gateway/src/sites/near.rs
@@ -2,8 +2,8 @@
 //! end a hop by itself: each ends by the core's word, once.
 
 use super::{Frame, LEAST_SLEEP, Means, fresh_number, write_frames};
-use crate::end::End as Ends;
-use crate::seam::{Ended, Event, Job};
+use crate::connection_end::ConnectionEnd as Ends;
+use crate::dispatch_api::{Event, HopRequest, HopResult};
 use async_channel::Sender;
 use async_executor::Task;
 use event_listener::Event as Poke;
@@ -35,9 +35,9 @@
 
 /// A hop that the core has.
 struct Wait {
-    job: Job,
-    tell: Sender<Ended>,
-    got: Option<Ended>,
+    job: HopRequest,
+    tell: Sender<HopResult>,
+    got: Option<HopResult>,
     /// From its sending to the far end's word that it was taken.
     first: Option<Span>,
     /// The exchange on its stream.
@@ -125,17 +125,17 @@
         told
     }
 
-    pub async fn hop(self: Rc<Self>, job: Job) -> Ended {
+    pub async fn hop(self: Rc<Self>, job: HopRequest) -> HopResult {
         let Some(&link) = self.members.get(&job.member) else { return Ends::FarDown.into() };
         let (tell, told) = async_channel::bounded(1);
         let want = Want {
             importance: self.file.importance(&job.rule),
-            once: job.once,
-            need: job.ask.need.filter(|_| !job.write),
-            body: if job.write { job.ask.body.len() } else { 0 },
-            until: job.until,
-            wanted: job.wanted,
-            path: &job.ask.path,
+            once: job.unrepeatable,
+            need: job.request.size_kb.filter(|_| !job.write),
+            body: if job.write { job.request.body.len() } else { 0 },
+            until: job.deadline,
+            wanted: job.sla_deadline,
+            path: &job.request.via,
         };
         let number = self.core.borrow_mut().hop(self.means.clock.now(), link, &want);
         self.waits.borrow_mut().insert(number, Wait { job, tell, got: None, first: None, task: None });
@@ -144,7 +144,7 @@
         // The sender goes only with its word or with the guard.
         let mut ended = told.recv().await.unwrap_or_else(|_| Ends::FarLost.into());
         ended.at = Some(self.means.clock.now());
-        self.means.counters.ended(ended.end);
+        self.means.counters.record_end(ended.end);
         ended
     }
 
@@ -168,7 +168,7 @@
                 Act::Back { link } => {
                     for (member, _) in self.members.iter().filter(|(_, of)| **of == link) {
                         // It fails only when the dispatcher has ended, and with it the process.
-                        _ = self.means.dispatcher.try_send(Event::Alive { member: member.clone() });
+                        _ = self.means.dispatcher.try_send(Event::MemberAlive { member: member.clone() });
                     }
                 }
                 Act::Settle { link, below } => self.say(link, Said::Settle(below)),
@@ -229,25 +229,25 @@
         wait.task = Some(self.means.tasks.spawn(work));
     }
 
-    fn request(&self, job: &Job, number: u64, left: Span) -> wire::Request {
-        let ask = &job.ask;
-        let mut path = ask.path.clone();
+    fn request(&self, job: &HopRequest, number: u64, left: Span) -> wire::Request {
+        let ask = &job.request;
+        let mut path = ask.via.clone();
         path.push(self.file.site.clone());
         wire::Request {
             number,
             rule: job.rule.to_string(),
-            trace: ask.trace,
+            trace: ask.request_number,
             object: ask.object,
             part: ask.part,
             group: ask.group.into(),
-            need: ask.need,
-            seen: ask.seen.clone().filter(|_| !job.write),
+            need: ask.size_kb,
+            seen: ask.client_etag.clone().filter(|_| !job.write),
             body: if job.write { ask.body.clone() } else { Vec::new() },
             left_us: left.as_micros(),
-            oldest_us: job.fill.as_ref().and_then(|f| f.oldest).map(Span::as_micros),
+            oldest_us: job.fill.as_ref().and_then(|f| f.max_age).map(Span::as_micros),
             path,
-            once: job.once,
-            mark: ask.mark.clone(),
+            once: job.unrepeatable,
+            mark: ask.idempotency_key.clone(),
             importance: self.file.importance(&job.rule).into(),
         }
     }
@@ -359,7 +359,7 @@
             }
         }
         if let Some(wait) = self.waits.borrow_mut().get_mut(&answer.number) {
-            wait.got = Some(Ended { body, own, ..Ended::from(end) });
+            wait.got = Some(HopResult { body, local_wait: own, ..HopResult::from(end) });
         }
         let bytes = f64::from(answer.length);
         self.tell(|core, now| core.answered(now, link, answer.number, bytes));
--- a/gateway/tests/closing.rs
+++ b/gateway/tests/closing.rs
@@ -12,7 +12,7 @@
 use kelpcart_gateway::clients::Front;
 use kelpcart_gateway::clock::Clock;
 use kelpcart_gateway::counters::Counters;
-use kelpcart_gateway::seam::{Ask, Caller, Event, Keys, Service};
+use kelpcart_gateway::dispatch_api::{Event, Request, Responder, ResponderKeys, Service};
 use std::future::Future;
 use std::io::{ErrorKind, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -31,9 +31,9 @@
 
 /// What the dispatcher is given of a txn.
 struct Asked {
-    caller: Rc<dyn Caller>,
+    caller: Rc<dyn Responder>,
     id: u64,
-    ask: Box<Ask>,
+    ask: Box<Request>,
 }
 
 impl World {
@@ -44,8 +44,8 @@
     async fn asked(&self) -> Asked {
         loop {
             match self.event().await {
-                Event::Asked { client, id, ask, .. } => return Asked { caller: client, id, ask },
-                Event::Left { .. } => {}
+                Event::Request { client, id, request: ask, .. } => return Asked { caller: client, id, ask },
+                Event::Disconnected { .. } => {}
                 _ => panic!("something else came"),
             }
         }
@@ -53,7 +53,7 @@
 
     /// Whether nothing but the ends of connections was passed on.
     fn nothing_asked(&self) -> bool {
-        std::iter::from_fn(|| self.events.try_recv().ok()).all(|e| matches!(e, Event::Left { .. }))
+        std::iter::from_fn(|| self.events.try_recv().ok()).all(|e| matches!(e, Event::Disconnected { .. }))
     }
 
     async fn serve(&self, asked: &Asked, len: usize) {
@@ -146,7 +146,7 @@
         dispatcher,
         most,
         connected: Rc::default(),
-        keys: Keys::default(),
+        keys: ResponderKeys::default(),
         ending: Rc::default(),
     };
     tasks.spawn(front.clone().accept(listener)).detach();
@@ -312,7 +312,7 @@
         let open = world.asked().await;
         client.write(&[0xc1; 8]);
         // What is open is given up, with an answer that promises nothing.
-        assert!(matches!(world.event().await, Event::Left { client } if client == open.caller.key()));
+        assert!(matches!(world.event().await, Event::Disconnected { client } if client == open.caller.key()));
         for id in 1..=n {
             let answer = client.take(SERVED + 230_000).await;
             assert_eq!(answer[..4], [0x94, 0x01, id, 0xc0]);
@@ -335,6 +335,8 @@
         // Until nothing more is taken from it.
         world.clock.sleep(Span::from_millis(3_000)).await;
         client.leave();
-        assert!(matches!(world.event().await, Event::Left { client } if client == asked.caller.key()));
+        assert!(
+            matches!(world.event().await, Event::Disconnected { client } if client == asked.caller.key())
+        );
     });
 }
--- a/gateway/tests/feed.rs
+++ b/gateway/tests/feed.rs
@@ -9,7 +9,7 @@
 use common::{PATIENCE, held, program};
 use installation::{Installation, TOLD_MS, alone};
 use kelpcart::interface::MemberState;
-use kelpcart_gateway::config::{self, Names, News};
+use kelpcart_gateway::config::{self, DiscoveryEvent, Names};
 use kelpcart_gateway::feed::Owners;
 use kelpcart_rig::bulletin::Bulletin;
 use kelpcart_rig::fleet::{self, Node, Process, free_udp};
@@ -234,8 +234,8 @@
         let endpoint = |(n, s): &(&str, &str)| json!({"name": n, "status": s, "address": "127.0.0.1:1"});
         let list: Vec<_> = names.iter().map(endpoint).collect();
         let event = json!({"no": 1, "roster": {"snapshot": whole, "endpoints": list}});
-        match config::news(&event, &Names::default()).unwrap().1 {
-            Some(News::Roster { whole, list }) => (whole, list),
+        match config::parse_event(&event, &Names::default()).unwrap().1 {
+            Some(DiscoveryEvent::Roster { whole, list }) => (whole, list),
             _ => unreachable!("a roster was written"),
         }
     };
@@ -244,7 +244,7 @@
         let (whole, list) = roster(whole, names);
         let (list, left_out) = owners.change(stream, whole, list);
         assert_eq!(left_out, 0);
-        let told = |l: &config::Listed| {
+        let told = |l: &config::ListedMember| {
             format!("{}{}", if l.member.state == MemberState::Gone { "-" } else { "+" }, l.member.id)
         };
         let mut told: Vec<String> = list.iter().map(told).collect();
--- a/gateway/tests/loopback.rs
+++ b/gateway/tests/loopback.rs
@@ -9,9 +9,9 @@
 use kelpcart_gateway::buffers::{self, Pool};
 use kelpcart_gateway::caches::{Bounds, Caches};
 use kelpcart_gateway::clock::Clock;
-use kelpcart_gateway::config::{self, news};
-use kelpcart_gateway::end::End;
-use kelpcart_gateway::seam::Job;
+use kelpcart_gateway::config::{self, parse_event};
+use kelpcart_gateway::connection_end::ConnectionEnd;
+use kelpcart_gateway::dispatch_api::HopRequest;
 use quickcheck::{Gen, QuickCheck};
 use serde_json::json;
 use stand_ins::*;
@@ -392,7 +392,9 @@
     let caches = Caches::new(clock, Rc::clone(&pool), counters, bounds);
     let entry = endpoint(&Member("e1", "box", edge.address), "up");
     let roster = json!({"no": 1, "roster": {"index": 0, "snapshot": true, "endpoints": [entry]}});
-    let Ok((_, Some(config::News::Roster { list, .. }))) = news(&roster, &Default::default()) else {
+    let Ok((_, Some(config::DiscoveryEvent::Roster { list, .. }))) =
+        parse_event(&roster, &Default::default())
+    else {
         panic!("no roster")
     };
     caches.members(true, &list);
@@ -400,12 +402,23 @@
         let (member, until, rule, ask) = ("e1".into(), clock.now() + wait, "segment".into(), Rc::default());
         let (begin_by, begun) = (until, Rc::default());
         let (write, once, fill) = (false, false, None);
-        caches.hop(Job { member, begin_by, begun, until, wanted: until, rule, write, once, ask, fill })
+        caches.hop(HopRequest {
+            member,
+            start_by: begin_by,
+            started: begun,
+            deadline: until,
+            sla_deadline: until,
+            rule,
+            write,
+            unrepeatable: once,
+            request: ask,
+            fill,
+        })
     };
     // No room for the body: the answer is there, and the time runs out.
     let held = block_on(pool.body(2 * buffers::SIZE));
     release.send(()).unwrap();
-    assert_eq!(block_on(hop(Span::from_millis(300))).end, End::LateForRoom);
+    assert_eq!(block_on(hop(Span::from_millis(300))).end, ConnectionEnd::LateForRoom);
     drop(held);
     // No descriptor until the first hop ends.
     let both = future::zip(hop(second * 20.0), hop(second * 20.0));
@@ -414,8 +427,8 @@
         (0..2).for_each(|_| release.send(()).unwrap());
     };
     let ((first, second), ()) = block_on(future::zip(both, later));
-    assert_eq!((first.end, second.end), (End::Whole, End::Whole));
-    assert!(first.own < second.own && second.own >= Span::from_millis(100));
+    assert_eq!((first.end, second.end), (ConnectionEnd::Whole, ConnectionEnd::Whole));
+    assert!(first.local_wait < second.local_wait && second.local_wait >= Span::from_millis(100));
 }
 
 #[test]
--- a/gateway/tests/parsers.rs
+++ b/gateway/tests/parsers.rs
@@ -2,9 +2,9 @@
 
 use futures_lite::future::{block_on, poll_once};
 use kelpcart::Span;
-use kelpcart::interface::{Fill, HopStatus, CacheStatus};
+use kelpcart::interface::{CacheStatus, Fill, HopStatus};
 use kelpcart_gateway::buffers::{Pool, SIZE};
-use kelpcart_gateway::end::End;
+use kelpcart_gateway::connection_end::ConnectionEnd;
 use kelpcart_gateway::http::{self, Head, Request};
 use kelpcart_gateway::rpc::{self, Fault, Message, Word};
 use quickcheck::{Gen, QuickCheck, Testable};
@@ -76,7 +76,10 @@
             (method.as_str(), ask.object, ask.part, ask.timeout_ms),
             ("segment", 0x7f3a9c21e0b4d655, 3, 1500)
         );
-        assert_eq!((ask.req.as_str(), ask.need, &ask.body), ("9b1f03aa5c7e2d41", Some(412.5), &body));
+        assert_eq!(
+            (ask.request_id.as_str(), ask.size_kb, &ask.body),
+            ("9b1f03aa5c7e2d41", Some(412.5), &body)
+        );
         let rest = [Message::Check { id: 2 }, Message::Interrupt { ids: vec![1] }];
         fault.is_none()
             && all[1..3] == rest
@@ -225,7 +228,14 @@
 fn ages_and_times_are_rounded_so_that_no_rule_is_loosened() {
     let fill = |oldest| {
         let source = Arc::from("p1");
-        Fill { source, keep_rank: 2, coalesce: true, only_if_cached: false, revalidate: true, oldest: Some(oldest) }
+        Fill {
+            source,
+            keep_rank: 2,
+            coalesce: true,
+            only_if_cached: false,
+            revalidate: true,
+            max_age: Some(oldest),
+        }
     };
     let head = |micros: u64| {
         let fill = fill(Span::from_micros(micros));
@@ -257,30 +267,30 @@
 #[test]
 fn only_proof_lets_a_hop_count_as_not_run() {
     let proven = [
-        End::Lacking,
-        End::Full,
-        End::Over,
-        End::Refused,
-        End::NoConnection,
-        End::NoSocket,
-        End::LateUnsent,
-        End::Overtaken,
-        End::CutUnsent,
-        End::KeptClosed,
-        End::FarDown,
-        End::FarFull,
-        End::FarTurned,
-        End::FarLoop,
-        End::FarNever,
-        End::FarRejected,
-        End::FarInvalid,
+        ConnectionEnd::Lacking,
+        ConnectionEnd::Full,
+        ConnectionEnd::Over,
+        ConnectionEnd::Refused,
+        ConnectionEnd::NoConnection,
+        ConnectionEnd::NoSocket,
+        ConnectionEnd::LateUnsent,
+        ConnectionEnd::Overtaken,
+        ConnectionEnd::CutUnsent,
+        ConnectionEnd::KeptClosed,
+        ConnectionEnd::FarDown,
+        ConnectionEnd::FarFull,
+        ConnectionEnd::FarTurned,
+        ConnectionEnd::FarLoop,
+        ConnectionEnd::FarNever,
+        ConnectionEnd::FarRejected,
+        ConnectionEnd::FarInvalid,
     ];
-    for end in End::ALL {
-        let not_run = end.to_module().is_some_and(HopStatus::proves_not_run);
+    for end in ConnectionEnd::ALL {
+        let not_run = end.hop_status().is_some_and(HopStatus::proves_not_run);
         assert_eq!(not_run, proven.contains(&end), "{end:?}");
     }
-    let served = End::ALL.iter().filter(|e| e.to_module() == Some(HopStatus::Completed));
-    assert!(served.eq(&[End::Whole, End::Current]));
+    let served = ConnectionEnd::ALL.iter().filter(|e| e.hop_status() == Some(HopStatus::Completed));
+    assert!(served.eq(&[ConnectionEnd::Whole, ConnectionEnd::Current]));
 }
 
 #[test]
--- a/routes/src/fleet.rs
+++ b/routes/src/fleet.rs
@@ -3,7 +3,7 @@
 
 use crate::expect::{Chosen, Expectation, Given, Must, Suite, Trouble};
 use kelpcart::interface::{Member, MemberState, Settings};
-use kelpcart_gateway::config::{Config, Names, News};
+use kelpcart_gateway::config::{Config, DiscoveryEvent, Names};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug)]
@@ -17,8 +17,8 @@
 impl Fleet {
     pub fn of(config: &Config) -> Fleet {
         let mut members: BTreeMap<String, Member> = BTreeMap::new();
-        for event in &config.known {
-            let News::Roster { whole, list } = event else { continue };
+        for event in &config.initial_events {
+            let DiscoveryEvent::Roster { whole, list } = event else { continue };
             if *whole {
                 members.clear();
             }
--- a/routes/src/measure.rs
+++ b/routes/src/measure.rs
@@ -28,7 +28,16 @@
             i => (edge, format!("box-{i}")),
         };
         let (id, state, started) = (Arc::from(name), MemberState::Up, None::<Time>);
-        Member { id, zone: i % zones, kind, cell: (i % 7) as u64, state, size: 4.0, started, remote: false }
+        Member {
+            id,
+            zone: i % zones,
+            kind,
+            cell: (i % 7) as u64,
+            state,
+            capacity: 4.0,
+            started,
+            remote: false,
+        }
     };
     Fleet { members: (0..members).map(member).collect(), ..base.clone() }
 }
--- a/routes/src/world.rs
+++ b/routes/src/world.rs
@@ -4,8 +4,8 @@
 use crate::expect::Trouble;
 use crate::fleet::Fleet;
 use kelpcart::explain::Explanation;
+use kelpcart::hash_prefix::PrefixSet;
 use kelpcart::interface::*;
-use kelpcart::names::PrefixSet;
 use kelpcart::{Gateway, Span, Time};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -122,7 +122,12 @@
     }
 
     /// How a hop ends: its member's trouble, then its source's.
-    fn ends(&self, member: usize, source: Option<usize>, fill: Option<&Fill>) -> (HopStatus, Option<CacheStatus>) {
+    fn ends(
+        &self,
+        member: usize,
+        source: Option<usize>,
+        fill: Option<&Fill>,
+    ) -> (HopStatus, Option<CacheStatus>) {
         let trouble = |i: usize| self.circumstance.troubles.get(&i).copied();
         match trouble(member) {
             Some(Trouble::Down) => (HopStatus::Unreachable, None),
@@ -131,11 +136,17 @@
             Some(Trouble::Failing) => (HopStatus::Errored, None),
             _ => match source.map(|s| (s, trouble(s))) {
                 // Nothing is kept anywhere yet, the worst case for routes: who is asked only for what it holds lacks it.
-                None if fill.is_some_and(|f| f.only_if_cached && f.source == self.fleet.members[member].id) => {
+                None if fill
+                    .is_some_and(|f| f.only_if_cached && f.source == self.fleet.members[member].id) =>
+                {
                     (HopStatus::Lacking, None)
                 }
-                Some(_) if fill.is_some_and(|f| f.only_if_cached) => (HopStatus::Lacking, Some(CacheStatus::SourceLacks)),
-                Some((_, Some(Trouble::Down | Trouble::Silent))) => (HopStatus::Errored, Some(CacheStatus::SourceLost)),
+                Some(_) if fill.is_some_and(|f| f.only_if_cached) => {
+                    (HopStatus::Lacking, Some(CacheStatus::SourceLacks))
+                }
+                Some((_, Some(Trouble::Down | Trouble::Silent))) => {
+                    (HopStatus::Errored, Some(CacheStatus::SourceLost))
+                }
                 Some((_, Some(Trouble::Full | Trouble::Failing))) => {
                     (HopStatus::Errored, Some(CacheStatus::SourceRefused))
                 }
@@ -148,7 +159,7 @@
         let (id, group, write) = (self.next, object % 256, self.fleet.settings.rules[rule].is_write);
         let left = self.fleet.settings.rules[rule].sla * 4.0;
         let size = (self.fleet.settings.client_rate > 0.0).then_some(1.0);
-        Txn { id, rule, object, group, part: 0, is_write: write, size, time_left: left, oldest: None }
+        Txn { id, rule, object, group, part: 0, is_write: write, size, time_left: left, max_age: None }
     }
 
     /// What the module has to say of a txn that would come now.
@@ -170,7 +181,7 @@
         if self.circumstance.purged {
             self.gateway.purge(self.now, PrefixSet::object(object), Span::ZERO);
         }
-        self.gateway.txn(self.now, txn);
+        self.gateway.submit(self.now, txn);
         let mut way = Way { object, steps: Vec::new(), last: None };
         for _ in 0..MOST_DECISIONS {
             match self.gateway.poll(self.now) {
@@ -180,19 +191,30 @@
                     let source = source.filter(|&s| s != member);
                     let (end, note) = self.ends(member, source, fill.as_ref());
                     let (hop, closed) = (way.steps.len() as u32, end == HopStatus::Completed);
-                    let oldest = fill.and_then(|f| f.oldest);
+                    let oldest = fill.and_then(|f| f.max_age);
                     way.steps.push(Step { member, source, oldest, end });
                     let took = if end == HopStatus::TimedOut { left * 0.25 } else { ANSWERED };
                     self.now += took;
                     let (first_byte, load) = (Some(ANSWERED), LoadReport::default());
-                    self.gateway
-                        .outcome(self.now, Outcome { txn, hop, end, duration: took, answered: closed, cache_status: note, first_byte, load });
+                    self.gateway.record_outcome(
+                        self.now,
+                        Outcome {
+                            txn,
+                            hop,
+                            status: end,
+                            duration: took,
+                            answered: closed,
+                            cache_status: note,
+                            first_byte,
+                            load,
+                        },
+                    );
                     if closed {
                         way.last = Some(Final::Served);
                         return way;
                     }
                 }
-                Some(Decision::Reject { txn, come_back }) if txn == id => {
+                Some(Decision::Reject { txn, retry_after: come_back }) if txn == id => {
                     way.last = Some(Final::Rejected(come_back));
                     return way;
                 }
--- a/scale/src/capacity/rows.rs
+++ b/scale/src/capacity/rows.rs
@@ -95,7 +95,7 @@
 const LEASES: &str = "fleet/src/lease.rs";
 const GROUP: &str = "copies/src/group.rs";
 const DECIDE: &str = "failover/src/decide.rs";
-const NAMES: &str = "src/names.rs";
+const NAMES: &str = "src/hash_prefix.rs";
 
 /// One ladder's figure at a size.
 macro_rules! of {
--- a/scale/src/feed_net.rs
+++ b/scale/src/feed_net.rs
@@ -5,7 +5,7 @@
 use crate::hollow::{Hollow, Told};
 use crate::sim::{Sim, Spent};
 use hdrhistogram::Histogram;
-use kelpcart::names::object_hash;
+use kelpcart::hash_prefix::object_hash;
 use kelpcart::{Span, Time};
 use kelpcart_feed::Feed;
 use kelpcart_feed::settings::Key;
@@ -328,7 +328,9 @@
                 Told::Purge { names, issued_ms } => {
                     for n in place.first..self.followed.len() {
                         let follow = &self.followed[n];
-                        if issued_ms >= follow.issued_ms && names.contains(follow.name) && place.done.insert(n)
+                        if issued_ms >= follow.issued_ms
+                            && names.contains(follow.name)
+                            && place.done.insert(n)
                         {
                             self.delays.saturating_record((now - follow.at).as_micros());
                         }
--- a/scale/src/hollow.rs
+++ b/scale/src/hollow.rs
@@ -4,7 +4,7 @@
 use crate::sim::{Actor, Spent};
 use cpu_time::ThreadTime;
 use kelpcart::Time;
-use kelpcart::names::PrefixSet;
+use kelpcart::hash_prefix::PrefixSet;
 use kelpcart_feed::{Feed, VERSION};
 use kelpcart_fleet::node::{Node, Out};
 use std::collections::VecDeque;
--- a/scale/src/ladders/module.rs
+++ b/scale/src/ladders/module.rs
@@ -4,8 +4,8 @@
 use crate::memory;
 use crate::slopes::{Host, Ladder, Point};
 use cpu_time::ThreadTime;
+use kelpcart::hash_prefix::{PrefixSet, object_hash};
 use kelpcart::interface::*;
-use kelpcart::names::{PrefixSet, object_hash};
 use kelpcart::{Gateway, Span, Time};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -148,7 +148,7 @@
 
 pub fn member(id: String, kind: usize, zone: usize, size: f64) -> Member {
     let (id, state) = (Arc::from(id), MemberState::Up);
-    Member { id, zone, kind, cell: 0, state, size, started: None, remote: false }
+    Member { id, zone, kind, cell: 0, state, capacity: size, started: None, remote: false }
 }
 
 #[derive(Clone, Debug, Default)]
@@ -210,14 +210,17 @@
         while self.out.front().is_some_and(|(at, ..)| *at <= self.now) {
             let Some((at, outcome, member)) = self.out.pop_front() else { break };
             sent(at, &member, false);
-            self.gateway.outcome(at, outcome);
+            self.gateway.record_outcome(at, outcome);
             self.pull(at, sent);
         }
         self.counts.asked += 1;
         let (object, rule, part, write) = (self.rng.random_range(0..OBJECTS), 0, 0, false);
         let (id, group, size) = (self.counts.asked, object % 256, Some(KB));
         let left = self.case.settings_left();
-        self.gateway.txn(self.now, Txn { id, rule, object, group, part, is_write: write, size, time_left: left, oldest: None });
+        self.gateway.submit(
+            self.now,
+            Txn { id, rule, object, group, part, is_write: write, size, time_left: left, max_age: None },
+        );
         self.pull(self.now, sent);
     }
 
@@ -232,7 +235,16 @@
                     let note = Some(if held { CacheStatus::Held } else { CacheStatus::Filled });
                     let (end, closed, first_byte) = (HopStatus::Completed, true, Some(Span::from_millis(20)));
                     let load = LoadReport::default();
-                    let o = Outcome { txn, hop: 0, end, duration: took, answered: closed, cache_status: note, first_byte, load };
+                    let o = Outcome {
+                        txn,
+                        hop: 0,
+                        status: end,
+                        duration: took,
+                        answered: closed,
+                        cache_status: note,
+                        first_byte,
+                        load,
+                    };
                     self.out.push_back((now + took, o, member));
                 }
                 Decision::Reject { .. } | Decision::Abort { .. } => self.counts.refused += 1,
@@ -244,7 +256,7 @@
     /// Entries of all tables; what is measured in ms or counts a part of another table is none.
     pub fn kept(&self) -> usize {
         let no_table = ["members left out", "purges joined at the bound", "ms of the longest silence"];
-        self.gateway.sizes(self.now).filter(|(name, _)| !no_table.contains(name)).map(|(_, n)| n).sum()
+        self.gateway.table_sizes(self.now).filter(|(name, _)| !no_table.contains(name)).map(|(_, n)| n).sum()
     }
 }
 
--- a/scale/src/loopback.rs
+++ b/scale/src/loopback.rs
@@ -8,7 +8,7 @@
 use crate::sim::{Actor, Spent};
 use crate::slopes::{Host, Ladder};
 use hdrhistogram::Histogram;
-use kelpcart::names::object_hash;
+use kelpcart::hash_prefix::object_hash;
 use kelpcart::{Span, Time};
 use kelpcart_feed::Feed;
 use kelpcart_fleet::node::Node;
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -6,19 +6,19 @@
 use serde_json::{Map, Value};
 
 pub type Fields = Map<String, Value>;
-pub type Found<T> = Result<T, String>;
+pub type ParseResult<T> = Result<T, String>;
 
-pub fn settings(all: &Fields) -> Found<Settings> {
+pub fn settings(all: &Fields) -> ParseResult<Settings> {
     let family = object(all, "FamilyInfo")?;
     let limits = object(all, "PolicyLimits")?;
     let contract = object(all, "Contract")?;
     let zone = int(all, "Locality")? as usize;
-    let kind = |name| Ok::<_, String>(whole(family, name)?.and_then(|k| usize::try_from(k).ok()));
+    let kind = |name| Ok::<_, String>(optional_int(family, name)?.and_then(|k| usize::try_from(k).ok()));
     let classes = list(all, "Classes")?;
     let over = span(contract, "TipAfterUs")?;
     let parent_kind = kind("ParentKind")?;
     // Where there are no parents, nothing need be said of them.
-    let cold_parent = || -> Found<ColdStart> {
+    let cold_parent = || -> ParseResult<ColdStart> {
         Ok(ColdStart {
             initial_share: number(family, "ParentColdFrom")?,
             warm_up: span(family, "UpperColdUs")?,
@@ -28,12 +28,12 @@
     };
     let gateways = int(all, "Instances")? as u32;
     // Where it is not told how many there are in the own zone, all of them may be there.
-    let in_zone = at(family, "CrewByZone", zone).and_then(Value::as_u64).filter(|&n| n > 0);
+    let in_zone = element(family, "CrewByZone", zone).and_then(Value::as_u64).filter(|&n| n > 0);
     Ok(Settings {
         gateways,
         zone_gateways: in_zone.map_or(gateways, |n| n as u32),
         zone,
-        rules: classes.iter().enumerate().map(|(i, c)| rule(c, i, family)).collect::<Found<_>>()?,
+        rules: classes.iter().enumerate().map(|(i, c)| rule(c, i, family)).collect::<ParseResult<_>>()?,
         parent_kind,
         origin_kind: kind("OriginKind")?,
         client_rate: optional(family, "ClientKbPerS", number)?.unwrap_or(0.0),
@@ -64,9 +64,9 @@
     })
 }
 
-fn rule(class: &Value, i: usize, family: &Fields) -> Found<RemapRule> {
+fn rule(class: &Value, i: usize, family: &Fields) -> ParseResult<RemapRule> {
     let class = class.as_object().ok_or("a class is not an object")?;
-    let of = |name| at(family, name, i);
+    let of = |name| element(family, name, i);
     let effect = match text(class, "Repeat")? {
         "pure" => Effect::Repeatable,
         "token" => Effect::Keyed,
@@ -99,7 +99,7 @@
 
 /// A member's state, by the word that both the wire and the bulletin use. One in a state that is not known here gets
 /// nothing new.
-pub fn state(body: &Fields, name: &str) -> Found<MemberState> {
+pub fn state(body: &Fields, name: &str) -> ParseResult<MemberState> {
     match text(body, name)? {
         "up" => Ok(MemberState::Up),
         "draining" => Ok(MemberState::Draining),
@@ -108,46 +108,50 @@
     }
 }
 
-pub fn at<'a>(body: &'a Fields, name: &str, i: usize) -> Option<&'a Value> {
+pub fn element<'a>(body: &'a Fields, name: &str, i: usize) -> Option<&'a Value> {
     body.get(name)?.as_array()?.get(i)
 }
 
-pub fn need<'a>(body: &'a Fields, name: &str) -> Found<&'a Value> {
+pub fn required<'a>(body: &'a Fields, name: &str) -> ParseResult<&'a Value> {
     body.get(name).filter(|v| !v.is_null()).ok_or_else(|| format!("{name} is missing"))
 }
 
-pub fn optional<T>(body: &Fields, name: &str, read: fn(&Fields, &str) -> Found<T>) -> Found<Option<T>> {
+pub fn optional<T>(
+    body: &Fields,
+    name: &str,
+    read: fn(&Fields, &str) -> ParseResult<T>,
+) -> ParseResult<Option<T>> {
     body.get(name).filter(|v| !v.is_null()).map(|_| read(body, name)).transpose()
 }
 
-pub fn int(body: &Fields, name: &str) -> Found<u64> {
-    need(body, name)?.as_u64().ok_or_else(|| format!("{name} is not a whole number"))
+pub fn int(body: &Fields, name: &str) -> ParseResult<u64> {
+    required(body, name)?.as_u64().ok_or_else(|| format!("{name} is not a whole number"))
 }
 
-pub fn whole(body: &Fields, name: &str) -> Found<Option<i64>> {
-    optional(body, name, |b, n| need(b, n)?.as_i64().ok_or_else(|| format!("{n} is not a whole number")))
+pub fn optional_int(body: &Fields, name: &str) -> ParseResult<Option<i64>> {
+    optional(body, name, |b, n| required(b, n)?.as_i64().ok_or_else(|| format!("{n} is not a whole number")))
 }
 
-pub fn span(body: &Fields, name: &str) -> Found<Span> {
+pub fn span(body: &Fields, name: &str) -> ParseResult<Span> {
     int(body, name).map(Span::from_micros)
 }
 
-pub fn number(body: &Fields, name: &str) -> Found<f64> {
-    need(body, name)?.as_f64().ok_or_else(|| format!("{name} is not a number"))
+pub fn number(body: &Fields, name: &str) -> ParseResult<f64> {
+    required(body, name)?.as_f64().ok_or_else(|| format!("{name} is not a number"))
 }
 
-pub fn flag(body: &Fields, name: &str) -> Found<bool> {
-    need(body, name)?.as_bool().ok_or_else(|| format!("{name} is not true or false"))
+pub fn flag(body: &Fields, name: &str) -> ParseResult<bool> {
+    required(body, name)?.as_bool().ok_or_else(|| format!("{name} is not true or false"))
 }
 
-pub fn text<'a>(body: &'a Fields, name: &str) -> Found<&'a str> {
-    need(body, name)?.as_str().ok_or_else(|| format!("{name} is not a text"))
+pub fn text<'a>(body: &'a Fields, name: &str) -> ParseResult<&'a str> {
+    required(body, name)?.as_str().ok_or_else(|| format!("{name} is not a text"))
 }
 
-pub fn list<'a>(body: &'a Fields, name: &str) -> Found<&'a Vec<Value>> {
-    need(body, name)?.as_array().ok_or_else(|| format!("{name} is not a list"))
+pub fn list<'a>(body: &'a Fields, name: &str) -> ParseResult<&'a Vec<Value>> {
+    required(body, name)?.as_array().ok_or_else(|| format!("{name} is not a list"))
 }
 
-pub fn object<'a>(body: &'a Fields, name: &str) -> Found<&'a Fields> {
-    need(body, name)?.as_object().ok_or_else(|| format!("{name} is not an object"))
+pub fn object<'a>(body: &'a Fields, name: &str) -> ParseResult<&'a Fields> {
+    required(body, name)?.as_object().ok_or_else(|| format!("{name} is not an object"))
 }
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -33,7 +33,7 @@
     /// Its own sending time, as far as it is told.
     pub transfer_time: Span,
     /// The oldest copy that would be asked for; `None`: the remap rule's fresh time.
-    pub oldest: Option<Span>,
+    pub max_age: Option<Span>,
     pub origin_failing: bool,
 }
 
@@ -47,7 +47,7 @@
             origins: all(Role::Origin),
             fraction: self.fraction(txn),
             transfer_time: Span::from_secs_f64(self.sending(txn)),
-            oldest: self.oldest_for(now, txn),
+            max_age: self.oldest_for(now, txn),
             origin_failing: self.origin_sick(),
         }
     }
--- a/src/names.rs
+++ b/src/hash_prefix.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PrefixSet {
     bits: u8,
-    names: Arc<[u64]>,
+    prefixes: Arc<[u64]>,
 }
 
 impl PrefixSet {
@@ -46,7 +46,7 @@
         let bits = bits.min(MAX_BITS);
         let mask = u64::MAX.checked_shr(u32::from(MAX_BITS - bits)).unwrap_or(0);
         let names: BTreeSet<u64> = names.into_iter().map(|name| name & mask).collect();
-        PrefixSet { bits, names: names.into_iter().collect() }
+        PrefixSet { bits, prefixes: names.into_iter().collect() }
     }
 
     /// Every object and group.
@@ -64,7 +64,7 @@
 
     /// Whether a name at full length is among them.
     pub fn contains(&self, name: u64) -> bool {
-        self.names.binary_search(&first(name, self.bits)).is_ok()
+        self.prefixes.binary_search(&first(name, self.bits)).is_ok()
     }
 
     pub fn bits(&self) -> u8 {
@@ -72,13 +72,13 @@
     }
 
     /// Cut to `bits`, in order.
-    pub fn names(&self) -> &[u64] {
-        &self.names
+    pub fn prefixes(&self) -> &[u64] {
+        &self.prefixes
     }
 
     /// The part of all objects that it covers.
     pub fn coverage(&self) -> f64 {
-        self.names.len() as f64 / 2f64.powi(self.bits.into())
+        self.prefixes.len() as f64 / 2f64.powi(self.bits.into())
     }
 
     /// Covers what this one does with names of so many bits at the most.
@@ -87,13 +87,13 @@
             return self.clone();
         }
         let less = u32::from(self.bits - bits);
-        PrefixSet::from_prefixes(bits, self.names.iter().map(|name| name.checked_shr(less).unwrap_or(0)))
+        PrefixSet::from_prefixes(bits, self.prefixes.iter().map(|name| name.checked_shr(less).unwrap_or(0)))
     }
 
     /// Covers what either does.
-    pub fn join(&self, other: &PrefixSet) -> PrefixSet {
+    pub fn union(&self, other: &PrefixSet) -> PrefixSet {
         let bits = self.bits.min(other.bits);
         let (a, b) = (self.truncated(bits), other.truncated(bits));
-        PrefixSet::from_prefixes(bits, a.names.iter().chain(b.names.iter()).copied())
+        PrefixSet::from_prefixes(bits, a.prefixes.iter().chain(b.prefixes.iter()).copied())
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -102,7 +102,7 @@
     pub kind: usize,
     pub cell: u64,
     pub state: MemberState,
-    pub size: f64,
+    pub capacity: f64,
     /// `None`: long ago.
     pub started: Option<Time>,
     /// A gateway of another site, reached over a link by this gateway alone: no cache can fill from it.
@@ -122,7 +122,7 @@
     /// How long until the client gives this try up.
     pub time_left: Span,
     /// The oldest copy that the asker takes, where it says so.
-    pub oldest: Option<Span>,
+    pub max_age: Option<Span>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -175,7 +175,7 @@
     pub txn: TxnId,
     /// Counted from 0 in a txn.
     pub hop: u32,
-    pub end: HopStatus,
+    pub status: HopStatus,
     pub duration: Span,
     /// The txn has its final answer.
     pub answered: bool,
@@ -196,7 +196,7 @@
     pub only_if_cached: bool,
     pub revalidate: bool,
     /// `None`: the remap rule's fresh time.
-    pub oldest: Option<Span>,
+    pub max_age: Option<Span>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -207,7 +207,7 @@
         member: MemberId,
         fill: Option<Fill>,
         start_by: Time,
-        limit: Time,
+        deadline: Time,
     },
     Cancel {
         txn: TxnId,
@@ -215,7 +215,7 @@
     },
     Reject {
         txn: TxnId,
-        come_back: Option<Span>,
+        retry_after: Option<Span>,
     },
     Abort {
         txn: TxnId,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,10 @@
 //! kelpcart decides where a txn goes, where a missing object is filled from, and when to give up.
 
 pub mod explain;
+pub mod hash_prefix;
 mod histogram;
 pub mod interface;
 mod logic;
-pub mod names;
 mod state;
 mod time;
 
@@ -13,7 +13,7 @@
 
 impl Gateway {
     /// How much is kept and what is held of the members, by name, for the host's counters.
-    pub fn sizes(&self, now: Time) -> impl Iterator<Item = (&'static str, usize)> {
-        self.book.sizes(now).into_iter()
+    pub fn table_sizes(&self, now: Time) -> impl Iterator<Item = (&'static str, usize)> {
+        self.book.table_sizes(now).into_iter()
     }
 }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -2,9 +2,9 @@
 //! `purged`) as things happen; they only update what is known. It then calls `poll` until that gives `None`
 //! and comes back by `next_wake` at the latest. The types of both directions are in `interface.rs`.
 
+use crate::hash_prefix::{PrefixSet, group_hash, object_hash};
 use crate::histogram::Histogram;
 use crate::interface::*;
-use crate::names::{PrefixSet, group_hash, object_hash};
 use crate::state::*;
 use crate::time::{Span, Time};
 use rand::{Rng, SeedableRng};
@@ -230,7 +230,7 @@
         let edges = UNSIZED * self.listed(Role::Edge);
         let whole = match c.role {
             Role::Origin => edges * ORIGIN_PART,
-            _ if self.set.capacities_known => c.m.size,
+            _ if self.set.capacities_known => c.m.capacity,
             Role::Parent => edges * PARENTS_PART / self.listed(Role::Parent),
             Role::Edge => UNSIZED,
         };
@@ -249,7 +249,7 @@
         self.subscribe_at = self.set.subscription_required.then(|| now + self.set.subscribe_within * SCANS);
     }
 
-    pub fn txn(&mut self, now: Time, txn: Txn) {
+    pub fn submit(&mut self, now: Time, txn: Txn) {
         self.book.arrivals += 1.0;
         let most = FURTHER_BURST * (FURTHER_HOPS * self.book.arrival_rate).max(1.0);
         self.further = (self.further + FURTHER_HOPS).min(most);
@@ -281,15 +281,15 @@
     fn join_purges(&mut self) -> bool {
         let covered = |pair: &[Purge]| {
             let (a, b) = (&pair[0].names, &pair[1].names);
-            (a.names().len() + b.names().len()) as f64 / 2f64.powi(a.bits().min(b.bits()).into())
+            (a.prefixes().len() + b.prefixes().len()) as f64 / 2f64.powi(a.bits().min(b.bits()).into())
         };
         let pairs = self.book.purges.windows(2).map(covered).enumerate();
         let Some((i, _)) = pairs.min_by(|a, b| a.1.total_cmp(&b.1)) else { return false };
         let later = self.book.purges.remove(i + 1);
         let kept = &mut self.book.purges[i];
-        kept.names = kept.names.join(&later.names);
+        kept.names = kept.names.union(&later.names);
         // Fewer bits shorten a set only where they cover nearly all.
-        if kept.names.names().len() > PURGED_NAMES / PURGES {
+        if kept.names.prefixes().len() > PURGED_NAMES / PURGES {
             kept.names = PrefixSet::all();
         }
         (kept.at, kept.told) = (kept.at.max(later.at), kept.told.max(later.told));
@@ -297,16 +297,16 @@
         true
     }
 
-    pub fn outcome(&mut self, now: Time, o: Outcome) {
+    pub fn record_outcome(&mut self, now: Time, o: Outcome) {
         let Some(hop) = self.book.hops.remove(&(o.txn, o.hop)) else { return };
         self.adjust(now, &hop, &o);
         let near = self.book.caches[hop.member].role == Role::Edge;
-        let in_time = o.end == HopStatus::Completed && o.duration <= hop.sla;
+        let in_time = o.status == HopStatus::Completed && o.duration <= hop.sla;
         let c = &mut self.book.caches[hop.member];
         c.prompt = c.prompt.max(if in_time { hop.sent } else { c.prompt });
         // Answers that never come, while later hops are completed in time, are no sign of a jam.
-        let jammed = o.end == HopStatus::TimedOut && c.prompt <= hop.sent;
-        if (o.end == HopStatus::Completed || jammed) && hop.sized {
+        let jammed = o.status == HopStatus::TimedOut && c.prompt <= hop.sent;
+        if (o.status == HopStatus::Completed || jammed) && hop.sized {
             self.book.pace.record(hop.sending, o.duration.as_secs_f64(), SLOW);
         }
         if let Some(link) = o.load.link_load.filter(|_| near) {
@@ -319,8 +319,8 @@
         }
         self.book.caches[hop.member].carry(now, -hop.load);
         let c = &mut self.book.caches[hop.member];
-        c.work += hop.sending * one(o.end == HopStatus::Completed);
-        let silent = match o.end {
+        c.work += hop.sending * one(o.status == HopStatus::Completed);
+        let silent = match o.status {
             HopStatus::Unreachable | HopStatus::Broken => true,
             HopStatus::TimedOut => c.answered <= hop.sent,
             _ => false,
@@ -328,7 +328,7 @@
         if silent {
             self.strike(now, hop.member);
         } else if !matches!(
-            o.end,
+            o.status,
             HopStatus::TimedOut | HopStatus::Withdrawn | HopStatus::NeverSent | HopStatus::Overtaken
         ) {
             c.heard(now);
@@ -343,8 +343,9 @@
             if held {
                 c.spent.retain(|s| s.2 != (o.txn, o.hop));
             }
-            let refused = matches!(o.cache_status, Some(CacheStatus::SourceRefused | CacheStatus::OriginFailed));
-            let timed_out = o.end == HopStatus::TimedOut && !silent && c.answered <= hop.sent;
+            let refused =
+                matches!(o.cache_status, Some(CacheStatus::SourceRefused | CacheStatus::OriginFailed));
+            let timed_out = o.status == HopStatus::TimedOut && !silent && c.answered <= hop.sent;
             let lost = timed_out || o.cache_status == Some(CacheStatus::SourceLost);
             if filled || lost || o.cache_status == Some(CacheStatus::SourceRefused) {
                 c.par.fills += 1.0;
@@ -369,7 +370,7 @@
         let c = &mut self.book.caches[hop.member];
         if c.m.remote && c.role == Role::Parent {
             let failed = matches!(
-                o.end,
+                o.status,
                 HopStatus::Unreachable
                     | HopStatus::Broken
                     | HopStatus::Errored
@@ -377,8 +378,8 @@
                     | HopStatus::NeverSent
                     | HopStatus::Spoilt
             );
-            let late = o.end == HopStatus::TimedOut;
-            c.par.fills += one(failed || late || o.end == HopStatus::Completed);
+            let late = o.status == HopStatus::TimedOut;
+            c.par.fills += one(failed || late || o.status == HopStatus::Completed);
             c.par.failed += one(failed);
             c.par.late += one(late);
             if let Some(first) = o.first_byte {
@@ -398,17 +399,17 @@
             return;
         }
         open.out = open.out.saturating_sub(1);
-        if o.end == HopStatus::Lacking && hop.source.is_none() {
+        if o.status == HopStatus::Lacking && hop.source.is_none() {
             open.looked = true;
         } else if o.cache_status == Some(CacheStatus::SourceLacks) {
             open.looked = true;
             open.parent_lacks |= hop.source.is_some_and(|p| self.book.caches[p].role == Role::Parent);
         } else if o.cache_status == Some(CacheStatus::OriginFailed) {
             open.origin_failed = true;
-        } else if o.end != HopStatus::Overtaken {
+        } else if o.status != HopStatus::Overtaken {
             open.avoid.push(culprit);
         }
-        if !o.end.proves_not_run() && open.may_have_run.is_none_or(|(_, at)| hop.sent < at) {
+        if !o.status.proves_not_run() && open.may_have_run.is_none_or(|(_, at)| hop.sent < at) {
             open.may_have_run = Some((hop.member, hop.sent));
         }
         if open.out == 0 {
@@ -424,19 +425,24 @@
         let slow_start = o.first_byte.is_some_and(|first| first > hop.sla * SLOW_START);
         let place = match o.cache_status {
             // A second member's error tells of the txn: the first one's gate is given back what it lost.
-            None if o.end == HopStatus::Errored && o.hop > 0 => {
+            None if o.status == HopStatus::Errored && o.hop > 0 => {
                 let first = self.book.open.get(&o.txn).and_then(|open| open.avoid.first().copied());
                 let first = first.filter(|_| o.hop == 1).map(|i| &mut self.book.caches[i]);
                 _ = first.map(|c| c.gate /= GATE_CUT.powf(c.sharers.sqrt()));
                 None
             }
-            None | Some(CacheStatus::Held | CacheStatus::Old | CacheStatus::Joined | CacheStatus::NoPlace) => Some(hop.member),
+            None
+            | Some(CacheStatus::Held | CacheStatus::Old | CacheStatus::Joined | CacheStatus::NoPlace) => {
+                Some(hop.member)
+            }
             Some(CacheStatus::OriginFailed) => self.book.origin,
             Some(CacheStatus::FilledByOrigin) if slow_start => self.book.origin,
             Some(CacheStatus::FilledByOrigin) if hop.to_origin && o.duration <= hop.sla => self.book.origin,
             _ => hop.source,
         };
-        if o.cache_status == Some(CacheStatus::OriginFailed) || o.cache_status == Some(CacheStatus::FilledByOrigin) {
+        if o.cache_status == Some(CacheStatus::OriginFailed)
+            || o.cache_status == Some(CacheStatus::FilledByOrigin)
+        {
             let bad = slow_start || o.cache_status == Some(CacheStatus::OriginFailed);
             follow(&mut self.book.origin_bad, one(bad), QUICK);
         }
@@ -447,7 +453,7 @@
         // The gateways to each member: one sees a part of its late answers only, and moves the faster.
         let each = if c.role == Role::Parent { c.sharers / parents } else { c.sharers };
         let pace = each.sqrt().max(1.0);
-        match o.end {
+        match o.status {
             HopStatus::Completed if o.duration <= hop.sla && held < c.gate * mean / 2.0 => {}
             HopStatus::Completed if o.duration <= hop.sla => c.gate += GATE_GAIN / pace,
             // Over a link what comes late tells of lost packets; its own window holds back what it can't carry.
@@ -571,7 +577,8 @@
 
     /// Finds members that have gone silent and takes repeatable hops away from them.
     fn scan(&mut self, now: Time) {
-        self.next_scan = now + (self.set.connect_timeout * SCANS).max(self.set.tick).max(Span::from_millis(1));
+        self.next_scan =
+            now + (self.set.connect_timeout * SCANS).max(self.set.tick).max(Span::from_millis(1));
         let mut overdue = BTreeMap::new();
         for hop in self.book.hops.values().filter(|h| h.due <= now) {
             let c = &self.book.caches[hop.member];
@@ -622,9 +629,10 @@
         let Some(age) = c.m.started.map(|at| now - at).filter(|&age| age < cold.warm_up) else { return true };
         let borne = self.book.borne[usize::from(c.role == Role::Parent)] * sharers;
         let untold = (borne, COLD_MARGIN_UNSIZED);
-        let (capacity, margin) = if self.set.capacities_known { (c.m.size, COLD_MARGIN) } else { untold };
+        let (capacity, margin) = if self.set.capacities_known { (c.m.capacity, COLD_MARGIN) } else { untold };
         let present = cold.initial_share + (1.0 - cold.initial_share) * (age / cold.warm_up);
-        let budget = cold.overload_factor * present * capacity * cold.overload_window.as_secs_f64() / sharers * margin;
+        let budget =
+            cold.overload_factor * present * capacity * cold.overload_window.as_secs_f64() / sharers * margin;
         let since = now.back(cold.overload_window);
         let spent: f64 = c.spent.iter().filter(|s| s.0 >= since).map(|s| s.1).sum();
         spent + cost <= budget || spent == 0.0 && !self.set.capacities_known && capacity == 0.0
@@ -735,7 +743,7 @@
         let purges = &self.book.purges;
         let names = (!purges.is_empty()).then(|| [object_hash(txn.object), group_hash(txn.group)]);
         let hits = |p: &&Purge| names.is_some_and(|names| names.iter().any(|&n| p.names.contains(n)));
-        let purge = purges.iter().filter(hits).map(|p| now - p.at).chain(txn.oldest).min();
+        let purge = purges.iter().filter(hits).map(|p| now - p.at).chain(txn.max_age).min();
         let fresh = rule.max_age > Span::ZERO;
         let most = if stale && fresh { rule.max_age + rule.max_stale } else { rule.max_age };
         let least = |s: Span| s.max(Span::from_micros(1));
@@ -804,7 +812,7 @@
         };
         self.book.open.insert(id, open);
         let member = Arc::clone(&self.book.caches[member].m.id);
-        Decision::Hop { txn: id, member, fill, start_by: begin_by, limit }
+        Decision::Hop { txn: id, member, fill, start_by: begin_by, deadline: limit }
     }
 
     /// Where the next hop goes: cache, fill source and how the copy is kept.
@@ -822,7 +830,8 @@
         let Some(member) = member else {
             // No cache of the own zone can take it, or none could fill from there: straight to the fill source,
             // where that is allowed.
-            let source = source.filter(|&i| (self.set.bypass_allowed || far(i)) && self.in_group(open, now, i))?;
+            let source =
+                source.filter(|&i| (self.set.bypass_allowed || far(i)) && self.in_group(open, now, i))?;
             if write {
                 return Some((source, None, None));
             }
@@ -843,7 +852,8 @@
     /// the zones in reach gives what it holds. Guards against parents lost or crowded while copies stand
     /// elsewhere; adds load to siblings.
     fn sib(&self, now: Time, open: &Open, member: usize) -> Option<usize> {
-        if self.set.sibling_fills == FillScope::Off || open.looked || open.origin_failed || open.txn.is_write {
+        if self.set.sibling_fills == FillScope::Off || open.looked || open.origin_failed || open.txn.is_write
+        {
             return None;
         }
         // What stands in other zones comes over the own link: not while that is full.
@@ -868,7 +878,7 @@
             only_if_cached: c.role == Role::Edge
                 || c.role == Role::Parent && self.origin_sick() && !open.parent_lacks,
             revalidate: warm(&self.set, now, c) && rule.max_age > Span::ZERO,
-            oldest: self.oldest(now, &open.txn, rule, open.hops > 0 || self.origin_sick()),
+            max_age: self.oldest(now, &open.txn, rule, open.hops > 0 || self.origin_sick()),
         }
     }
 
@@ -884,6 +894,6 @@
         // Soon enough that the SLA time may still be met, spread so that they don't come at once.
         let wait = rule.sla * self.rng.random_range(COME_BACK);
         let come_back = self.set.retry_after_allowed.then(|| wait.min(self.set.max_retry_after));
-        Decision::Reject { txn, come_back }
+        Decision::Reject { txn, retry_after: come_back }
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,8 +1,8 @@
 //! What a gateway keeps between calls; plain records, filled and read by the decisions.
 
+use crate::hash_prefix::PrefixSet;
 use crate::histogram::Histogram;
 use crate::interface::{Member, MemberId, MemberState, Txn, TxnId};
-use crate::names::PrefixSet;
 use crate::time::{Span, Time};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -98,7 +98,7 @@
     }
 
     pub fn size(&self, sized: bool) -> f64 {
-        if sized { self.m.size.max(1e-6) } else { 1.0 }
+        if sized { self.m.capacity.max(1e-6) } else { 1.0 }
     }
 }
 
@@ -257,12 +257,12 @@
     }
 
     pub fn purged_names(&self) -> usize {
-        self.purges.iter().map(|p| p.names.names().len()).sum()
+        self.purges.iter().map(|p| p.names.prefixes().len()).sum()
     }
 
     /// How much is kept, by name, and what is held of the members: how many are passed over, and how long ago
     /// the near one that has been quiet longest answered, of those that are not.
-    pub fn sizes(&self, now: Time) -> [(&'static str, usize); 11] {
+    pub fn table_sizes(&self, now: Time) -> [(&'static str, usize); 11] {
         let listed = self.caches.iter().filter(|c| c.m.state != MemberState::Gone);
         let left_out = listed.filter(|c| c.trial_at.is_some()).count();
         let near = self.near.iter().map(|&i| &self.caches[i]).filter(|c| c.trial_at.is_none());
--- a/tests/cases.rs
+++ b/tests/cases.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
+use kelpcart::hash_prefix::{PrefixSet, group_hash, object_hash};
 use kelpcart::interface::*;
-use kelpcart::names::{PrefixSet, group_hash, object_hash};
 use kelpcart::{Span, Time};
 use std::sync::Arc;
 
@@ -116,7 +116,7 @@
     let mut world = World::new(settings());
     world.gateway.purge(at(100), PrefixSet::object(1), ms(50));
     world.gateway.purge(at(100), PrefixSet::group(2), Span::ZERO);
-    let mut age = |now, id, object| place(&world.ask(now, txn(id, 0, object))[0]).1.unwrap().oldest;
+    let mut age = |now, id, object| place(&world.ask(now, txn(id, 0, object))[0]).1.unwrap().max_age;
     assert_eq!(age(at(120), 1, 1), Some(ms(70)));
     assert_eq!(age(at(100), 2, 10), Some(Span::from_micros(1)), "zero would be no limit");
     assert_eq!(age(at(120), 3, 9), None, "another object of the group");
@@ -125,11 +125,11 @@
 
 /// The oldest copy that will do for a read of `object` now.
 fn oldest(world: &mut World, now: Time, object: u64) -> Option<Span> {
-    world.gateway.explain(now, &txn(0, 0, object)).oldest
+    world.gateway.explain(now, &txn(0, 0, object)).max_age
 }
 
 fn size(world: &World, name: &str) -> usize {
-    world.gateway.sizes(at(0)).find(|s| s.0 == name).unwrap().1
+    world.gateway.table_sizes(at(0)).find(|s| s.0 == name).unwrap().1
 }
 
 #[test]
@@ -276,7 +276,8 @@
             world.end(at(from + 100), id, HopStatus::Completed, Some(CacheStatus::Held));
         }
         let took = ms(3_000);
-        let next = world.end_after(at(from + 150), hangs, HopStatus::TimedOut, None, took, LoadReport::default());
+        let next =
+            world.end_after(at(from + 150), hangs, HopStatus::TimedOut, None, took, LoadReport::default());
         if let Some(Decision::Hop { .. }) = next.last() {
             world.end(at(from + 160), hangs, HopStatus::Completed, Some(CacheStatus::Held));
         }
@@ -288,7 +289,7 @@
     let mut world = World::new(Settings { cancellation: false, ..settings() });
     let answers: Vec<Decision> = (0..200).flat_map(|i| world.ask(at(i * 5), txn(i, 0, i))).collect();
     let rejected =
-        |d: &&Decision| matches!(d, Decision::Reject { come_back: Some(wait), .. } if *wait > Span::ZERO);
+        |d: &&Decision| matches!(d, Decision::Reject { retry_after: Some(wait), .. } if *wait > Span::ZERO);
     assert!(answers.iter().filter(rejected).count() > 100);
     assert_eq!(answers.len(), 200);
 }
@@ -321,7 +322,7 @@
 #[test]
 fn with_no_room_at_any_parent_a_sibling_gives_what_it_holds() {
     let mut world = World::new(settings());
-    let small = ["p1", "p2"].map(|id| Member { size: 0.5, ..member(id, PARENT) });
+    let small = ["p1", "p2"].map(|id| Member { capacity: 0.5, ..member(id, PARENT) });
     world.gateway = kelpcart::Gateway::new(settings(), 7, at(0));
     world.gateway.update_members(
         at(0),
@@ -329,7 +330,8 @@
         fleet().into_iter().filter(|m| m.kind != PARENT).chain(small).collect(),
     );
     let mut made = (1..20).map(|i| place(&world.ask(at(1), txn(i, 0, i))[0]));
-    let (i, (to, fill)) = (1..).zip(made.by_ref()).find(|(_, m)| m.1.as_ref().unwrap().only_if_cached).unwrap();
+    let (i, (to, fill)) =
+        (1..).zip(made.by_ref()).find(|(_, m)| m.1.as_ref().unwrap().only_if_cached).unwrap();
     drop(made);
     let fill = fill.unwrap();
     assert!(fill.only_if_cached && fill.source.starts_with('e') && *fill.source != *to);
@@ -382,7 +384,12 @@
 #[test]
 fn an_idle_moment_is_no_room_where_many_share_a_parent() {
     let fills = |gateways| {
-        let mut world = World::new(Settings { gateways, bypass_allowed: false, sibling_fills: FillScope::Off, ..settings() });
+        let mut world = World::new(Settings {
+            gateways,
+            bypass_allowed: false,
+            sibling_fills: FillScope::Off,
+            ..settings()
+        });
         let filled = (0..40).filter(|&i| {
             let made = world.ask(at(i * 200), txn(i, 0, i));
             let fill =
@@ -416,11 +423,20 @@
     assert!(taken(&world.ask(at(0), large(1))));
     for i in 10..200 {
         world.ask(at(i), txn(i, 0, i));
-        world.end_after(at(i), i, HopStatus::Completed, Some(CacheStatus::Held), ms(300), LoadReport::default());
+        world.end_after(
+            at(i),
+            i,
+            HopStatus::Completed,
+            Some(CacheStatus::Held),
+            ms(300),
+            LoadReport::default(),
+        );
     }
-    assert!(matches!(world.ask(at(200), large(900))[..], [Decision::Reject { come_back: Some(_), .. }]));
+    assert!(matches!(world.ask(at(200), large(900))[..], [Decision::Reject { retry_after: Some(_), .. }]));
     assert!(taken(&world.ask(at(200), txn(901, 0, 901))), "what can be in time is taken");
-    [1, 901].into_iter().for_each(|id| drop(world.end(at(300), id, HopStatus::Completed, Some(CacheStatus::Held))));
+    [1, 901]
+        .into_iter()
+        .for_each(|id| drop(world.end(at(300), id, HopStatus::Completed, Some(CacheStatus::Held))));
     (1..20).for_each(|s| drop(world.pull(at(200 + s * 1_000))));
     assert!(taken(&world.ask(at(20_000), large(902))));
 }
@@ -433,7 +449,14 @@
         let kb = if id % 2 == 0 { 20 } else { 80 };
         world.ask(at(id * 20), Txn { size: Some(kb as f64), ..txn(id, 0, id) });
         let note = Some(CacheStatus::Held);
-        world.end_after(at(id * 20 + 10), id, HopStatus::Completed, note, ms(100 + kb), LoadReport::default());
+        world.end_after(
+            at(id * 20 + 10),
+            id,
+            HopStatus::Completed,
+            note,
+            ms(100 + kb),
+            LoadReport::default(),
+        );
     }
     let large = world.ask(at(4_000), Txn { size: Some(600.0), ..txn(900, 0, 900) });
     assert!(matches!(large[..], [Decision::Hop { .. }]), "{large:?}");
@@ -480,7 +503,7 @@
         world.gateway.update_members(at(n), false, list);
         old.push(new);
     }
-    let kept = world.gateway.sizes(at(100)).find(|s| s.0 == "members kept").unwrap().1;
+    let kept = world.gateway.table_sizes(at(100)).find(|s| s.0 == "members kept").unwrap().1;
     assert!(kept <= fleet().len() + 2, "{kept}");
     // What ends at the old ones is not booked on the new one.
     for id in 0..40 {
@@ -507,7 +530,8 @@
     // Of the counts of mean txns out, those at which one of the size still finds room.
     let room = |size: f64| {
         let taken = |out: &u64| {
-            let mut world = World::new(Settings { bypass_allowed: false, client_rate: 50_000.0, ..settings() });
+            let mut world =
+                World::new(Settings { bypass_allowed: false, client_rate: 50_000.0, ..settings() });
             let sized = |id, size| Txn { size: Some(size), ..txn(id, 0, id) };
             (0..*out).for_each(|i| drop(world.ask(at(i / 2), sized(i, 100.0))));
             matches!(world.ask(at(301), sized(900, size))[..], [Decision::Hop { .. }])
@@ -521,7 +545,8 @@
 /// Fills named among fifty txns that end as hits, each report giving `link`, after some seconds of the same.
 fn fills_behind(link: f64) -> usize {
     let sibs = FillScope::Off;
-    let mut world = World::new(Settings { gateways: 200, sibling_fills: sibs, bypass_allowed: false, ..settings() });
+    let mut world =
+        World::new(Settings { gateways: 200, sibling_fills: sibs, bypass_allowed: false, ..settings() });
     let filled = (0..300).filter(|&i| {
         let now = at(i * 20);
         let made = world.ask(now, txn(i, 0, i));
@@ -541,7 +566,13 @@
 #[test]
 fn untold_sizes_share_one_first_gate_among_all_gateways() {
     let taken = |zone_gateways| {
-        let set = Settings { capacities_known: false, client_rate: 0.0, bypass_allowed: false, zone_gateways, ..settings() };
+        let set = Settings {
+            capacities_known: false,
+            client_rate: 0.0,
+            bypass_allowed: false,
+            zone_gateways,
+            ..settings()
+        };
         let calm = RemapRule { sla: ms(60_000), ..rule(Effect::Repeatable) };
         let mut world = World::new(Settings { rules: vec![calm], ..set });
         let ask = |i| Txn { size: None, time_left: ms(300_000), ..txn(i, 0, i) };
@@ -650,8 +681,8 @@
 fn what_the_asker_takes_at_the_oldest_bounds_every_copy() {
     let mut world = World::new(settings());
     let oldest = |world: &mut World, now, id, asked: Option<u64>| {
-        let all = world.ask(at(now), Txn { oldest: asked.map(ms), ..txn(id, 0, 5) });
-        hop_to(&all).unwrap().1.unwrap().oldest
+        let all = world.ask(at(now), Txn { max_age: asked.map(ms), ..txn(id, 0, 5) });
+        hop_to(&all).unwrap().1.unwrap().max_age
     };
     assert_eq!(oldest(&mut world, 0, 1, None), None);
     assert_eq!(oldest(&mut world, 0, 2, Some(700)), Some(ms(700)));
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -38,7 +38,7 @@
     fn list(&self) -> Vec<Member> {
         let mut list = fleet();
         for (i, m) in list.iter_mut().enumerate() {
-            m.size = if m.kind == EDGE { self.size } else { 1_000.0 };
+            m.capacity = if m.kind == EDGE { self.size } else { 1_000.0 };
             m.started = (i < self.cold).then(|| at(0));
         }
         list
@@ -76,7 +76,7 @@
                     next += 1;
                     let mut txn = txn(next, 0, rng.random_range(0..400));
                     txn.size = self.sized.then_some(100.0);
-                    gateways[i].txn(now, txn);
+                    gateways[i].submit(now, txn);
                 }
             }
             while out.front().is_some_and(|o| o.0 <= now) {
@@ -84,8 +84,19 @@
                 let (end, took) = (HopStatus::Completed, ms(100));
                 let (note, load) = (Some(CacheStatus::Held), LoadReport::default());
                 let first_byte = None;
-                gateways[i]
-                    .outcome(now, Outcome { txn, hop, end, duration: took, answered: true, cache_status: note, first_byte, load });
+                gateways[i].record_outcome(
+                    now,
+                    Outcome {
+                        txn,
+                        hop,
+                        status: end,
+                        duration: took,
+                        answered: true,
+                        cache_status: note,
+                        first_byte,
+                        load,
+                    },
+                );
             }
             for (i, gateway) in gateways.iter_mut().enumerate() {
                 while let Some(decision) = gateway.poll(now) {
@@ -101,11 +112,17 @@
         let mut worst: f64 = 0.0;
         for times in &cold {
             for (i, at_end) in times.iter().enumerate() {
-                let in_span = times[..=i].iter().filter(|t| *at_end - **t < set.cache_cold_start.overload_window).count();
+                let in_span = times[..=i]
+                    .iter()
+                    .filter(|t| *at_end - **t < set.cache_cold_start.overload_window)
+                    .count();
                 let age = (*at_end - at(0)) / ends;
-                let present = set.cache_cold_start.initial_share + (1.0 - set.cache_cold_start.initial_share) * age;
+                let present =
+                    set.cache_cold_start.initial_share + (1.0 - set.cache_cold_start.initial_share) * age;
                 let capacity = present * self.size / SENDING;
-                let n = set.cache_cold_start.overload_factor * capacity * set.cache_cold_start.overload_window.as_secs_f64();
+                let n = set.cache_cold_start.overload_factor
+                    * capacity
+                    * set.cache_cold_start.overload_window.as_secs_f64();
                 worst = worst.max(in_span as f64 / (n + 2.0 * n.sqrt() + 2.0));
             }
         }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -49,8 +49,18 @@
         max_retry_after: ms(1_000),
         max_hops: 6,
         connect_timeout: ms(400),
-        cache_cold_start: ColdStart { initial_share: 0.2, warm_up: ms(10_000), overload_factor: 2.0, overload_window: ms(2_000) },
-        parent_cold_start: ColdStart { initial_share: 0.1, warm_up: ms(20_000), overload_factor: 2.0, overload_window: ms(2_000) },
+        cache_cold_start: ColdStart {
+            initial_share: 0.2,
+            warm_up: ms(10_000),
+            overload_factor: 2.0,
+            overload_window: ms(2_000),
+        },
+        parent_cold_start: ColdStart {
+            initial_share: 0.1,
+            warm_up: ms(20_000),
+            overload_factor: 2.0,
+            overload_window: ms(2_000),
+        },
         purge_propagation: ms(6_000),
         subscription_required: false,
         subscribe_within: ms(10_000),
@@ -60,7 +70,7 @@
 
 pub fn member(id: &str, kind: usize) -> Member {
     let state = MemberState::Up;
-    Member { id: Arc::from(id), zone: 0, kind, cell: 0, state, size: 8.0, started: None, remote: false }
+    Member { id: Arc::from(id), zone: 0, kind, cell: 0, state, capacity: 8.0, started: None, remote: false }
 }
 
 pub fn fleet() -> Vec<Member> {
@@ -71,7 +81,7 @@
 
 pub fn txn(id: TxnId, rule: usize, object: u64) -> Txn {
     let (group, part, write, size, left) = (object % 8, 0, false, Some(100.0), ms(2_000));
-    Txn { id, rule, object, group, part, is_write: write, size, time_left: left, oldest: None }
+    Txn { id, rule, object, group, part, is_write: write, size, time_left: left, max_age: None }
 }
 
 pub struct World {
@@ -98,7 +108,7 @@
     }
 
     pub fn ask(&mut self, now: Time, txn: Txn) -> Vec<Decision> {
-        self.gateway.txn(now, txn);
+        self.gateway.submit(now, txn);
         self.pull(now)
     }
 
@@ -118,7 +128,19 @@
     ) -> Vec<Decision> {
         let hop = self.hops[&txn] - 1;
         let (closed, first_byte) = (end == HopStatus::Completed, Some(ms(20)));
-        self.gateway.outcome(now, Outcome { txn, hop, end, duration: took, answered: closed, cache_status: note, first_byte, load });
+        self.gateway.record_outcome(
+            now,
+            Outcome {
+                txn,
+                hop,
+                status: end,
+                duration: took,
+                answered: closed,
+                cache_status: note,
+                first_byte,
+                load,
+            },
+        );
         self.pull(now)
     }
 }
--- a/tests/names.rs
+++ b/tests/hash_prefix.rs
@@ -1,6 +1,6 @@
 //! Short names cover at least what they were made of.
 
-use kelpcart::names::{PrefixSet, group_hash, object_hash};
+use kelpcart::hash_prefix::{PrefixSet, group_hash, object_hash};
 use quickcheck::quickcheck;
 
 quickcheck! {
@@ -12,7 +12,7 @@
 
     fn two_joined_cover_what_either_does(a: Vec<u64>, b: Vec<u64>, bits: (u8, u8)) -> bool {
         let names = |of: &[u64]| of.iter().map(|o| object_hash(*o)).collect::<Vec<_>>();
-        let both = PrefixSet::new(bits.0 % 65, names(&a)).join(&PrefixSet::new(bits.1 % 65, names(&b)));
+        let both = PrefixSet::new(bits.0 % 65, names(&a)).union(&PrefixSet::new(bits.1 % 65, names(&b)));
         a.iter().chain(&b).all(|o| both.contains(object_hash(*o)))
     }
 }
@@ -24,6 +24,6 @@
     assert!(PrefixSet::group(7).contains(group_hash(7)) && !PrefixSet::group(7).contains(object_hash(7)));
     assert!(PrefixSet::all().contains(object_hash(1)) && PrefixSet::all().contains(group_hash(u64::MAX)));
     assert!(!PrefixSet::new(40, []).contains(object_hash(1)));
-    assert_eq!(PrefixSet::new(12, [u64::MAX]).names(), [0xfff]);
+    assert_eq!(PrefixSet::new(12, [u64::MAX]).prefixes(), [0xfff]);
     assert_eq!(PrefixSet::all().coverage(), 1.0);
 }
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
+use kelpcart::hash_prefix::{PrefixSet, group_hash, object_hash};
 use kelpcart::interface::*;
-use kelpcart::names::{PrefixSet, group_hash, object_hash};
 use kelpcart::{Span, Time};
 use quickcheck::{Gen, QuickCheck};
 use std::collections::BTreeMap;
@@ -58,7 +58,8 @@
 fn shaped(shape: u16) -> Settings {
     let mut set = settings();
     let bit = |n: u16| shape >> n & 1 == 1;
-    (set.bypass_allowed, set.cancellation, set.retry_after_allowed, set.coalescing) = (bit(0), bit(1), bit(2), bit(3));
+    (set.bypass_allowed, set.cancellation, set.retry_after_allowed, set.coalescing) =
+        (bit(0), bit(1), bit(2), bit(3));
     set.sibling_fills = if bit(4) { FillScope::Off } else { FillScope::Zone };
     if bit(5) {
         set.parent_kind = None;
@@ -122,7 +123,10 @@
         let age = m.started.map(|at| self.now - at).filter(|age| *age < cold.warm_up)?;
         let sharers = if parent { self.set.gateways } else { self.set.zone_gateways };
         let present = cold.initial_share + (1.0 - cold.initial_share) * (age / cold.warm_up);
-        Some(cold.overload_factor * present * m.size * cold.overload_window.as_secs_f64() / f64::from(sharers))
+        Some(
+            cold.overload_factor * present * m.capacity * cold.overload_window.as_secs_f64()
+                / f64::from(sharers),
+        )
     }
 
     fn check_hop(&mut self, id: TxnId, member: &MemberId, fill: Option<&Fill>) {
@@ -158,7 +162,7 @@
         };
         let purge = self.purges.iter().filter(binds);
         if let (Some(age), Some(fill)) = (purge.map(|p| self.now - p.1).min(), fill) {
-            let oldest = fill.oldest.expect("no limit on age after a purge");
+            let oldest = fill.max_age.expect("no limit on age after a purge");
             assert!(oldest > Span::ZERO && oldest <= age.max(Span::from_micros(1)));
         }
     }
@@ -166,16 +170,17 @@
     fn check(&mut self, decisions: Vec<Decision>) {
         for decision in decisions {
             match decision {
-                Decision::Hop { txn, member, fill, start_by: begin_by, limit } => {
+                Decision::Hop { txn, member, fill, start_by: begin_by, deadline: limit } => {
                     // Before this one is booked as sent, or it would be its own first.
                     let (ask, first) = (&self.asked[&txn], self.asked[&txn].ran.as_ref().map(|ran| ran.1));
                     let rule = &self.set.rules[ask.rule];
-                    let known = first.filter(|_| rule.effect == Effect::Keyed).map(|at| at + rule.dedup_window);
+                    let known =
+                        first.filter(|_| rule.effect == Effect::Keyed).map(|at| at + rule.dedup_window);
                     assert!(begin_by <= known.unwrap_or(ask.limit));
                     self.check_hop(txn, &member, fill.as_ref());
                     assert!(limit <= self.asked[&txn].limit);
                 }
-                Decision::Reject { txn, come_back } => {
+                Decision::Reject { txn, retry_after: come_back } => {
                     let ask = self.asked.remove(&txn).expect("a second answer");
                     let rule = &self.set.rules[ask.rule];
                     let all = rule.effect == Effect::Keyed && rule.dedup_scope == DedupScope::All;
@@ -222,8 +227,10 @@
             14 => {
                 let ago = ms(u64::from(pick) * u64::from(what) % 9_000);
                 // Exact ones and short ones that cover some others, too.
-                let names =
-                    PrefixSet::new([64, 6][i % 2], [[object_hash(object), group_hash(object % 8)][i / 2 % 2]]);
+                let names = PrefixSet::new(
+                    [64, 6][i % 2],
+                    [[object_hash(object), group_hash(object % 8)][i / 2 % 2]],
+                );
                 model.purges.push((names.clone(), model.now.back(ago), model.now));
                 model.world.gateway.purge(model.now, names, ago);
                 Vec::new()
