--- a/copies/src/heal.rs
+++ b/copies/src/heal.rs
@@ -284,7 +284,7 @@
             let quiet = if state == 6 && !me { 60_000 } else { 0 };
             let mut one = Heard::new(
                 Some(if state == 7 && !me { run + 50 } else { run }),
-                NOW.back(Span::from_millis(quiet)),
+                NOW.saturating_sub(Span::from_millis(quiet)),
             );
             one.leaving = state == 5;
             heard.push(one);
@@ -302,7 +302,7 @@
             silent: Span::from_millis(1_500),
         };
         let mut healer = Healer::default();
-        healer.leads(NOW.back(Span::from_millis(90_000)));
+        healer.leads(NOW.saturating_sub(Span::from_millis(90_000)));
         let (now, group, me) = (NOW, 1, 200 + case.me as u64);
         let view = View {
             now,
--- a/copies/tests/common/mod.rs
+++ b/copies/tests/common/mod.rs
@@ -380,7 +380,7 @@
         if let Err(why) = node.check_rules() {
             self.broken.push(why);
         }
-        let wake = self.all[i].node.as_ref().map_or(now, |n| n.next_wake().back(ahead));
+        let wake = self.all[i].node.as_ref().map_or(now, |n| n.next_wake().saturating_sub(ahead));
         self.all[i].wake = wake.max(now + ms(1));
         for out in outs {
             match out {
--- a/drill/src/wire.rs
+++ b/drill/src/wire.rs
@@ -57,7 +57,7 @@
         let gateway = &mut running.gateway;
         match name {
             "Update" => match text(body, "Form")? {
-                "error" => gateway.list_failed(now),
+                "error" => gateway.subscription_failed(now),
                 form @ ("diff" | "snapshot" | "disk") => {
                     let entries: ParseResult<Vec<Member>> =
                         list(body, "Entries")?.iter().map(member).collect();
--- a/feed/src/compose.rs
+++ b/feed/src/compose.rs
@@ -476,7 +476,7 @@
         for (i, (s, first, last, _)) in wanted.iter().copied().enumerate() {
             let quota = most.saturating_sub(all.len()) / (wanted.len() - i);
             let oldest = first.max(self.sources[s].first);
-            let before = if late { self.sources[s].came_before(now.back(LATE)) } else { 0 };
+            let before = if late { self.sources[s].came_before(now.saturating_sub(LATE)) } else { 0 };
             let (mut low, mut taken) = (last + 1, 0);
             // A hub that has read all anew does not know when it came: there stamps tell, but not those of a few.
             let stale = if late { self.usual_stamp(s).saturating_sub(LATE.as_micros() / 1_000) } else { 0 };
--- a/feed/src/site.rs
+++ b/feed/src/site.rs
@@ -717,7 +717,7 @@
             counts.refused_requests += 1;
             return;
         }
-        let since = if fetch.late { now.back(LATE) } else { Time::default() };
+        let since = if fetch.late { now.saturating_sub(LATE) } else { Time::default() };
         let found: Vec<Vec<u8>> = match fetch.one {
             Some(named) => self.log.one(named).map(<[u8]>::to_vec).into_iter().collect(),
             None => self.log.find(&fetch.ranges, since, MOST_FOUND).into_iter().map(<[u8]>::to_vec).collect(),
--- a/feed/src/streams.rs
+++ b/feed/src/streams.rs
@@ -156,7 +156,7 @@
             stream.hard.see(last);
             stream.soft.see(last);
             if let Some(age) = body.ages.get(s).filter(|_| live) {
-                let at = now.back(Span::from_millis(u64::from(*age) * 10));
+                let at = now.saturating_sub(Span::from_millis(u64::from(*age) * 10));
                 stream.fresh = Some(stream.fresh.map_or(at, |f| f.max(at)));
             }
             if let Some(behind) = body.behind.get(s) {
--- a/fleet/src/relay.rs
+++ b/fleet/src/relay.rs
@@ -426,7 +426,7 @@
             }
         }
         if pulse.no == no && pulse.age_us != NEVER && (pulse.digest == self.list.digest() || no == 0) {
-            let at = now.back(Span::from_micros(pulse.age_us));
+            let at = now.saturating_sub(Span::from_micros(pulse.age_us));
             let source = self.sources.iter().flatten().any(|s| s.name == *from);
             if source && self.fresh_at.is_none_or(|known| at > known) {
                 self.fresh_at = Some(at);
--- a/gateway/src/caches.rs
+++ b/gateway/src/caches.rs
@@ -113,7 +113,7 @@
         let sweep = async move {
             loop {
                 caches.clock.sleep(Span::from_millis(500)).await;
-                let old = caches.clock.now().back(caches.bounds.idle * 0.75);
+                let old = caches.clock.now().saturating_sub(caches.bounds.idle * 0.75);
                 caches.kept.borrow_mut().values_mut().for_each(|all| all.retain(|k| k.since > old));
             }
         };
@@ -304,7 +304,7 @@
 
     /// A connection kept from an earlier hop on which nothing has come since, its end included.
     fn take_idle(&self, id: &MemberId) -> Option<Link> {
-        let (mut kept, rested) = (self.kept.borrow_mut(), self.clock.now().back(REST));
+        let (mut kept, rested) = (self.kept.borrow_mut(), self.clock.now().saturating_sub(REST));
         let all = kept.get_mut(id)?;
         while let Some(last) = all.iter().rposition(|k| k.since <= rested) {
             let link = all.remove(last).link;
--- a/gateway/src/dispatcher.rs
+++ b/gateway/src/dispatcher.rs
@@ -368,7 +368,7 @@
         let link = ended.stats.as_deref().and_then(|report| http::stat(report, "x1"));
         let first_byte = ended.waited.filter(|waited| *waited > Span::ZERO);
         // At the socket, and without the gateway's own waits: neither is the member's slowness.
-        let took = ended.at.unwrap_or(now).back(ended.local_wait) - out.sent;
+        let took = ended.at.unwrap_or(now).saturating_sub(ended.local_wait) - out.sent;
         let (closed, note) = (!self.open.contains_key(&txn), ended.cache_status);
         log::trace!(
             "txn {txn} hop {hop} at {} ended {:?} {note:?} after {} us, link {link:?}, closed {closed}",
--- a/routes/src/explain.rs
+++ b/routes/src/explain.rs
@@ -36,13 +36,13 @@
         MemberState::Draining => all.push("draining".to_owned()),
         MemberState::Gone => all.push("gone".to_owned()),
     }
-    if s.silent_until.is_some() {
+    if s.ejected_until.is_some() {
         all.push("silent".to_owned());
     }
     if s.cold_budget_spent {
         all.push("cold, its budget spent".to_owned());
     }
-    if s.gate_full {
+    if s.at_concurrency_limit {
         all.push("its gate is full".to_owned());
     }
     if let Some(weight) = s.weight.filter(|w| *w / 100.0 <= fraction) {
--- a/routes/tests/suites.rs
+++ b/routes/tests/suites.rs
@@ -227,7 +227,7 @@
         let told = explain(&fleet, fleet.settings.zone, &circumstance, 0, object, 30);
         let fits = |s: &&kelpcart::explain::MemberExplanation| {
             let by_weight = s.weight.is_none_or(|w| w / 100.0 > told.reasons.fraction);
-            let up = s.state == kelpcart::interface::MemberState::Up && s.silent_until.is_none();
+            let up = s.state == kelpcart::interface::MemberState::Up && s.ejected_until.is_none();
             up && !s.cold_budget_spent && by_weight
         };
         let name = |i: usize| fleet.members[i].id.clone();
--- a/scale/src/ladders/module.rs
+++ b/scale/src/ladders/module.rs
@@ -196,7 +196,7 @@
         let bits = if self.case.sets { BITS } else { u64::BITS as u8 };
         let objects = (0..names).map(|_| self.rng.random_range(0..OBJECTS)).map(object_hash);
         let names = PrefixSet::new(bits, objects.collect::<Vec<_>>());
-        let then = self.now.back(ago);
+        let then = self.now.saturating_sub(ago);
         self.gateway.purge(then, names, Span::ZERO);
     }
 
--- a/sites/src/near.rs
+++ b/sites/src/near.rs
@@ -310,7 +310,7 @@
         let bytes = self.expects(want);
         let l = &mut self.links[link];
         let before = Span::from_millis(self.limits.answer_before_ms);
-        let until = want.until.back(before);
+        let until = want.until.saturating_sub(before);
         let hop = Hop {
             link,
             importance: want.importance,
@@ -348,7 +348,7 @@
                 self.end(number, End::Full);
             } else {
                 let most = if could { until } else { now + (want.wanted - now) };
-                let due = until.back(needs).min(most).max(now);
+                let due = until.saturating_sub(needs).min(most).max(now);
                 let hop = self.hops.get_mut(&number);
                 if let Some(before) = hop.map(|hop| std::mem::replace(&mut hop.due, due)) {
                     self.by_time.remove(&(before, number));
@@ -406,7 +406,7 @@
             };
             // The answer needs its way back: what the far end has is less by a careful round trip.
             let left = hop.until - now;
-            let far = hop.until.back(l.rtt.timeout().min(left * 0.5)) - now;
+            let far = hop.until.saturating_sub(l.rtt.timeout().min(left * 0.5)) - now;
             if far < Span::from_millis(1) {
                 self.end(first.number, End::Full);
                 continue;
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -12,11 +12,11 @@
     pub member: MemberId,
     pub state: MemberState,
     /// It answers nothing; a trial goes there at the time.
-    pub silent_until: Option<Time>,
+    pub ejected_until: Option<Time>,
     /// It started lately, and its budget is spent.
     pub cold_budget_spent: bool,
     /// This gateway has as much there as its gate lets through.
-    pub gate_full: bool,
+    pub at_concurrency_limit: bool,
     /// Of a parent, 0 to 100: a fill goes there if the object's fraction lies below a hundredth of it.
     pub weight: Option<f64>,
 }
@@ -59,9 +59,9 @@
             MemberExplanation {
                 member: c.m.id.clone(),
                 state: c.m.state,
-                silent_until: c.trial_at,
+                ejected_until: c.trial_at,
                 cold_budget_spent: !self.has_room(now, i, sending),
-                gate_full: !self.passes(now, i, load, sending),
+                at_concurrency_limit: !self.passes(now, i, load, sending),
                 weight: (role == Role::Parent).then_some(c.par.weight),
             }
         };
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -245,7 +245,7 @@
     }
 
     /// The list service failed or ended the subscription.
-    pub fn list_failed(&mut self, now: Time) {
+    pub fn subscription_failed(&mut self, now: Time) {
         self.subscribe_at = self.set.subscription_required.then(|| now + self.set.subscribe_within * SCANS);
     }
 
@@ -271,7 +271,7 @@
 
     /// Nothing older than `ago` is good any more of the objects and groups that `names` covers.
     pub fn purge(&mut self, now: Time, names: PrefixSet, ago: Span) {
-        self.book.purges.push(Purge { names, at: now.back(ago), told: now });
+        self.book.purges.push(Purge { names, at: now.saturating_sub(ago), told: now });
         let over = |b: &Book| b.purges.len() > PURGES || b.purged_names() > PURGED_NAMES;
         while over(&self.book) && self.join_purges() {}
     }
@@ -633,7 +633,7 @@
         let present = cold.initial_share + (1.0 - cold.initial_share) * (age / cold.warm_up);
         let budget =
             cold.overload_factor * present * capacity * cold.overload_window.as_secs_f64() / sharers * margin;
-        let since = now.back(cold.overload_window);
+        let since = now.saturating_sub(cold.overload_window);
         let spent: f64 = c.spent.iter().filter(|s| s.0 >= since).map(|s| s.1).sum();
         spent + cost <= budget || spent == 0.0 && !self.set.capacities_known && capacity == 0.0
     }
@@ -785,7 +785,7 @@
             }
             if c.m.started.is_some() {
                 c.spent.push_back((now, cost.max(0.001), key));
-                let old = now.back(self.set.cache_cold_start.overload_window);
+                let old = now.saturating_sub(self.set.cache_cold_start.overload_window);
                 while c.spent.front().is_some_and(|s| s.0 < old) {
                     c.spent.pop_front();
                 }
--- a/src/time.rs
+++ b/src/time.rs
@@ -17,7 +17,7 @@
         self.0
     }
 
-    pub fn back(self, span: Span) -> Time {
+    pub fn saturating_sub(self, span: Span) -> Time {
         Time(self.0.saturating_sub(span.0))
     }
 }
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -85,7 +85,7 @@
         let Some(m) = self.list.get_mut(&ids[usize::from(pick) % ids.len()]) else { return };
         m.state = [MemberState::Up, MemberState::Draining, MemberState::Gone][usize::from(what) % 3];
         if m.state == MemberState::Up && what.is_multiple_of(2) {
-            m.started = Some(self.now.back(ms(u64::from(what) / 64)));
+            m.started = Some(self.now.saturating_sub(ms(u64::from(what) / 64)));
             let id = m.id.clone();
             self.sent.retain(|s| s.0 != id);
         }
@@ -152,7 +152,7 @@
         }
         for place in [Some(member), source].into_iter().flatten() {
             let Some(budget) = self.budget(place) else { continue };
-            let since = self.now.back(self.set.cache_cold_start.overload_window);
+            let since = self.now.saturating_sub(self.set.cache_cold_start.overload_window);
             let spent = self.sent.iter().filter(|s| s.0 == *place && s.1 >= since);
             assert!(spent.map(|s| s.2).sum::<f64>() <= budget + 1e-9, "{place} pushed over");
         }
@@ -231,7 +231,7 @@
                     [64, 6][i % 2],
                     [[object_hash(object), group_hash(object % 8)][i / 2 % 2]],
                 );
-                model.purges.push((names.clone(), model.now.back(ago), model.now));
+                model.purges.push((names.clone(), model.now.saturating_sub(ago), model.now));
                 model.world.gateway.purge(model.now, names, ago);
                 Vec::new()
             }
