--- a/src/explain.rs
+++ b/src/explain.rs
@@ -40,31 +40,31 @@
 impl Gateway {
     /// Why a txn that comes now would go where it goes.
     pub fn explain(&self, now: Time, txn: &Txn) -> Explanation {
-        let all = |role| self.standings(now, role, txn);
+        let all = |role| self.explain_role(now, role, txn);
         Explanation {
             caches: all(Role::Edge),
             parents: all(Role::Parent),
             origins: all(Role::Origin),
-            fraction: self.fraction(txn),
-            transfer_time: Span::from_secs_f64(self.sending(txn)),
-            max_age: self.oldest_for(now, txn),
-            origin_failing: self.origin_sick(),
+            fraction: self.object_fraction(txn),
+            transfer_time: Span::from_secs_f64(self.transfer_secs(txn)),
+            max_age: self.max_age_for(now, txn),
+            origin_failing: self.origin_failing(),
         }
     }
 
-    fn standings(&self, now: Time, role: Role, txn: &Txn) -> Vec<MemberExplanation> {
-        let (sending, load) = (self.sending(txn), txn.size.unwrap_or(1.0));
+    fn explain_role(&self, now: Time, role: Role, txn: &Txn) -> Vec<MemberExplanation> {
+        let (sending, load) = (self.transfer_secs(txn), txn.size.unwrap_or(1.0));
         let one = |i: usize| {
-            let c = &self.book.caches[i];
+            let c = &self.state.members[i];
             MemberExplanation {
-                member: c.m.id.clone(),
-                state: c.m.state,
-                ejected_until: c.trial_at,
-                cold_budget_spent: !self.has_room(now, i, sending),
-                at_concurrency_limit: !self.passes(now, i, load, sending),
-                weight: (role == Role::Parent).then_some(c.par.weight),
+                member: c.info.id.clone(),
+                state: c.info.state,
+                ejected_until: c.ejected_until,
+                cold_budget_spent: !self.within_cold_budget(now, i, sending),
+                at_concurrency_limit: !self.within_limit(now, i, load, sending),
+                weight: (role == Role::Parent).then_some(c.weight_controller.weight),
             }
         };
-        self.order(role, txn, false).into_iter().map(one).collect()
+        self.hash_order(role, txn, false).into_iter().map(one).collect()
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -14,6 +14,6 @@
 impl Gateway {
     /// How much is kept and what is held of the members, by name, for the host's counters.
     pub fn table_sizes(&self, now: Time) -> impl Iterator<Item = (&'static str, usize)> {
-        self.book.table_sizes(now).into_iter()
+        self.state.table_sizes(now).into_iter()
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -17,88 +17,97 @@
 
 /// What the weight controller keeps of a parent, from this gateway's own fills.
 #[derive(Clone)]
-pub struct Weight {
+pub struct WeightController {
     pub weight: f64,
-    pub recent: Histogram,
-    pub settled: Histogram,
+    pub recent_first_byte: Histogram,
+    pub baseline_first_byte: Histogram,
     pub fills: f64,
     pub failed: f64,
-    pub late: f64,
-    pub clean: u32,
-    pub broken: bool,
+    pub timed_out: f64,
+    pub clean_windows: u32,
+    pub window_degraded: bool,
 }
 
 /// A member of the list: an edge cache, a parent or the origin.
 #[derive(Clone)]
-pub struct Cache {
-    pub m: Member,
-    pub key: u64,
+pub struct MemberRecord {
+    pub info: Member,
+    pub id_hash: u64,
     pub role: Role,
     /// The gateways that send to it.
-    pub sharers: f64,
+    pub gateway_count: f64,
     /// In flight from this gateway: KB, or txns where sizes are not told.
-    pub load: f64,
+    pub in_flight: f64,
     /// Its running mean, as of when it last changed.
-    mean: f64,
-    changed: Time,
-    span: Span,
+    mean_in_flight: f64,
+    mean_updated_at: Time,
+    averaging_time: Span,
     /// Signs of silence in a row; while there are enough, the time of the next trial.
-    pub strikes: u32,
-    pub trial_at: Option<Time>,
-    pub answered: Time,
+    pub consecutive_failures: u32,
+    pub ejected_until: Option<Time>,
+    pub last_answer_at: Time,
     /// When the newest of the hops was sent that it completed in time.
-    pub prompt: Time,
+    pub last_timely_sent_at: Time,
     /// What was sent of late to one that may be cold: when, its sending time, by which hop.
-    pub spent: VecDeque<(Time, f64, (TxnId, u32))>,
+    pub cold_charges: VecDeque<(Time, f64, (TxnId, u32))>,
     /// Sending time completed since the last step, and a second on average.
-    pub work: f64,
-    pub rate: f64,
-    pub gate: f64,
-    pub par: Weight,
+    pub completed_since_step: f64,
+    pub completion_rate: f64,
+    pub concurrency_limit: f64,
+    pub weight_controller: WeightController,
 }
 
-impl Cache {
-    pub fn new(now: Time, m: Member, role: Role, sharers: f64, span: Span, par: Weight) -> Cache {
+impl MemberRecord {
+    pub fn new(
+        now: Time,
+        m: Member,
+        role: Role,
+        sharers: f64,
+        span: Span,
+        par: WeightController,
+    ) -> MemberRecord {
         let (load, mean, changed, work, rate, gate) = (0.0, 0.0, now, 0.0, 0.0, 0.0);
         let key = xxh3_64(m.id.as_bytes());
         let (strikes, trial_at, answered, prompt, spent) = (0, None, now, now, VecDeque::new());
-        Cache {
-            m,
-            key,
+        MemberRecord {
+            info: m,
+            id_hash: key,
             role,
-            sharers,
-            load,
-            mean,
-            changed,
-            span,
-            strikes,
-            trial_at,
-            answered,
-            prompt,
-            spent,
-            work,
-            rate,
-            gate,
-            par,
+            gateway_count: sharers,
+            in_flight: load,
+            mean_in_flight: mean,
+            mean_updated_at: changed,
+            averaging_time: span,
+            consecutive_failures: strikes,
+            ejected_until: trial_at,
+            last_answer_at: answered,
+            last_timely_sent_at: prompt,
+            cold_charges: spent,
+            completed_since_step: work,
+            completion_rate: rate,
+            concurrency_limit: gate,
+            weight_controller: par,
         }
     }
 
     /// The load on average, each moment weighing less by the time since over its span.
-    pub fn mean_load(&self, now: Time) -> f64 {
-        self.load + (self.mean - self.load) * (-((now - self.changed) / self.span)).exp()
+    pub fn mean_in_flight(&self, now: Time) -> f64 {
+        self.in_flight
+            + (self.mean_in_flight - self.in_flight)
+                * (-((now - self.mean_updated_at) / self.averaging_time)).exp()
     }
 
-    pub fn carry(&mut self, now: Time, more: f64) {
-        self.mean = self.mean_load(now);
-        (self.changed, self.load) = (now, self.load + more);
+    pub fn add_in_flight(&mut self, now: Time, more: f64) {
+        self.mean_in_flight = self.mean_in_flight(now);
+        (self.mean_updated_at, self.in_flight) = (now, self.in_flight + more);
     }
 
-    pub fn heard(&mut self, now: Time) {
-        (self.answered, self.strikes, self.trial_at) = (now, 0, None);
+    pub fn record_answer(&mut self, now: Time) {
+        (self.last_answer_at, self.consecutive_failures, self.ejected_until) = (now, 0, None);
     }
 
-    pub fn size(&self, sized: bool) -> f64 {
-        if sized { self.m.capacity.max(1e-6) } else { 1.0 }
+    pub fn relative_capacity(&self, sized: bool) -> f64 {
+        if sized { self.info.capacity.max(1e-6) } else { 1.0 }
     }
 }
 
@@ -106,39 +115,49 @@
 pub struct Hop {
     pub member: usize,
     pub source: Option<usize>,
-    pub sent: Time,
-    pub due: Time,
+    pub sent_at: Time,
+    pub overdue_at: Time,
     pub sla: Span,
     /// Seconds that the txn takes to send.
-    pub sending: f64,
+    pub transfer_secs: f64,
     pub load: f64,
     pub fill_load: f64,
-    pub to_origin: bool,
-    pub sized: bool,
+    pub reaches_origin: bool,
+    pub size_known: bool,
     pub cancelled: bool,
 }
 
 #[derive(Clone)]
-pub struct Open {
+pub struct OpenTxn {
     pub txn: Txn,
-    pub limit: Time,
-    pub hops: u32,
-    pub out: u32,
+    pub deadline: Time,
+    pub hop_count: u32,
+    pub hops_in_flight: u32,
     pub avoid: Vec<usize>,
     /// A cache was asked only for what it holds, and lacked it.
-    pub looked: bool,
+    pub cache_lacked: bool,
     /// The parent was asked only for what it holds, and lacked it.
-    pub parent_lacks: bool,
+    pub parent_lacked: bool,
     pub origin_failed: bool,
     /// The member and time of the first hop that may have run.
     pub may_have_run: Option<(usize, Time)>,
 }
 
-impl Open {
-    pub fn new(txn: Txn, limit: Time) -> Open {
+impl OpenTxn {
+    pub fn new(txn: Txn, limit: Time) -> OpenTxn {
         let (looked, parent_lacks, origin_failed) = (false, false, false);
         let (hops, out, avoid, may_have_run) = (0, 0, Vec::new(), None);
-        Open { txn, limit, hops, out, avoid, looked, parent_lacks, origin_failed, may_have_run }
+        OpenTxn {
+            txn,
+            deadline: limit,
+            hop_count: hops,
+            hops_in_flight: out,
+            avoid,
+            cache_lacked: looked,
+            parent_lacked: parent_lacks,
+            origin_failed,
+            may_have_run,
+        }
     }
 
     /// What it puts in flight: KB, or one txn where its size is not told.
@@ -149,44 +168,44 @@
 
 /// What is measured of a remap rule's txns: their mean sending time in seconds.
 #[derive(Clone)]
-pub struct Row {
-    pub sending: f64,
-    pub told: bool,
+pub struct RuleStats {
+    pub mean_transfer_secs: f64,
+    pub measured: bool,
 }
 
 /// A line through what hops of late took by their txns' sending times, from running means.
 #[derive(Clone, Default)]
-pub struct Pace {
+pub struct DurationModel {
     weight: f64,
-    sent: f64,
-    took: f64,
-    sent_sent: f64,
-    sent_took: f64,
+    transfer: f64,
+    duration: f64,
+    transfer_sq: f64,
+    transfer_duration: f64,
 }
 
-impl Pace {
+impl DurationModel {
     pub fn record(&mut self, sent: f64, took: f64, part: f64) {
-        follow(&mut self.weight, 1.0, part);
-        follow(&mut self.sent, sent, part);
-        follow(&mut self.took, took, part);
-        follow(&mut self.sent_sent, sent * sent, part);
-        follow(&mut self.sent_took, sent * took, part);
+        update_ewma(&mut self.weight, 1.0, part);
+        update_ewma(&mut self.transfer, sent, part);
+        update_ewma(&mut self.duration, took, part);
+        update_ewma(&mut self.transfer_sq, sent * sent, part);
+        update_ewma(&mut self.transfer_duration, sent * took, part);
     }
 
     /// Moves the line by `part` of the way to where all take their sending time and no more.
-    pub fn forget(&mut self, part: f64) {
-        let (sent, sent_sent) = (self.sent, self.sent_sent);
-        follow(&mut self.took, sent, part);
-        follow(&mut self.sent_took, sent_sent, part);
+    pub fn decay(&mut self, part: f64) {
+        let (sent, sent_sent) = (self.transfer, self.transfer_sq);
+        update_ewma(&mut self.duration, sent, part);
+        update_ewma(&mut self.transfer_duration, sent_sent, part);
     }
 
     /// What a txn of this sending time takes on the line: at least that. Where sizes hardly differ, or the line would
     /// start below nothing, a multiple of it.
-    pub fn takes(&self, sending: f64) -> f64 {
+    pub fn predict(&self, sending: f64) -> f64 {
         let n = self.weight.max(1e-9);
-        let (sent, took) = (self.sent / n, self.took / n);
-        let spread = self.sent_sent / n - sent * sent;
-        let slope = (self.sent_took / n - sent * took) / spread.max(1e-12);
+        let (sent, took) = (self.transfer / n, self.duration / n);
+        let spread = self.transfer_sq / n - sent * sent;
+        let slope = (self.transfer_duration / n - sent * took) / spread.max(1e-12);
         let base = took - slope.max(1.0) * sent;
         if spread > sent * sent * 0.01 && base >= 0.0 {
             base + sending * slope.max(1.0)
@@ -198,85 +217,85 @@
 
 #[derive(Clone)]
 pub struct Purge {
-    pub names: PrefixSet,
+    pub set: PrefixSet,
     /// Nothing older is good any more.
-    pub at: Time,
-    pub told: Time,
+    pub valid_from: Time,
+    pub received_at: Time,
 }
 
 /// All that a gateway knows at a moment.
 #[derive(Clone, Default)]
-pub struct Book {
-    pub caches: Vec<Cache>,
+pub struct RouterState {
+    pub members: Vec<MemberRecord>,
     /// Members listed now, by role, and the caches of the own zone: what a txn has to choose from.
-    pub by_role: [Vec<usize>; 3],
-    pub near: Vec<usize>,
+    pub listed_by_role: [Vec<usize>; 3],
+    pub zone_caches: Vec<usize>,
     pub by_id: BTreeMap<MemberId, usize>,
-    pub open: BTreeMap<TxnId, Open>,
+    pub open_txns: BTreeMap<TxnId, OpenTxn>,
     pub hops: BTreeMap<(TxnId, u32), Hop>,
-    pub rows: Vec<Row>,
+    pub rule_stats: Vec<RuleStats>,
     pub ready: VecDeque<TxnId>,
-    pub cancels: VecDeque<(TxnId, u32)>,
+    pub pending_cancels: VecDeque<(TxnId, u32)>,
     /// In the order in which they were told.
     pub purges: Vec<Purge>,
-    pub purges_joined: usize,
-    pub mean_load: f64,
-    pub mean_sending: f64,
+    pub purges_merged: usize,
+    pub mean_txn_load: f64,
+    pub mean_transfer_secs: f64,
     /// What hops took by their txns' sending times, where sizes are told.
-    pub pace: Pace,
+    pub duration_model: DurationModel,
     /// Sending time a second that this gateway saw a warm cache and a warm parent complete, at most lately.
-    pub borne: [f64; 2],
+    pub peak_warm_rate: [f64; 2],
     pub origin: Option<usize>,
-    pub origin_bad: f64,
+    pub origin_failure_rate: f64,
     /// Transfers on the own zone's link over those that fit, as caches report it.
-    pub link: f64,
-    pub arrivals: f64,
+    pub link_load: f64,
+    pub arrivals_since_step: f64,
     pub arrival_rate: f64,
-    pub steps: u32,
+    pub step_count: u32,
 }
 
-impl Book {
+impl RouterState {
     /// Puts a member where one was that has gone and that nothing names any more, or behind all others: what is
     /// kept does not grow with the ids that have been.
-    pub fn place(&mut self, cache: Cache) -> usize {
+    pub fn insert_member(&mut self, cache: MemberRecord) -> usize {
         let named = |i: usize| {
-            let of_open = |o: &Open| o.avoid.contains(&i) || o.may_have_run.is_some_and(|(m, _)| m == i);
+            let of_open = |o: &OpenTxn| o.avoid.contains(&i) || o.may_have_run.is_some_and(|(m, _)| m == i);
             let of_hop = |h: &Hop| h.member == i || h.source == Some(i);
-            self.open.values().any(of_open) || self.hops.values().any(of_hop)
+            self.open_txns.values().any(of_open) || self.hops.values().any(of_hop)
         };
-        let free = |&i: &usize| self.caches[i].m.state == MemberState::Gone && !named(i);
-        let i = (0..self.caches.len()).find(free).unwrap_or(self.caches.len());
-        let (id, role) = (Arc::clone(&cache.m.id), cache.role);
-        match self.caches.get_mut(i) {
-            Some(gone) => _ = self.by_id.remove(&std::mem::replace(gone, cache).m.id),
-            None => self.caches.push(cache),
+        let free = |&i: &usize| self.members[i].info.state == MemberState::Gone && !named(i);
+        let i = (0..self.members.len()).find(free).unwrap_or(self.members.len());
+        let (id, role) = (Arc::clone(&cache.info.id), cache.role);
+        match self.members.get_mut(i) {
+            Some(gone) => _ = self.by_id.remove(&std::mem::replace(gone, cache).info.id),
+            None => self.members.push(cache),
         }
         self.by_id.insert(id, i);
         self.origin = if role == Role::Origin { Some(i) } else { self.origin.filter(|&o| o != i) };
         i
     }
 
-    pub fn purged_names(&self) -> usize {
-        self.purges.iter().map(|p| p.names.prefixes().len()).sum()
+    pub fn purge_prefix_count(&self) -> usize {
+        self.purges.iter().map(|p| p.set.prefixes().len()).sum()
     }
 
     /// How much is kept, by name, and what is held of the members: how many are passed over, and how long ago
     /// the near one that has been quiet longest answered, of those that are not.
     pub fn table_sizes(&self, now: Time) -> [(&'static str, usize); 11] {
-        let listed = self.caches.iter().filter(|c| c.m.state != MemberState::Gone);
-        let left_out = listed.filter(|c| c.trial_at.is_some()).count();
-        let near = self.near.iter().map(|&i| &self.caches[i]).filter(|c| c.trial_at.is_none());
-        let quiet = near.map(|c| now - c.answered).max().unwrap_or(Span::ZERO);
-        let spent = self.caches.iter().map(|c| c.spent.len()).sum();
+        let listed = self.members.iter().filter(|c| c.info.state != MemberState::Gone);
+        let left_out = listed.filter(|c| c.ejected_until.is_some()).count();
+        let near = self.zone_caches.iter().map(|&i| &self.members[i]).filter(|c| c.ejected_until.is_none());
+        let quiet = near.map(|c| now - c.last_answer_at).max().unwrap_or(Span::ZERO);
+        let spent = self.members.iter().map(|c| c.cold_charges.len()).sum();
         [
-            ("members kept", self.caches.len()),
+            ("members kept", self.members.len()),
             ("members by id", self.by_id.len()),
-            ("txns decided on", self.open.len()),
+            ("txns decided on", self.open_txns.len()),
             ("hops decided on", self.hops.len()),
             ("txns ready", self.ready.len()),
             ("purges kept", self.purges.len()),
-            ("names of purges kept", self.purged_names()),
-            ("purges joined at the bound", self.purges_joined),
+            ("names of purges kept", self.purge_prefix_count()),
+            ("purges joined at the bound", self.purges_merged),
             ("sent to cold members", spent),
             ("members left out", left_out),
             ("ms of the longest silence", (quiet.as_micros() / 1_000) as usize),
@@ -285,11 +304,11 @@
 }
 
 /// A share of 1, evenly spread over hashes.
-pub fn unit(hash: u64) -> f64 {
+pub fn unit_interval(hash: u64) -> f64 {
     ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64
 }
 
-pub fn hash(a: u64, b: u64, c: u64) -> u64 {
+pub fn hash_triple(a: u64, b: u64, c: u64) -> u64 {
     let mut bytes = [0; 24];
     bytes[..8].copy_from_slice(&a.to_le_bytes());
     bytes[8..16].copy_from_slice(&b.to_le_bytes());
@@ -297,11 +316,11 @@
     xxh3_64(&bytes)
 }
 
-pub fn one(is: bool) -> f64 {
+pub fn indicator(is: bool) -> f64 {
     f64::from(u8::from(is))
 }
 
 /// A running mean: moves `mean` by `part` of the way to `value`.
-pub fn follow(mean: &mut f64, value: f64, part: f64) {
+pub fn update_ewma(mean: &mut f64, value: f64, part: f64) {
     *mean += (value - *mean) * part;
 }
