--- a/src/explain.rs
+++ b/src/explain.rs
@@ -1,50 +1,51 @@
-//! Tells why a txn would go where it goes: each member in the object's order with what speaks for and against it now.
-//! Reads what the module knows, by the module's own tests; must never decide, nor change anything.
+//! Explains where a txn would go: lists each member in the object's hash order with the reasons for and against it.
+//!
+//! Invariant: uses the same checks as the decisions, on a shared reference; decides and changes nothing.
 
 use crate::interface::{MemberId, MemberState, Txn};
 use crate::logic::Gateway;
 use crate::state::Role;
 use crate::time::{Span, Time};
 
-/// A member as it stands for one txn.
+/// The state of a member with regard to one txn.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberExplanation {
     pub member: MemberId,
     pub state: MemberState,
-    /// It answers nothing; a trial goes there at the time.
+    /// It is ejected, as it has stopped answering; a probe hop may go there from this time.
     pub ejected_until: Option<Time>,
-    /// It started lately, and its budget is spent.
+    /// It started recently and its cold-start budget is used up.
     pub cold_budget_spent: bool,
-    /// This gateway has as much there as its gate lets through.
+    /// The txn does not fit under this gateway's concurrency limit for the member.
     pub at_concurrency_limit: bool,
-    /// Of a parent, 0 to 100: a fill goes there if the object's fraction lies below a hundredth of it.
+    /// Of a parent, 5 to 100: a fill goes there if the object's fraction is below a hundredth of it.
     pub weight: Option<f64>,
 }
 
-/// In the object's hash order each.
+/// Each list is in the object's hash order.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Explanation {
-    /// Caches of the own zone.
+    /// Caches of the gateway's zone.
     pub caches: Vec<MemberExplanation>,
     pub parents: Vec<MemberExplanation>,
     pub origins: Vec<MemberExplanation>,
     /// The object's fraction, 0 to 1.
     pub fraction: f64,
-    /// Its own sending time, as far as it is told.
+    /// The txn's own transfer time, or the mean of its rule where it is unknown.
     pub transfer_time: Span,
-    /// The oldest copy that would be asked for; `None`: the remap rule's fresh time.
+    /// The oldest copy that would be accepted; `None`: the remap rule's max age.
     pub max_age: Option<Span>,
     pub origin_failing: bool,
 }
 
 impl Gateway {
-    /// Why a txn that comes now would go where it goes.
+    /// Explains where a txn that arrives now would go.
     pub fn explain(&self, now: Time, txn: &Txn) -> Explanation {
-        let all = |role| self.explain_role(now, role, txn);
+        let by_role = |role| self.explain_role(now, role, txn);
         Explanation {
-            caches: all(Role::Edge),
-            parents: all(Role::Parent),
-            origins: all(Role::Origin),
+            caches: by_role(Role::Edge),
+            parents: by_role(Role::Parent),
+            origins: by_role(Role::Origin),
             fraction: self.object_fraction(txn),
             transfer_time: Span::from_secs_f64(self.transfer_secs(txn)),
             max_age: self.max_age_for(now, txn),
@@ -53,18 +54,18 @@
     }
 
     fn explain_role(&self, now: Time, role: Role, txn: &Txn) -> Vec<MemberExplanation> {
-        let (sending, load) = (self.transfer_secs(txn), txn.size.unwrap_or(1.0));
-        let one = |i: usize| {
-            let c = &self.state.members[i];
+        let (transfer_secs, load) = (self.transfer_secs(txn), txn.size.unwrap_or(1.0));
+        let member = |i: usize| {
+            let record = &self.state.members[i];
             MemberExplanation {
-                member: c.info.id.clone(),
-                state: c.info.state,
-                ejected_until: c.ejected_until,
-                cold_budget_spent: !self.within_cold_budget(now, i, sending),
-                at_concurrency_limit: !self.within_limit(now, i, load, sending),
-                weight: (role == Role::Parent).then_some(c.weight_controller.weight),
+                member: record.info.id.clone(),
+                state: record.info.state,
+                ejected_until: record.ejected_until,
+                cold_budget_spent: !self.within_cold_budget(now, i, transfer_secs),
+                at_concurrency_limit: !self.within_limit(now, i, load, transfer_secs),
+                weight: (role == Role::Parent).then_some(record.weight_controller.weight),
             }
         };
-        self.hash_order(role, txn, false).into_iter().map(one).collect()
+        self.hash_order(role, txn, false).into_iter().map(member).collect()
     }
 }
--- a/src/histogram.rs
+++ b/src/histogram.rs
@@ -1,4 +1,4 @@
-//! A small histogram of spans in a few bins, each wider than the last by one ratio.
+//! A small histogram of spans with a few bins whose upper ends grow by a constant ratio.
 
 use crate::time::Span;
 
@@ -31,13 +31,13 @@
         }
     }
 
-    /// The value below which the share `part` lies, spread evenly inside its bin; `None` while empty.
-    pub fn quantile(&self, part: f64) -> Option<Span> {
+    /// The `q` quantile, interpolated linearly within its bin; `None` while empty.
+    pub fn quantile(&self, q: f64) -> Option<Span> {
         let total = self.count();
         if total <= 0.0 {
             return None;
         }
-        let mut left = total * part;
+        let mut left = total * q;
         for (i, &n) in self.bins.iter().enumerate() {
             if n > 0.0 && left <= n {
                 let high = self.first * self.ratio.powi(i as i32);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,5 @@
-//! kelpcart decides where a txn goes, where a missing object is filled from, and when to give up.
+//! The decision module of kelpcart: which cache a txn goes to, where a missing object is filled from, and when to give
+//! up. It does no I/O; the host reports events and carries out the decisions.
 
 pub mod explain;
 pub mod hash_prefix;
@@ -12,7 +13,7 @@
 pub use time::{Span, Time};
 
 impl Gateway {
-    /// How much is kept and what is held of the members, by name, for the host's counters.
+    /// Table sizes and member health by name, for the host's counters.
     pub fn table_sizes(&self, now: Time) -> impl Iterator<Item = (&'static str, usize)> {
         self.state.table_sizes(now).into_iter()
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! What a gateway keeps between calls; plain records, filled and read by the decisions.
+//! The state that a gateway keeps between calls: plain records, written and read by the decisions in `logic.rs`.
 
 use crate::hash_prefix::PrefixSet;
 use crate::histogram::Histogram;
@@ -15,102 +15,120 @@
     Origin,
 }
 
-/// What the weight controller keeps of a parent, from this gateway's own fills.
+/// State of a parent's weight controller, from this gateway's own fills. The counts are halved in each step.
 #[derive(Clone)]
 pub struct WeightController {
+    /// 5 to 100.
     pub weight: f64,
+    /// Time to first byte of fills, in the recent windows and over the long term.
     pub recent_first_byte: Histogram,
     pub baseline_first_byte: Histogram,
     pub fills: f64,
     pub failed: f64,
     pub timed_out: f64,
+    /// Windows in a row without degradation.
     pub clean_windows: u32,
     pub window_degraded: bool,
 }
 
-/// A member of the list: an edge cache, a parent or the origin.
+/// What is known of a listed member: an edge cache, a parent or the origin.
 #[derive(Clone)]
 pub struct MemberRecord {
     pub info: Member,
+    /// Hash of the id, for rendezvous hashing.
     pub id_hash: u64,
     pub role: Role,
-    /// The gateways that send to it.
+    /// The number of gateways that send to it.
     pub gateway_count: f64,
-    /// In flight from this gateway: KB, or txns where sizes are not told.
+    /// Load in flight from this gateway: KB, or txns where sizes are unknown.
     pub in_flight: f64,
-    /// Its running mean, as of when it last changed.
+    /// EWMA of `in_flight` as of `mean_updated_at`, over `averaging_time`.
     mean_in_flight: f64,
     mean_updated_at: Time,
     averaging_time: Span,
-    /// Signs of silence in a row; while there are enough, the time of the next trial.
     pub consecutive_failures: u32,
+    /// While the member is ejected: when the next probe hop may be sent.
     pub ejected_until: Option<Time>,
     pub last_answer_at: Time,
-    /// When the newest of the hops was sent that it completed in time.
+    /// When the newest of the hops that it completed in time was sent.
     pub last_timely_sent_at: Time,
-    /// What was sent of late to one that may be cold: when, its sending time, by which hop.
+    /// What counts against the cold-start budget: when it was sent, its transfer time in seconds, and the hop.
     pub cold_charges: VecDeque<(Time, f64, (TxnId, u32))>,
-    /// Sending time completed since the last step, and a second on average.
+    /// Transfer time, in seconds, of the hops completed since the last step.
     pub completed_since_step: f64,
+    /// Its EWMA: seconds of transfer time completed a second.
     pub completion_rate: f64,
+    /// In mean txns.
     pub concurrency_limit: f64,
+    /// Of use for parents only.
     pub weight_controller: WeightController,
 }
 
 impl MemberRecord {
     pub fn new(
         now: Time,
-        m: Member,
+        info: Member,
         role: Role,
-        sharers: f64,
-        span: Span,
-        par: WeightController,
+        gateway_count: f64,
+        averaging_time: Span,
+        weight_controller: WeightController,
     ) -> MemberRecord {
-        let (load, mean, changed, work, rate, gate) = (0.0, 0.0, now, 0.0, 0.0, 0.0);
-        let key = xxh3_64(m.id.as_bytes());
-        let (strikes, trial_at, answered, prompt, spent) = (0, None, now, now, VecDeque::new());
+        let (
+            in_flight,
+            mean_in_flight,
+            mean_updated_at,
+            completed_since_step,
+            completion_rate,
+            concurrency_limit,
+        ) = (0.0, 0.0, now, 0.0, 0.0, 0.0);
+        let id_hash = xxh3_64(info.id.as_bytes());
+        let (consecutive_failures, ejected_until, last_answer_at, last_timely_sent_at, cold_charges) =
+            (0, None, now, now, VecDeque::new());
         MemberRecord {
-            info: m,
-            id_hash: key,
+            info,
+            id_hash,
             role,
-            gateway_count: sharers,
-            in_flight: load,
-            mean_in_flight: mean,
-            mean_updated_at: changed,
-            averaging_time: span,
-            consecutive_failures: strikes,
-            ejected_until: trial_at,
-            last_answer_at: answered,
-            last_timely_sent_at: prompt,
-            cold_charges: spent,
-            completed_since_step: work,
-            completion_rate: rate,
-            concurrency_limit: gate,
-            weight_controller: par,
+            gateway_count,
+            in_flight,
+            mean_in_flight,
+            mean_updated_at,
+            averaging_time,
+            consecutive_failures,
+            ejected_until,
+            last_answer_at,
+            last_timely_sent_at,
+            cold_charges,
+            completed_since_step,
+            completion_rate,
+            concurrency_limit,
+            weight_controller,
         }
     }
 
-    /// The load on average, each moment weighing less by the time since over its span.
+    /// The EWMA of `in_flight` at `now`: each moment's weight decays exponentially over `averaging_time`.
     pub fn mean_in_flight(&self, now: Time) -> f64 {
         self.in_flight
             + (self.mean_in_flight - self.in_flight)
                 * (-((now - self.mean_updated_at) / self.averaging_time)).exp()
     }
 
-    pub fn add_in_flight(&mut self, now: Time, more: f64) {
+    pub fn add_in_flight(&mut self, now: Time, delta: f64) {
         self.mean_in_flight = self.mean_in_flight(now);
-        (self.mean_updated_at, self.in_flight) = (now, self.in_flight + more);
+        (self.mean_updated_at, self.in_flight) = (now, self.in_flight + delta);
     }
 
+    /// The member has answered: ends an ejection and resets the count of failures.
     pub fn record_answer(&mut self, now: Time) {
         (self.last_answer_at, self.consecutive_failures, self.ejected_until) = (now, 0, None);
     }
 
-    pub fn relative_capacity(&self, sized: bool) -> f64 {
-        if sized { self.info.capacity.max(1e-6) } else { 1.0 }
+    /// The member's weight in rendezvous hashing and load bounds; equal where capacities are unknown.
+    pub fn relative_capacity(&self, capacities_known: bool) -> f64 {
+        if capacities_known { self.info.capacity.max(1e-6) } else { 1.0 }
     }
 }
 
+/// A hop in flight.
 #[derive(Clone)]
 pub struct Hop {
     pub member: usize,
@@ -118,25 +136,31 @@
     pub sent_at: Time,
     pub overdue_at: Time,
     pub sla: Span,
-    /// Seconds that the txn takes to send.
+    /// Transfer time of the txn, in seconds.
     pub transfer_secs: f64,
+    /// Load in flight at the member: KB, or one txn where its size is unknown.
     pub load: f64,
+    /// Load in flight at the fill source, weighted by how often a fill is needed.
     pub fill_load: f64,
+    /// The fill is expected to go on from the parent to the origin.
     pub reaches_origin: bool,
+    /// The duration tells the transfer rate: the size is known, and the member is not remote.
     pub size_known: bool,
     pub cancelled: bool,
 }
 
+/// A txn without a final answer.
 #[derive(Clone)]
 pub struct OpenTxn {
     pub txn: Txn,
     pub deadline: Time,
     pub hop_count: u32,
     pub hops_in_flight: u32,
+    /// Members that failed this txn.
     pub avoid: Vec<usize>,
-    /// A cache was asked only for what it holds, and lacked it.
+    /// A cache, or a source behind it, was asked only for a copy that it has and had none.
     pub cache_lacked: bool,
-    /// The parent was asked only for what it holds, and lacked it.
+    /// The parent was asked only for a copy that it has and had none.
     pub parent_lacked: bool,
     pub origin_failed: bool,
     /// The member and time of the first hop that may have run.
@@ -144,36 +168,37 @@
 }
 
 impl OpenTxn {
-    pub fn new(txn: Txn, limit: Time) -> OpenTxn {
-        let (looked, parent_lacks, origin_failed) = (false, false, false);
-        let (hops, out, avoid, may_have_run) = (0, 0, Vec::new(), None);
+    pub fn new(txn: Txn, deadline: Time) -> OpenTxn {
+        let (cache_lacked, parent_lacked, origin_failed) = (false, false, false);
+        let (hop_count, hops_in_flight, avoid, may_have_run) = (0, 0, Vec::new(), None);
         OpenTxn {
             txn,
-            deadline: limit,
-            hop_count: hops,
-            hops_in_flight: out,
+            deadline,
+            hop_count,
+            hops_in_flight,
             avoid,
-            cache_lacked: looked,
-            parent_lacked: parent_lacks,
+            cache_lacked,
+            parent_lacked,
             origin_failed,
             may_have_run,
         }
     }
 
-    /// What it puts in flight: KB, or one txn where its size is not told.
+    /// The load that a hop puts in flight: KB, or one txn where the size is unknown.
     pub fn load(&self) -> f64 {
         self.txn.size.unwrap_or(1.0)
     }
 }
 
-/// What is measured of a remap rule's txns: their mean sending time in seconds.
+/// Measurements of a remap rule's txns.
 #[derive(Clone)]
 pub struct RuleStats {
     pub mean_transfer_secs: f64,
+    /// `mean_transfer_secs` is measured from known sizes, no longer assumed.
     pub measured: bool,
 }
 
-/// A line through what hops of late took by their txns' sending times, from running means.
+/// Running linear regression of hop duration on transfer time, both in seconds, from EWMAs of the moments.
 #[derive(Clone, Default)]
 pub struct DurationModel {
     weight: f64,
@@ -184,33 +209,33 @@
 }
 
 impl DurationModel {
-    pub fn record(&mut self, sent: f64, took: f64, part: f64) {
-        update_ewma(&mut self.weight, 1.0, part);
-        update_ewma(&mut self.transfer, sent, part);
-        update_ewma(&mut self.duration, took, part);
-        update_ewma(&mut self.transfer_sq, sent * sent, part);
-        update_ewma(&mut self.transfer_duration, sent * took, part);
+    pub fn record(&mut self, transfer: f64, duration: f64, alpha: f64) {
+        update_ewma(&mut self.weight, 1.0, alpha);
+        update_ewma(&mut self.transfer, transfer, alpha);
+        update_ewma(&mut self.duration, duration, alpha);
+        update_ewma(&mut self.transfer_sq, transfer * transfer, alpha);
+        update_ewma(&mut self.transfer_duration, transfer * duration, alpha);
     }
 
-    /// Moves the line by `part` of the way to where all take their sending time and no more.
-    pub fn decay(&mut self, part: f64) {
-        let (sent, sent_sent) = (self.transfer, self.transfer_sq);
-        update_ewma(&mut self.duration, sent, part);
-        update_ewma(&mut self.transfer_duration, sent_sent, part);
+    /// Moves the line by the fraction `alpha` towards the one where each hop takes just its transfer time.
+    pub fn decay(&mut self, alpha: f64) {
+        let (transfer, transfer_sq) = (self.transfer, self.transfer_sq);
+        update_ewma(&mut self.duration, transfer, alpha);
+        update_ewma(&mut self.transfer_duration, transfer_sq, alpha);
     }
 
-    /// What a txn of this sending time takes on the line: at least that. Where sizes hardly differ, or the line would
-    /// start below nothing, a multiple of it.
-    pub fn predict(&self, sending: f64) -> f64 {
-        let n = self.weight.max(1e-9);
-        let (sent, took) = (self.transfer / n, self.duration / n);
-        let spread = self.transfer_sq / n - sent * sent;
-        let slope = (self.transfer_duration / n - sent * took) / spread.max(1e-12);
-        let base = took - slope.max(1.0) * sent;
-        if spread > sent * sent * 0.01 && base >= 0.0 {
-            base + sending * slope.max(1.0)
+    /// Predicted hop duration, at least the transfer time. Where sizes hardly differ, or the line has a negative
+    /// intercept, the prediction is a multiple of the transfer time.
+    pub fn predict(&self, transfer_secs: f64) -> f64 {
+        let weight = self.weight.max(1e-9);
+        let (mean_transfer, mean_duration) = (self.transfer / weight, self.duration / weight);
+        let variance = self.transfer_sq / weight - mean_transfer * mean_transfer;
+        let slope = (self.transfer_duration / weight - mean_transfer * mean_duration) / variance.max(1e-12);
+        let intercept = mean_duration - slope.max(1.0) * mean_transfer;
+        if variance > mean_transfer * mean_transfer * 0.01 && intercept >= 0.0 {
+            intercept + transfer_secs * slope.max(1.0)
         } else {
-            sending * (took / sent.max(1e-6)).max(1.0)
+            transfer_secs * (mean_duration / mean_transfer.max(1e-6)).max(1.0)
         }
     }
 }
@@ -218,57 +243,62 @@
 #[derive(Clone)]
 pub struct Purge {
     pub set: PrefixSet,
-    /// Nothing older is good any more.
+    /// Copies made before are no longer valid.
     pub valid_from: Time,
     pub received_at: Time,
 }
 
-/// All that a gateway knows at a moment.
+/// The state of a gateway's decision module. Members are referred to by their index in `members`.
 #[derive(Clone, Default)]
 pub struct RouterState {
     pub members: Vec<MemberRecord>,
-    /// Members listed now, by role, and the caches of the own zone: what a txn has to choose from.
+    /// Members that are not gone, by role.
     pub listed_by_role: [Vec<usize>; 3],
+    /// The listed caches of this gateway's zone.
     pub zone_caches: Vec<usize>,
     pub by_id: BTreeMap<MemberId, usize>,
     pub open_txns: BTreeMap<TxnId, OpenTxn>,
     pub hops: BTreeMap<(TxnId, u32), Hop>,
     pub rule_stats: Vec<RuleStats>,
+    /// Txns that wait for a decision.
     pub ready: VecDeque<TxnId>,
     pub pending_cancels: VecDeque<(TxnId, u32)>,
-    /// In the order in which they were told.
+    /// In the order in which they were received.
     pub purges: Vec<Purge>,
     pub purges_merged: usize,
+    /// EWMA over txns: KB, or 1 where sizes are unknown.
     pub mean_txn_load: f64,
     pub mean_transfer_secs: f64,
-    /// What hops took by their txns' sending times, where sizes are told.
+    /// From hops of txns of known size.
     pub duration_model: DurationModel,
-    /// Sending time a second that this gateway saw a warm cache and a warm parent complete, at most lately.
+    /// Decaying maximum of the mean completion rate of warm caches and of warm parents, from this gateway.
     pub peak_warm_rate: [f64; 2],
     pub origin: Option<usize>,
+    /// EWMA of the share of origin fills that fail or start late.
     pub origin_failure_rate: f64,
-    /// Transfers on the own zone's link over those that fit, as caches report it.
+    /// EWMA of the transfers on the zone's own link over those that fit, as reported by caches.
     pub link_load: f64,
     pub arrivals_since_step: f64,
+    /// EWMA, in txns a second.
     pub arrival_rate: f64,
     pub step_count: u32,
 }
 
 impl RouterState {
-    /// Puts a member where one was that has gone and that nothing names any more, or behind all others: what is
-    /// kept does not grow with the ids that have been.
-    pub fn insert_member(&mut self, cache: MemberRecord) -> usize {
-        let named = |i: usize| {
-            let of_open = |o: &OpenTxn| o.avoid.contains(&i) || o.may_have_run.is_some_and(|(m, _)| m == i);
-            let of_hop = |h: &Hop| h.member == i || h.source == Some(i);
-            self.open_txns.values().any(of_open) || self.hops.values().any(of_hop)
+    /// Inserts a member in the slot of one that is gone and no longer referenced, else at the end, so that memory does
+    /// not grow with the number of ids ever seen.
+    pub fn insert_member(&mut self, record: MemberRecord) -> usize {
+        let referenced = |i: usize| {
+            let by_txn = |o: &OpenTxn| o.avoid.contains(&i) || o.may_have_run.is_some_and(|(m, _)| m == i);
+            let by_hop = |h: &Hop| h.member == i || h.source == Some(i);
+            self.open_txns.values().any(by_txn) || self.hops.values().any(by_hop)
         };
-        let free = |&i: &usize| self.members[i].info.state == MemberState::Gone && !named(i);
+        let free = |&i: &usize| self.members[i].info.state == MemberState::Gone && !referenced(i);
         let i = (0..self.members.len()).find(free).unwrap_or(self.members.len());
-        let (id, role) = (Arc::clone(&cache.info.id), cache.role);
+        let (id, role) = (Arc::clone(&record.info.id), record.role);
         match self.members.get_mut(i) {
-            Some(gone) => _ = self.by_id.remove(&std::mem::replace(gone, cache).info.id),
-            None => self.members.push(cache),
+            Some(slot) => _ = self.by_id.remove(&std::mem::replace(slot, record).info.id),
+            None => self.members.push(record),
         }
         self.by_id.insert(id, i);
         self.origin = if role == Role::Origin { Some(i) } else { self.origin.filter(|&o| o != i) };
@@ -279,14 +309,18 @@
         self.purges.iter().map(|p| p.set.prefixes().len()).sum()
     }
 
-    /// How much is kept, by name, and what is held of the members: how many are passed over, and how long ago
-    /// the near one that has been quiet longest answered, of those that are not.
+    /// Table sizes by name, the number of ejected members, and the longest time since the last answer of a cache of the
+    /// zone that is not ejected.
     pub fn table_sizes(&self, now: Time) -> [(&'static str, usize); 11] {
-        let listed = self.members.iter().filter(|c| c.info.state != MemberState::Gone);
-        let left_out = listed.filter(|c| c.ejected_until.is_some()).count();
-        let near = self.zone_caches.iter().map(|&i| &self.members[i]).filter(|c| c.ejected_until.is_none());
-        let quiet = near.map(|c| now - c.last_answer_at).max().unwrap_or(Span::ZERO);
-        let spent = self.members.iter().map(|c| c.cold_charges.len()).sum();
+        let listed = self.members.iter().filter(|record| record.info.state != MemberState::Gone);
+        let ejected = listed.filter(|record| record.ejected_until.is_some()).count();
+        let answering = self
+            .zone_caches
+            .iter()
+            .map(|&i| &self.members[i])
+            .filter(|record| record.ejected_until.is_none());
+        let longest_silence = answering.map(|record| now - record.last_answer_at).max().unwrap_or(Span::ZERO);
+        let cold_charges = self.members.iter().map(|record| record.cold_charges.len()).sum();
         [
             ("members kept", self.members.len()),
             ("members by id", self.by_id.len()),
@@ -296,14 +330,14 @@
             ("purges kept", self.purges.len()),
             ("names of purges kept", self.purge_prefix_count()),
             ("purges joined at the bound", self.purges_merged),
-            ("sent to cold members", spent),
-            ("members left out", left_out),
-            ("ms of the longest silence", (quiet.as_micros() / 1_000) as usize),
+            ("sent to cold members", cold_charges),
+            ("members left out", ejected),
+            ("ms of the longest silence", (longest_silence.as_micros() / 1_000) as usize),
         ]
     }
 }
 
-/// A share of 1, evenly spread over hashes.
+/// Maps a hash evenly to the interval 0 to 1.
 pub fn unit_interval(hash: u64) -> f64 {
     ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64
 }
@@ -316,11 +350,12 @@
     xxh3_64(&bytes)
 }
 
+/// 1 if true, else 0.
 pub fn indicator(is: bool) -> f64 {
     f64::from(u8::from(is))
 }
 
-/// A running mean: moves `mean` by `part` of the way to `value`.
-pub fn update_ewma(mean: &mut f64, value: f64, part: f64) {
-    *mean += (value - *mean) * part;
+/// Moves `mean` by the fraction `alpha` towards `value`.
+pub fn update_ewma(mean: &mut f64, value: f64, alpha: f64) {
+    *mean += (value - *mean) * alpha;
 }
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,4 +1,4 @@
-//! A point in time and a span between two of them, in whole microseconds of the host's clock.
+//! A point in time and a span between two points, in whole microseconds of the host's clock. Arithmetic saturates.
 
 use std::ops::{Add, AddAssign, Div, Mul, Sub};
 
