--- a/drill/src/main.rs
+++ b/drill/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts many gateways' decision modules on the simulator's wire: one line in, one line out.
+//! Adapter for the simulator: hosts the decision modules of many gateways, reads one batch a line from stdin and writes
+//! one reply line each to stdout.
 
 mod wire;
 
@@ -11,7 +12,7 @@
     for (i, line) in stdin().lines().enumerate() {
         let reply = match line {
             Ok(line) => host.batch(&line),
-            Err(e) => Err(format!("cannot be read: {e}")),
+            Err(e) => Err(format!("read error: {e}")),
         };
         match reply {
             Ok(reply) => {
@@ -19,8 +20,8 @@
                     return ExitCode::FAILURE;
                 }
             }
-            Err(what) => {
-                eprintln!("line {}: {what}", i + 1);
+            Err(error) => {
+                eprintln!("line {}: {error}", i + 1);
                 return ExitCode::FAILURE;
             }
         }
--- a/drill/src/wire.rs
+++ b/drill/src/wire.rs
@@ -1,4 +1,4 @@
-//! The wire: decodes batches into calls of the decision module and encodes what it decides.
+//! The simulator's protocol: decodes batches of events into calls of the decision module and encodes its decisions.
 
 use kelpcart::hash_prefix::PrefixSet;
 use kelpcart::interface::*;
@@ -19,7 +19,7 @@
 }
 
 impl Host {
-    /// Plays one batch and gives the reply line.
+    /// Processes one batch and returns the reply line.
     pub fn batch(&mut self, line: &str) -> ParseResult<String> {
         let batch: Value = serde_json::from_str(line).map_err(|e| format!("not JSON: {e}"))?;
         let batch = batch.as_object().ok_or("not an object")?;
@@ -28,32 +28,33 @@
         for event in list(batch, "inbox")? {
             let mut named = event.as_object().ok_or("an event is not an object")?.iter();
             let (Some((name, body)), None) = (named.next(), named.next()) else {
-                return Err("an event needs exactly one name".into());
+                return Err("an event must have exactly one name".into());
             };
             let body = body.as_object().ok_or_else(|| format!("{name}: not an object"))?;
-            let who = int(body, "Who").map_err(|e| format!("{name}: {e}"))?;
-            self.event(now, name, who, body).map_err(|e| format!("{name}: {e}"))?;
-            if !touched.contains(&who) {
-                touched.push(who);
+            let instance = int(body, "Who").map_err(|e| format!("{name}: {e}"))?;
+            self.event(now, name, instance, body).map_err(|e| format!("{name}: {e}"))?;
+            if !touched.contains(&instance) {
+                touched.push(instance);
             }
         }
         let mut orders = Vec::new();
-        for who in touched {
-            if let Some(running) = self.running.get_mut(&who) {
-                running.pull(now, who, &mut orders);
+        for instance in touched {
+            if let Some(running) = self.running.get_mut(&instance) {
+                running.encode_decisions(now, instance, &mut orders);
             }
         }
         Ok(json!({ "orders": orders }).to_string())
     }
 
-    fn event(&mut self, now: Time, name: &str, who: u64, body: &Fields) -> ParseResult<()> {
+    fn event(&mut self, now: Time, name: &str, instance: u64, body: &Fields) -> ParseResult<()> {
         if name == "Up" {
-            let set = settings(object(body, "Settings")?)?;
-            let gateway = Gateway::new(set, int(body, "Entropy")?, now);
-            self.running.insert(who, Running { gateway, wake: None });
+            let settings = settings(object(body, "Settings")?)?;
+            let gateway = Gateway::new(settings, int(body, "Entropy")?, now);
+            self.running.insert(instance, Running { gateway, wake: None });
             return Ok(());
         }
-        let running = self.running.get_mut(&who).ok_or_else(|| format!("instance {who} is not running"))?;
+        let running =
+            self.running.get_mut(&instance).ok_or_else(|| format!("instance {instance} is not running"))?;
         let gateway = &mut running.gateway;
         match name {
             "Update" => match text(body, "Form")? {
@@ -70,9 +71,9 @@
             "Hangup" => gateway.client_left(int(body, "Req")?),
             "Outdated" => {
                 let group = optional(body, "Group", int)?.unwrap_or(0);
-                let names =
+                let set =
                     optional(body, "File", int)?.map_or_else(|| PrefixSet::group(group), PrefixSet::object);
-                gateway.purge(now, names, span(body, "AgeUs")?);
+                gateway.purge(now, set, span(body, "AgeUs")?);
             }
             "Reminder" => {
                 if running.wake.is_some_and(|at| at <= now) {
@@ -80,48 +81,48 @@
                 }
             }
             "PowerOff" => {
-                self.running.remove(&who);
+                self.running.remove(&instance);
             }
             "First" | "StatusBack" | "Message" => {}
-            _ => return Err("no such event".into()),
+            _ => return Err("unknown event".into()),
         }
         Ok(())
     }
 }
 
 impl Running {
-    fn pull(&mut self, now: Time, who: u64, orders: &mut Vec<Value>) {
+    fn encode_decisions(&mut self, now: Time, instance: u64, orders: &mut Vec<Value>) {
         while let Some(decision) = self.gateway.poll(now) {
-            orders.push(encode(who, decision));
+            orders.push(encode(instance, decision));
         }
         let next = self.gateway.next_wake();
         if self.wake.is_none_or(|at| next < at) {
             let wait = (next - now).as_micros().max(1);
             self.wake = Some(now + Span::from_micros(wait));
-            orders.push(json!({"Timer": {"Who": who, "SpanUs": wait, "Tag": 0}}));
+            orders.push(json!({"Timer": {"Who": instance, "SpanUs": wait, "Tag": 0}}));
         }
     }
 }
 
-fn encode(who: u64, decision: Decision) -> Value {
+fn encode(instance: u64, decision: Decision) -> Value {
     match decision {
-        Decision::Hop { txn, member, fill: None, deadline: limit, .. } => {
-            json!({"PassOn": {"Who": who, "Req": txn, "Cache": &*member, "TryUntilUs": limit.as_micros()}})
+        Decision::Hop { txn, member, fill: None, deadline, .. } => {
+            json!({"PassOn": {"Who": instance, "Req": txn, "Cache": &*member, "TryUntilUs": deadline.as_micros()}})
         }
-        Decision::Hop { txn, member, fill: Some(fill), deadline: limit, .. } => {
+        Decision::Hop { txn, member, fill: Some(fill), deadline, .. } => {
             let mode =
                 u8::from(fill.coalesce) + 2 * u8::from(fill.only_if_cached) + 8 * u8::from(fill.revalidate);
             let age = fill.max_age.map_or(0, Span::as_micros);
-            json!({"ServeVia": {"Who": who, "Req": txn, "Cache": &*member, "Keep": fill.keep_rank,
-                "Supplier": &*fill.source, "Mode": mode, "TryUntilUs": limit.as_micros(), "AgeUs": age}})
+            json!({"ServeVia": {"Who": instance, "Req": txn, "Cache": &*member, "Keep": fill.keep_rank,
+                "Supplier": &*fill.source, "Mode": mode, "TryUntilUs": deadline.as_micros(), "AgeUs": age}})
         }
-        Decision::Cancel { txn, hop } => json!({"DropAttempt": {"Who": who, "Req": txn, "SeqNo": hop}}),
-        Decision::Reject { txn, retry_after: come_back } => {
-            let wait = come_back.map_or(0, Span::as_micros);
-            json!({"Refuse": {"Who": who, "Req": txn, "RetryInUs": wait}})
+        Decision::Cancel { txn, hop } => json!({"DropAttempt": {"Who": instance, "Req": txn, "SeqNo": hop}}),
+        Decision::Reject { txn, retry_after } => {
+            let wait = retry_after.map_or(0, Span::as_micros);
+            json!({"Refuse": {"Who": instance, "Req": txn, "RetryInUs": wait}})
         }
-        Decision::Abort { txn } => json!({"ReportFailure": {"Who": who, "Req": txn}}),
-        Decision::Subscribe => json!({"Watch": {"Who": who, "On": true}}),
+        Decision::Abort { txn } => json!({"ReportFailure": {"Who": instance, "Req": txn}}),
+        Decision::Subscribe => json!({"Watch": {"Who": instance, "On": true}}),
     }
 }
 
@@ -140,7 +141,7 @@
 }
 
 fn outcome(body: &Fields) -> ParseResult<Outcome> {
-    let end = match text(body, "StateCode")? {
+    let status = match text(body, "StateCode")? {
         "success" => HopStatus::Completed,
         "failure" => HopStatus::Errored,
         "overloaded" => HopStatus::TurnedAway,
@@ -152,7 +153,7 @@
         "absent" => HopStatus::Lacking,
         code => return Err(format!("unknown StateCode {code}")),
     };
-    let note = match optional(body, "Note", int)?.unwrap_or(0) {
+    let cache_status = match optional(body, "Note", int)?.unwrap_or(0) {
         0 => None,
         1 => Some(CacheStatus::Held),
         2 => Some(CacheStatus::Filled),
@@ -171,10 +172,10 @@
     Ok(Outcome {
         txn: int(body, "Req")?,
         hop: int(body, "SeqNo")? as u32,
-        status: end,
+        status,
         duration: span(body, "DurationUs")?,
         answered: optional(body, "Terminal", flag)?.unwrap_or(false),
-        cache_status: note,
+        cache_status,
         first_byte: optional(body, "FirstByteUs", int)?.filter(|&us| us > 0).map(Span::from_micros),
         load: LoadReport { link_load: reported("x1") },
     })
--- a/examples/purge_cost.rs
+++ b/examples/purge_cost.rs
@@ -1,5 +1,5 @@
-//! What purges cost a read: mean time from a txn's coming to its first hop, with none kept, with 150 exact purges a
-//! second that are kept for 31 s, and with 62 sets of 75 short names. Prints microseconds.
+//! Measures what purges cost a read: mean time from a txn's arrival to its first hop, without purges, with 150 purges of
+//! single objects a second that are kept for 31 s, and with 62 sets of 75 hash prefixes. Prints microseconds.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -13,31 +13,31 @@
 const PURGES: u64 = 150 * 31;
 
 fn main() {
-    let short = |i: u64| PrefixSet::new(40, (i * 75..(i + 1) * 75).map(object_hash));
+    let prefix_set = |i: u64| PrefixSet::new(40, (i * 75..(i + 1) * 75).map(object_hash));
     let exact = (0..PURGES).map(PrefixSet::object).collect();
-    for (what, purges) in [
+    for (label, purges) in [
         ("none", Vec::new()),
         ("150 x 31 exact purges", exact),
-        ("62 sets of 75 names of 40 bits", (0..62).map(short).collect()),
+        ("62 sets of 75 prefixes of 40 bits", (0..62).map(prefix_set).collect()),
     ] {
-        let (told, read) = cost(&purges);
-        println!("{what}: {told:.2} us to take a set in, {read:.2} us a read");
+        let (add_us, read_us) = cost(&purges);
+        println!("{label}: {add_us:.2} us to add a set, {read_us:.2} us a read");
     }
 }
 
-/// Microseconds to take one set in, and a read.
+/// Microseconds to add one set, and for a read.
 fn cost(purges: &[PrefixSet]) -> (f64, f64) {
     let mut world = World::new(settings());
-    world.pull(at(0));
-    let began = Instant::now();
-    for names in purges {
-        world.gateway.purge(at(0), names.clone(), ms(500));
+    world.poll_all(at(0));
+    let started = Instant::now();
+    for set in purges {
+        world.gateway.purge(at(0), set.clone(), ms(500));
     }
-    let told = began.elapsed().as_secs_f64() * 1e6 / purges.len().max(1) as f64;
-    let began = Instant::now();
+    let add_us = started.elapsed().as_secs_f64() * 1e6 / purges.len().max(1) as f64;
+    let started = Instant::now();
     for id in 0..READS {
-        world.ask(at(0), txn(id, 0, PURGES + id));
-        world.end(at(0), id, HopStatus::Completed, Some(CacheStatus::Held));
+        world.submit(at(0), txn(id, 0, PURGES + id));
+        world.end_hop(at(0), id, HopStatus::Completed, Some(CacheStatus::Held));
     }
-    (told, began.elapsed().as_secs_f64() * 1e6 / READS as f64)
+    (add_us, started.elapsed().as_secs_f64() * 1e6 / READS as f64)
 }
--- a/examples/toy_cache.rs
+++ b/examples/toy_cache.rs
@@ -1,5 +1,5 @@
-//! Toy caches for trying a gateway: two boxes, a parent, an origin and a bulletin in one program, at the addresses
-//! of `config.json`. They hold every object there is, as text, and print what they are asked. Not for real use.
+//! Toy backends for trying out a gateway: two caches, a parent, an origin and a discovery service in one program, at the
+//! addresses of `config.json`. They serve any object, as text, and print each request. Not for production.
 
 use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader, Read, Result, Write};
@@ -8,19 +8,19 @@
 use std::thread;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-type Held = Arc<Mutex<BTreeSet<String>>>;
+type Cached = Arc<Mutex<BTreeSet<String>>>;
 
 fn main() -> Result<()> {
     let roles = [("box-a", 9001), ("box-b", 9002), ("parent", 9003), ("origin", 9004)];
     for (name, port) in roles {
         let listener = TcpListener::bind(("127.0.0.1", port))?;
-        let held = Held::default();
+        let cached = Cached::default();
         println!("{name} listens on 127.0.0.1:{port}");
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let held = Arc::clone(&held);
-                // A connection that breaks off is the client's affair.
-                thread::spawn(move || serve(name, &held, stream));
+                let cached = Arc::clone(&cached);
+                // Errors of a connection are ignored: the client closed it.
+                thread::spawn(move || serve(name, &cached, stream));
             }
         });
     }
@@ -32,8 +32,8 @@
     Ok(())
 }
 
-/// One request after another: the first line, fields, a body if there is one.
-fn serve(name: &str, held: &Held, mut stream: TcpStream) -> Result<()> {
+/// Serves requests one after another: request line, header fields, and a body if there is one.
+fn serve(name: &str, cached: &Cached, mut stream: TcpStream) -> Result<()> {
     let mut lines = BufReader::new(stream.try_clone()?);
     loop {
         let mut first = String::new();
@@ -54,7 +54,7 @@
         let mut body = vec![0; length];
         lines.read_exact(&mut body)?;
         let path = first.split(' ').nth(1).unwrap_or("/").to_owned();
-        let new = held.lock().unwrap().insert(path.clone());
+        let new = cached.lock().unwrap().insert(path.clone());
         let result = if new && name != "origin" { "filled" } else { "hit" };
         println!("{name}: {path}, {length} bytes with it, fill from {source:?}: {result}");
         let text = format!("{path}, as {name} holds it\n");
@@ -67,7 +67,7 @@
     }
 }
 
-/// No news, once a second: the number of the last event.
+/// Sends the number of the last event once a second: nothing has changed.
 fn announce(mut stream: TcpStream) -> Result<()> {
     loop {
         writeln!(stream, "1")?;
--- a/examples/toy_client.rs
+++ b/examples/toy_client.rs
@@ -1,4 +1,4 @@
-//! A toy client for trying a gateway: asks for a part of an object, or commits a text, and prints the answer.
+//! A toy client for trying out a gateway: reads a part of an object, or commits a text, and prints the answer.
 //!
 //!     toy_client 127.0.0.1:9000 segment 7f3a9c21e0b4d655
 //!     toy_client 127.0.0.1:9000 commit 7f3a9c21e0b4d655 "some text"
@@ -37,7 +37,7 @@
     out.extend((body.len() as u16).to_be_bytes());
     out.extend(body);
     stream.write_all(&out)?;
-    // [1, 1, nil, [body, fields]] or [1, 1, [word, fields], nil]
+    // [1, 1, nil, [body, fields]] or [1, 1, [error, fields], nil]
     let mut head = [0; 5];
     stream.read_exact(&mut head)?;
     match head {
@@ -50,12 +50,12 @@
             Ok(())
         }
         [0x94, 1, 1, 0x92, short] => {
-            let mut word = vec![0; usize::from(short & 0x1f)];
-            stream.read_exact(&mut word)?;
-            println!("not served: {}", String::from_utf8_lossy(&word));
+            let mut error = vec![0; usize::from(short & 0x1f)];
+            stream.read_exact(&mut error)?;
+            println!("not served: {}", String::from_utf8_lossy(&error));
             Ok(())
         }
-        _ => Err(Error::new(ErrorKind::InvalidData, "an answer that a toy can't read")),
+        _ => Err(Error::new(ErrorKind::InvalidData, "unsupported form of answer")),
     }
 }
 
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,5 +1,7 @@
-//! Reads the settings that a gateway is given at its start, for every host of the module alike, and the fields
-//! of JSON objects. Owns the settings' names; must never hold a value of its own.
+//! Parses the settings that a gateway is given at its start, for all hosts of the decision module, and fields of JSON
+//! objects.
+//!
+//! Invariant: this crate defines the names of the settings and no values of its own.
 
 use kelpcart::Span;
 use kelpcart::interface::*;
@@ -15,23 +17,23 @@
     let zone = int(all, "Locality")? as usize;
     let kind = |name| Ok::<_, String>(optional_int(family, name)?.and_then(|k| usize::try_from(k).ok()));
     let classes = list(all, "Classes")?;
-    let over = span(contract, "TipAfterUs")?;
+    let overload_window = span(contract, "TipAfterUs")?;
     let parent_kind = kind("ParentKind")?;
-    // Where there are no parents, nothing need be said of them.
-    let cold_parent = || -> ParseResult<ColdStart> {
+    // Without parents, their settings may be missing.
+    let parent_cold_start = || -> ParseResult<ColdStart> {
         Ok(ColdStart {
             initial_share: number(family, "ParentColdFrom")?,
             warm_up: span(family, "UpperColdUs")?,
             overload_factor: number(family, "ParentFallMultiple")?,
-            overload_window: over,
+            overload_window,
         })
     };
     let gateways = int(all, "Instances")? as u32;
-    // Where it is not told how many there are in the own zone, all of them may be there.
-    let in_zone = element(family, "CrewByZone", zone).and_then(Value::as_u64).filter(|&n| n > 0);
+    // Without a count for the gateway's own zone, all gateways may be in it.
+    let zone_gateways = element(family, "CrewByZone", zone).and_then(Value::as_u64).filter(|&n| n > 0);
     Ok(Settings {
         gateways,
-        zone_gateways: in_zone.map_or(gateways, |n| n as u32),
+        zone_gateways: zone_gateways.map_or(gateways, |n| n as u32),
         zone,
         rules: classes.iter().enumerate().map(|(i, c)| rule(c, i, family)).collect::<ParseResult<_>>()?,
         parent_kind,
@@ -54,9 +56,9 @@
             initial_share: number(contract, "ColdFrom")?,
             warm_up: span(contract, "ColdUs")?,
             overload_factor: number(contract, "FallMultiple")?,
-            overload_window: over,
+            overload_window,
         },
-        parent_cold_start: if parent_kind.is_some() { cold_parent()? } else { ColdStart::default() },
+        parent_cold_start: if parent_kind.is_some() { parent_cold_start()? } else { ColdStart::default() },
         purge_propagation: span(family, "GoneEverywhereUs")?,
         subscription_required: text(all, "Discovery")? == "ask",
         subscribe_within: span(contract, "AskWithinUs")?,
@@ -66,39 +68,39 @@
 
 fn rule(class: &Value, i: usize, family: &Fields) -> ParseResult<RemapRule> {
     let class = class.as_object().ok_or("a class is not an object")?;
-    let of = |name| element(family, name, i);
+    let class_value = |name| element(family, name, i);
     let effect = match text(class, "Repeat")? {
         "pure" => Effect::Repeatable,
         "token" => Effect::Keyed,
         "side_effect" => Effect::Unrepeatable,
         effect => return Err(format!("unknown Repeat {effect}")),
     };
-    // What says how a mark is known is told of keyed rules only.
-    let (group, memory) = if effect == Effect::Keyed {
-        let group = match text(class, "DedupScope")? {
+    // Only keyed rules have dedup settings.
+    let (dedup_scope, dedup_window) = if effect == Effect::Keyed {
+        let scope = match text(class, "DedupScope")? {
             "all" => DedupScope::All,
             "zone" => DedupScope::Zone,
             "cell" => DedupScope::Cell,
-            group => return Err(format!("unknown DedupScope {group}")),
+            scope => return Err(format!("unknown DedupScope {scope}")),
         };
-        (group, span(class, "MemorySpanUs")?)
+        (scope, span(class, "MemorySpanUs")?)
     } else {
         (DedupScope::All, Span::ZERO)
     };
     Ok(RemapRule {
         effect,
-        dedup_scope: group,
-        dedup_window: memory,
+        dedup_scope,
+        dedup_window,
         sla: span(class, "SloUs")?,
         sla_size_factor: optional(class, "AimStretch", number)?.unwrap_or(0.0),
-        max_age: Span::from_micros(of("LifetimeByClassUs").and_then(Value::as_u64).unwrap_or(0)),
-        max_stale: Span::from_micros(of("UsableAfterUs").and_then(Value::as_u64).unwrap_or(0)),
-        is_write: of("PassOn").and_then(Value::as_bool).unwrap_or(false),
+        max_age: Span::from_micros(class_value("LifetimeByClassUs").and_then(Value::as_u64).unwrap_or(0)),
+        max_stale: Span::from_micros(class_value("UsableAfterUs").and_then(Value::as_u64).unwrap_or(0)),
+        is_write: class_value("PassOn").and_then(Value::as_bool).unwrap_or(false),
     })
 }
 
-/// A member's state, by the word that both the wire and the bulletin use. One in a state that is not known here gets
-/// nothing new.
+/// A member's state as named on the wire and by the discovery service. An unknown state is treated as draining, so that
+/// the member gets no new hops.
 pub fn state(body: &Fields, name: &str) -> ParseResult<MemberState> {
     match text(body, name)? {
         "up" => Ok(MemberState::Up),
--- a/settings/tests/settings.rs
+++ b/settings/tests/settings.rs
@@ -1,9 +1,9 @@
-//! Settings as they come, and as they come where something is not told.
+//! Parsing of complete settings and of settings with missing parts.
 
 use kelpcart_settings::settings;
 use serde_json::{Value, json};
 
-fn told() -> Value {
+fn complete() -> Value {
     json!({
         "Instances": 30, "Locality": 1, "Weights": "nominal", "Discovery": "push", "TickUs": 2000,
         "Classes": [{"Name": "reads", "Repeat": "pure", "SloUs": 500_000}],
@@ -16,32 +16,32 @@
     })
 }
 
-fn in_zone(crew: Option<Value>) -> u32 {
-    let mut all = told();
+fn zone_gateways(count: Option<Value>) -> u32 {
+    let mut all = complete();
     let family = all["FamilyInfo"].as_object_mut().unwrap();
     family.remove("CrewByZone");
-    family.extend(crew.map(|crew| ("CrewByZone".to_owned(), crew)));
+    family.extend(count.map(|count| ("CrewByZone".to_owned(), count)));
     settings(all.as_object().unwrap()).unwrap().zone_gateways
 }
 
 #[test]
-fn where_the_zones_gateways_are_not_told_all_may_share_its_caches() {
-    assert_eq!(in_zone(Some(json!([12, 18]))), 18);
-    // Else each would take a cold cache's budget for its own.
-    for untold in [None, Some(json!([12])), Some(json!([12, 0])), Some(Value::Null)] {
-        assert_eq!(in_zone(untold), 30);
+fn without_a_gateway_count_for_the_zone_all_gateways_may_share_its_caches() {
+    assert_eq!(zone_gateways(Some(json!([12, 18]))), 18);
+    // Otherwise each gateway would claim the whole cold-start budget of a cache.
+    for missing in [None, Some(json!([12])), Some(json!([12, 0])), Some(Value::Null)] {
+        assert_eq!(zone_gateways(missing), 30);
     }
 }
 
 #[test]
-fn what_is_there_has_to_be_told_in_full() {
-    let lacks = |path: &str, value: Value| {
-        let mut all = told();
-        let (way, last) = path.rsplit_once('/').unwrap();
-        all.pointer_mut(way).unwrap()[last] = value;
+fn required_settings_must_be_complete() {
+    let error_with = |path: &str, value: Value| {
+        let mut all = complete();
+        let (parent, last) = path.rsplit_once('/').unwrap();
+        all.pointer_mut(parent).unwrap()[last] = value;
         settings(all.as_object().unwrap()).unwrap_err()
     };
-    assert!(lacks("/FamilyInfo/ParentKind", json!(1)).contains("ParentColdFrom"));
-    assert!(lacks("/Classes/0/Repeat", json!("token")).contains("DedupScope"));
-    assert!(lacks("/Classes/0/Repeat", json!("twice")).contains("twice"));
+    assert!(error_with("/FamilyInfo/ParentKind", json!(1)).contains("ParentColdFrom"));
+    assert!(error_with("/Classes/0/Repeat", json!("token")).contains("DedupScope"));
+    assert!(error_with("/Classes/0/Repeat", json!("twice")).contains("twice"));
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small world for the tests: one zone of caches, two parents and the origin, driven by hand.
+//! A small installation for tests: one zone of caches, two parents and an origin, with time passed by hand.
 #![allow(dead_code, reason = "each test file uses its part")]
 
 use kelpcart::interface::*;
@@ -75,13 +75,13 @@
 
 pub fn fleet() -> Vec<Member> {
     let edges = ["e1", "e2", "e3", "e4"].map(|id| member(id, EDGE));
-    let rest = [member("p1", PARENT), member("p2", PARENT), member("o", ORIGIN)];
-    edges.into_iter().chain(rest).collect()
+    let others = [member("p1", PARENT), member("p2", PARENT), member("o", ORIGIN)];
+    edges.into_iter().chain(others).collect()
 }
 
 pub fn txn(id: TxnId, rule: usize, object: u64) -> Txn {
-    let (group, part, write, size, left) = (object % 8, 0, false, Some(100.0), ms(2_000));
-    Txn { id, rule, object, group, part, is_write: write, size, time_left: left, max_age: None }
+    let (group, part, is_write, size, time_left) = (object % 8, 0, false, Some(100.0), ms(2_000));
+    Txn { id, rule, object, group, part, is_write, size, time_left, max_age: None }
 }
 
 pub struct World {
@@ -90,57 +90,55 @@
 }
 
 impl World {
-    pub fn new(set: Settings) -> World {
-        let mut gateway = Gateway::new(set, 7, at(0));
+    pub fn new(settings: Settings) -> World {
+        let mut gateway = Gateway::new(settings, 7, at(0));
         gateway.update_members(at(0), true, fleet());
         World { gateway, hops: BTreeMap::new() }
     }
 
-    pub fn pull(&mut self, now: Time) -> Vec<Decision> {
-        let mut all = Vec::new();
+    /// Polls until nothing is due.
+    pub fn poll_all(&mut self, now: Time) -> Vec<Decision> {
+        let mut decisions = Vec::new();
         while let Some(decision) = self.gateway.poll(now) {
             if let Decision::Hop { txn, .. } = &decision {
                 *self.hops.entry(*txn).or_default() += 1;
             }
-            all.push(decision);
+            decisions.push(decision);
         }
-        all
+        decisions
     }
 
-    pub fn ask(&mut self, now: Time, txn: Txn) -> Vec<Decision> {
+    pub fn submit(&mut self, now: Time, txn: Txn) -> Vec<Decision> {
         self.gateway.submit(now, txn);
-        self.pull(now)
+        self.poll_all(now)
     }
 
     /// Ends the txn's last hop.
-    pub fn end(&mut self, now: Time, txn: TxnId, end: HopStatus, note: Option<CacheStatus>) -> Vec<Decision> {
-        self.end_after(now, txn, end, note, ms(50), LoadReport::default())
+    pub fn end_hop(
+        &mut self,
+        now: Time,
+        txn: TxnId,
+        status: HopStatus,
+        cache_status: Option<CacheStatus>,
+    ) -> Vec<Decision> {
+        self.end_hop_after(now, txn, status, cache_status, ms(50), LoadReport::default())
     }
 
-    pub fn end_after(
+    pub fn end_hop_after(
         &mut self,
         now: Time,
         txn: TxnId,
-        end: HopStatus,
-        note: Option<CacheStatus>,
-        took: Span,
+        status: HopStatus,
+        cache_status: Option<CacheStatus>,
+        duration: Span,
         load: LoadReport,
     ) -> Vec<Decision> {
         let hop = self.hops[&txn] - 1;
-        let (closed, first_byte) = (end == HopStatus::Completed, Some(ms(20)));
+        let (answered, first_byte) = (status == HopStatus::Completed, Some(ms(20)));
         self.gateway.record_outcome(
             now,
-            Outcome {
-                txn,
-                hop,
-                status: end,
-                duration: took,
-                answered: closed,
-                cache_status: note,
-                first_byte,
-                load,
-            },
+            Outcome { txn, hop, status, duration, answered, cache_status, first_byte, load },
         );
-        self.pull(now)
+        self.poll_all(now)
     }
 }
--- a/tests/hash_prefix.rs
+++ b/tests/hash_prefix.rs
@@ -1,24 +1,24 @@
-//! Short names cover at least what they were made of.
+//! Sets of hash prefixes cover at least what they were made from.
 
 use kelpcart::hash_prefix::{PrefixSet, group_hash, object_hash};
 use quickcheck::quickcheck;
 
 quickcheck! {
-    fn a_set_covers_what_it_was_made_of_at_any_length(objects: Vec<u64>, bits: u8, less: u8) -> bool {
+    fn a_set_covers_what_it_was_made_from_at_any_length(objects: Vec<u64>, bits: u8, less: u8) -> bool {
         let set = PrefixSet::new(bits % 65, objects.iter().map(|o| object_hash(*o)));
-        let coarser = set.truncated(less % 65);
-        objects.iter().all(|o| set.contains(object_hash(*o)) && coarser.contains(object_hash(*o)))
+        let truncated = set.truncated(less % 65);
+        objects.iter().all(|o| set.contains(object_hash(*o)) && truncated.contains(object_hash(*o)))
     }
 
-    fn two_joined_cover_what_either_does(a: Vec<u64>, b: Vec<u64>, bits: (u8, u8)) -> bool {
-        let names = |of: &[u64]| of.iter().map(|o| object_hash(*o)).collect::<Vec<_>>();
-        let both = PrefixSet::new(bits.0 % 65, names(&a)).union(&PrefixSet::new(bits.1 % 65, names(&b)));
-        a.iter().chain(&b).all(|o| both.contains(object_hash(*o)))
+    fn a_union_covers_what_either_set_covers(a: Vec<u64>, b: Vec<u64>, bits: (u8, u8)) -> bool {
+        let hashes = |of: &[u64]| of.iter().map(|o| object_hash(*o)).collect::<Vec<_>>();
+        let union = PrefixSet::new(bits.0 % 65, hashes(&a)).union(&PrefixSet::new(bits.1 % 65, hashes(&b)));
+        a.iter().chain(&b).all(|o| union.contains(object_hash(*o)))
     }
 }
 
 #[test]
-fn a_full_name_covers_its_object_alone_and_the_empty_one_all() {
+fn a_full_length_hash_covers_its_object_only_and_the_empty_prefix_covers_all() {
     let one = PrefixSet::object(7);
     assert!(one.contains(object_hash(7)) && !one.contains(object_hash(8)) && !one.contains(group_hash(7)));
     assert!(PrefixSet::group(7).contains(group_hash(7)) && !PrefixSet::group(7).contains(object_hash(7)));
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -1,4 +1,4 @@
-//! Seeded random runs: whatever comes in, the rules hold after every step and nothing panics.
+//! Seeded random runs: for any input, the invariants hold after each step and nothing panics.
 
 mod common;
 
@@ -11,7 +11,7 @@
 
 type Step = (u8, u8, u16);
 
-const ENDS: [HopStatus; 10] = [
+const STATUSES: [HopStatus; 10] = [
     HopStatus::Completed,
     HopStatus::Errored,
     HopStatus::TurnedAway,
@@ -23,7 +23,7 @@
     HopStatus::Overtaken,
     HopStatus::Lacking,
 ];
-const NOTES: [Option<CacheStatus>; 8] = [
+const CACHE_STATUSES: [Option<CacheStatus>; 8] = [
     None,
     Some(CacheStatus::Held),
     Some(CacheStatus::Filled),
@@ -34,28 +34,28 @@
     Some(CacheStatus::OriginFailed),
 ];
 
-struct Asked {
+struct OpenTxn {
     rule: usize,
     object: u64,
-    limit: Time,
+    deadline: Time,
     hops: u32,
-    out: Option<(MemberId, Time)>,
-    /// Where and when the first hop went that may have run.
-    ran: Option<(MemberId, Time)>,
+    in_flight: Option<(MemberId, Time)>,
+    /// Member and time of the first hop that may have run.
+    may_have_run: Option<(MemberId, Time)>,
 }
 
 struct Model {
     set: Settings,
     world: World,
     now: Time,
-    list: BTreeMap<MemberId, Member>,
-    asked: BTreeMap<TxnId, Asked>,
-    /// What was purged, as of when, and when it was told.
+    members: BTreeMap<MemberId, Member>,
+    open: BTreeMap<TxnId, OpenTxn>,
+    /// What was purged, the time from which copies are valid, and the time of receipt.
     purges: Vec<(PrefixSet, Time, Time)>,
     sent: Vec<(MemberId, Time, f64, TxnId)>,
 }
 
-fn shaped(shape: u16) -> Settings {
+fn settings_for(shape: u16) -> Settings {
     let mut set = settings();
     let bit = |n: u16| shape >> n & 1 == 1;
     (set.bypass_allowed, set.cancellation, set.retry_after_allowed, set.coalescing) =
@@ -80,9 +80,9 @@
 }
 
 impl Model {
-    fn member(&mut self, pick: u8, what: u16) {
-        let ids: Vec<MemberId> = self.list.keys().cloned().collect();
-        let Some(m) = self.list.get_mut(&ids[usize::from(pick) % ids.len()]) else { return };
+    fn change_member(&mut self, pick: u8, what: u16) {
+        let ids: Vec<MemberId> = self.members.keys().cloned().collect();
+        let Some(m) = self.members.get_mut(&ids[usize::from(pick) % ids.len()]) else { return };
         m.state = [MemberState::Up, MemberState::Draining, MemberState::Gone][usize::from(what) % 3];
         if m.state == MemberState::Up && what.is_multiple_of(2) {
             m.started = Some(self.now.saturating_sub(ms(u64::from(what) / 64)));
@@ -94,27 +94,28 @@
     }
 
     fn outcome(&mut self, pick: u8, what: u16) -> Vec<Decision> {
-        let out: Vec<TxnId> = self.asked.iter().filter(|a| a.1.out.is_some()).map(|a| *a.0).collect();
-        let Some(&id) = out.get(usize::from(pick) % out.len().max(1)) else { return Vec::new() };
-        let end = ENDS[usize::from(what) % ENDS.len()];
-        let ask = self.asked.get_mut(&id).expect("asked");
-        let hop = ask.out.take();
-        if !end.proves_not_run() && ask.ran.is_none() {
-            ask.ran = hop;
+        let in_flight: Vec<TxnId> =
+            self.open.iter().filter(|a| a.1.in_flight.is_some()).map(|a| *a.0).collect();
+        let Some(&id) = in_flight.get(usize::from(pick) % in_flight.len().max(1)) else { return Vec::new() };
+        let status = STATUSES[usize::from(what) % STATUSES.len()];
+        let open = self.open.get_mut(&id).expect("an open txn");
+        let hop = open.in_flight.take();
+        if !status.proves_not_run() && open.may_have_run.is_none() {
+            open.may_have_run = hop;
         }
-        if end == HopStatus::Completed {
-            self.asked.remove(&id);
+        if status == HopStatus::Completed {
+            self.open.remove(&id);
         }
-        let note = NOTES[usize::from(what / 16) % NOTES.len()];
-        if note == Some(CacheStatus::Held) {
-            let (list, parent) = (&self.list, self.set.parent_kind);
-            self.sent.retain(|s| s.3 != id || Some(list[&s.0].kind) != parent);
+        let cache_status = CACHE_STATUSES[usize::from(what / 16) % CACHE_STATUSES.len()];
+        if cache_status == Some(CacheStatus::Held) {
+            let (members, parent) = (&self.members, self.set.parent_kind);
+            self.sent.retain(|s| s.3 != id || Some(members[&s.0].kind) != parent);
         }
-        self.world.end(self.now, id, end, note)
+        self.world.end_hop(self.now, id, status, cache_status)
     }
 
     fn budget(&self, id: &MemberId) -> Option<f64> {
-        let m = &self.list[id];
+        let m = &self.members[id];
         if m.kind == ORIGIN {
             return None;
         }
@@ -131,30 +132,30 @@
 
     fn check_hop(&mut self, id: TxnId, member: &MemberId, fill: Option<&Fill>) {
         let rules = self.set.rules.clone();
-        let ask = self.asked.get_mut(&id).expect("no hop for an ended txn");
-        assert!(ask.out.is_none(), "two hops at once");
-        ask.hops += 1;
-        assert!(ask.hops <= self.set.max_hops);
-        let (rule, to) = (&rules[ask.rule], &self.list[member]);
-        if let Some((first, when)) = &ask.ran {
-            assert!(rule.effect != Effect::Unrepeatable, "an effect may happen twice");
+        let open = self.open.get_mut(&id).expect("no hop for an ended txn");
+        assert!(open.in_flight.is_none(), "two hops at once");
+        open.hops += 1;
+        assert!(open.hops <= self.set.max_hops);
+        let (rule, to) = (&rules[open.rule], &self.members[member]);
+        if let Some((first, when)) = &open.may_have_run {
+            assert!(rule.effect != Effect::Unrepeatable, "an unrepeatable txn may run twice");
             if rule.effect == Effect::Keyed {
-                assert!(rule.dedup_scope == DedupScope::All || to.cell == self.list[first].cell);
+                assert!(rule.dedup_scope == DedupScope::All || to.cell == self.members[first].cell);
                 assert!(self.now - *when < rule.dedup_window);
             }
         }
-        ask.out = Some((member.clone(), self.now));
-        let object = ask.object;
+        open.in_flight = Some((member.clone(), self.now));
+        let object = open.object;
         let source = fill.map(|f| &f.source).filter(|s| *s != member);
         for place in [Some(member), source].into_iter().flatten() {
-            assert_eq!(self.list[place].state, MemberState::Up, "sent to a leaving member");
+            assert_eq!(self.members[place].state, MemberState::Up, "sent to a member that is not up");
             self.sent.push((place.clone(), self.now, 0.1, id));
         }
         for place in [Some(member), source].into_iter().flatten() {
             let Some(budget) = self.budget(place) else { continue };
             let since = self.now.saturating_sub(self.set.cache_cold_start.overload_window);
             let spent = self.sent.iter().filter(|s| s.0 == *place && s.1 >= since);
-            assert!(spent.map(|s| s.2).sum::<f64>() <= budget + 1e-9, "{place} pushed over");
+            assert!(spent.map(|s| s.2).sum::<f64>() <= budget + 1e-9, "{place}: cold-start budget exceeded");
         }
         let names = [object_hash(object), group_hash(object % 8)];
         let binds = |p: &&(PrefixSet, Time, Time)| {
@@ -162,7 +163,7 @@
         };
         let purge = self.purges.iter().filter(binds);
         if let (Some(age), Some(fill)) = (purge.map(|p| self.now - p.1).min(), fill) {
-            let oldest = fill.max_age.expect("no limit on age after a purge");
+            let oldest = fill.max_age.expect("no limit on the age of copies after a purge");
             assert!(oldest > Span::ZERO && oldest <= age.max(Span::from_micros(1)));
         }
     }
@@ -170,63 +171,70 @@
     fn check(&mut self, decisions: Vec<Decision>) {
         for decision in decisions {
             match decision {
-                Decision::Hop { txn, member, fill, start_by: begin_by, deadline: limit } => {
-                    // Before this one is booked as sent, or it would be its own first.
-                    let (ask, first) = (&self.asked[&txn], self.asked[&txn].ran.as_ref().map(|ran| ran.1));
-                    let rule = &self.set.rules[ask.rule];
+                Decision::Hop { txn, member, fill, start_by, deadline } => {
+                    // Read before this hop is recorded, as it would be its own first one otherwise.
+                    let (open, first) =
+                        (&self.open[&txn], self.open[&txn].may_have_run.as_ref().map(|ran| ran.1));
+                    let rule = &self.set.rules[open.rule];
                     let known =
                         first.filter(|_| rule.effect == Effect::Keyed).map(|at| at + rule.dedup_window);
-                    assert!(begin_by <= known.unwrap_or(ask.limit));
+                    assert!(start_by <= known.unwrap_or(open.deadline));
                     self.check_hop(txn, &member, fill.as_ref());
-                    assert!(limit <= self.asked[&txn].limit);
+                    assert!(deadline <= self.open[&txn].deadline);
                 }
-                Decision::Reject { txn, retry_after: come_back } => {
-                    let ask = self.asked.remove(&txn).expect("a second answer");
-                    let rule = &self.set.rules[ask.rule];
+                Decision::Reject { txn, retry_after } => {
+                    let open = self.open.remove(&txn).expect("a second answer");
+                    let rule = &self.set.rules[open.rule];
                     let all = rule.effect == Effect::Keyed && rule.dedup_scope == DedupScope::All;
-                    assert!(ask.out.is_none());
-                    assert!(ask.ran.is_none() || all || rule.effect == Effect::Repeatable);
-                    assert_eq!(come_back.is_some(), self.set.retry_after_allowed);
+                    assert!(open.in_flight.is_none());
+                    assert!(open.may_have_run.is_none() || all || rule.effect == Effect::Repeatable);
+                    assert_eq!(retry_after.is_some(), self.set.retry_after_allowed);
                 }
                 Decision::Abort { txn } => {
-                    let ask = self.asked.remove(&txn).expect("a second answer");
-                    assert!(ask.out.is_none());
+                    let open = self.open.remove(&txn).expect("a second answer");
+                    assert!(open.in_flight.is_none());
                 }
                 Decision::Cancel { txn, .. } => {
-                    assert!(self.set.cancellation && self.asked[&txn].out.is_some());
+                    assert!(self.set.cancellation && self.open[&txn].in_flight.is_some());
                 }
-                Decision::Subscribe => panic!("nothing to ask here"),
+                Decision::Subscribe => panic!("no subscription is required here"),
             }
         }
-        assert!(self.asked.values().all(|a| a.out.is_some()), "a txn is held with nothing out for it");
-        assert!(self.world.gateway.next_wake() > self.now, "it would spin");
+        assert!(
+            self.open.values().all(|a| a.in_flight.is_some()),
+            "a txn without a hop in flight was left undecided"
+        );
+        assert!(self.world.gateway.next_wake() > self.now, "next_wake must lie in the future");
     }
 }
 
-fn keeps_rules(shape: u16, steps: Vec<Step>) -> bool {
-    let set = shaped(shape);
-    let list = fleet().into_iter().map(|m| (m.id.clone(), m)).collect();
-    let (world, asked) = (World::new(set.clone()), BTreeMap::new());
-    let mut model = Model { set, world, now: at(0), list, asked, purges: Vec::new(), sent: Vec::new() };
+fn invariants_hold(shape: u16, steps: Vec<Step>) -> bool {
+    let set = settings_for(shape);
+    let members = fleet().into_iter().map(|m| (m.id.clone(), m)).collect();
+    let (world, open) = (World::new(set.clone()), BTreeMap::new());
+    let mut model = Model { set, world, now: at(0), members, open, purges: Vec::new(), sent: Vec::new() };
     for (i, &(kind, pick, what)) in steps.iter().enumerate() {
         model.now += Span::from_micros(u64::from(what) % 40_000);
         let (id, object) = (i as TxnId, u64::from(pick % 32));
-        let mut made = match kind % 16 {
+        let mut decisions = match kind % 16 {
             0..=7 => {
-                let left = ms(50 + u64::from(what) % 3_000);
-                let txn = Txn { time_left: left, ..txn(id, usize::from(what) % 3, object) };
-                let (rule, limit) = (txn.rule, model.now + left);
-                model.asked.insert(id, Asked { rule, object, limit, hops: 0, out: None, ran: None });
-                model.world.ask(model.now, txn)
+                let time_left = ms(50 + u64::from(what) % 3_000);
+                let txn = Txn { time_left, ..txn(id, usize::from(what) % 3, object) };
+                let (rule, deadline) = (txn.rule, model.now + time_left);
+                model.open.insert(
+                    id,
+                    OpenTxn { rule, object, deadline, hops: 0, in_flight: None, may_have_run: None },
+                );
+                model.world.submit(model.now, txn)
             }
             8..=12 => model.outcome(pick, what),
             13 => {
-                model.member(pick, what);
+                model.change_member(pick, what);
                 Vec::new()
             }
             14 => {
                 let ago = ms(u64::from(pick) * u64::from(what) % 9_000);
-                // Exact ones and short ones that cover some others, too.
+                // Exact hashes, and prefixes that cover some others too.
                 let names = PrefixSet::new(
                     [64, 6][i % 2],
                     [[object_hash(object), group_hash(object % 8)][i / 2 % 2]],
@@ -236,22 +244,22 @@
                 Vec::new()
             }
             _ => {
-                let gone = model.asked.keys().next().copied().unwrap_or(id);
-                model.asked.remove(&gone);
+                let gone = model.open.keys().next().copied().unwrap_or(id);
+                model.open.remove(&gone);
                 model.world.gateway.client_left(gone);
                 Vec::new()
             }
         };
-        made.extend(model.world.pull(model.now));
-        model.check(made);
+        decisions.extend(model.world.poll_all(model.now));
+        model.check(decisions);
     }
     true
 }
 
 #[test]
-fn the_rules_hold_in_random_runs() {
+fn the_invariants_hold_in_random_runs() {
     for seed in 0..24 {
         let mut check = QuickCheck::new().tests(12).rng(Gen::from_size_and_seed(400, seed));
-        check.quickcheck(keeps_rules as fn(u16, Vec<Step>) -> bool);
+        check.quickcheck(invariants_hold as fn(u16, Vec<Step>) -> bool);
     }
 }
