--- a/src/time.rs
+++ b/src/time.rs
@@ -1,4 +1,4 @@
-//! A point in time and a span between two of them, in whole microseconds of the host's clock.
+//! A point in time and a span between two points, in whole microseconds of the host's clock. Arithmetic saturates.
 
 use std::ops::{Add, AddAssign, Div, Mul, Sub};
 
@@ -17,7 +17,7 @@
         self.0
     }
 
-    pub fn back(self, span: Span) -> Time {
+    pub fn saturating_sub(self, span: Span) -> Time {
         Time(self.0.saturating_sub(span.0))
     }
 }
