--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -10,6 +10,7 @@
 pub type Fields = Map<String, Value>;
 pub type ParseResult<T> = Result<T, String>;
 
+/// Parses the settings of one gateway.
 pub fn settings(all: &Fields) -> ParseResult<Settings> {
     let family = object(all, "FamilyInfo")?;
     let limits = object(all, "PolicyLimits")?;
@@ -110,6 +111,7 @@
     }
 }
 
+/// Element `i` of the array in field `name`; `None` where either is missing.
 pub fn element<'a>(body: &'a Fields, name: &str, i: usize) -> Option<&'a Value> {
     body.get(name)?.as_array()?.get(i)
 }
@@ -118,6 +120,7 @@
     body.get(name).filter(|v| !v.is_null()).ok_or_else(|| format!("{name} is missing"))
 }
 
+/// Reads a field with `read`; `None` where it is missing or null.
 pub fn optional<T>(
     body: &Fields,
     name: &str,
@@ -127,11 +130,11 @@
 }
 
 pub fn int(body: &Fields, name: &str) -> ParseResult<u64> {
-    required(body, name)?.as_u64().ok_or_else(|| format!("{name} is not a whole number"))
+    required(body, name)?.as_u64().ok_or_else(|| format!("{name} is not an integer"))
 }
 
 pub fn optional_int(body: &Fields, name: &str) -> ParseResult<Option<i64>> {
-    optional(body, name, |b, n| required(b, n)?.as_i64().ok_or_else(|| format!("{n} is not a whole number")))
+    optional(body, name, |b, n| required(b, n)?.as_i64().ok_or_else(|| format!("{n} is not an integer")))
 }
 
 pub fn span(body: &Fields, name: &str) -> ParseResult<Span> {
@@ -143,15 +146,15 @@
 }
 
 pub fn flag(body: &Fields, name: &str) -> ParseResult<bool> {
-    required(body, name)?.as_bool().ok_or_else(|| format!("{name} is not true or false"))
+    required(body, name)?.as_bool().ok_or_else(|| format!("{name} is not a boolean"))
 }
 
 pub fn text<'a>(body: &'a Fields, name: &str) -> ParseResult<&'a str> {
-    required(body, name)?.as_str().ok_or_else(|| format!("{name} is not a text"))
+    required(body, name)?.as_str().ok_or_else(|| format!("{name} is not a string"))
 }
 
 pub fn list<'a>(body: &'a Fields, name: &str) -> ParseResult<&'a Vec<Value>> {
-    required(body, name)?.as_array().ok_or_else(|| format!("{name} is not a list"))
+    required(body, name)?.as_array().ok_or_else(|| format!("{name} is not an array"))
 }
 
 pub fn object<'a>(body: &'a Fields, name: &str) -> ParseResult<&'a Fields> {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -28,7 +28,7 @@
     Unrepeatable,
 }
 
-/// The caches that share the memory by which repeats of a keyed txn are dropped.
+/// The caches among which a repeat of a keyed txn is recognised and dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     All,
--- a/tests/cases.rs
+++ b/tests/cases.rs
@@ -426,7 +426,7 @@
 }
 
 #[test]
-fn late_txns_make_large_ones_rejected_but_not_for_good() {
+fn late_txns_lead_to_rejection_of_large_ones_but_not_for_good() {
     let mut world = World::new(settings());
     let large = |id| Txn { size: Some(800.0), ..txn(id, 0, id) };
     let accepted = |d: &[Decision]| d.iter().any(|d| matches!(d, Decision::Hop { .. }));
@@ -452,7 +452,7 @@
 }
 
 #[test]
-fn a_constant_latency_does_not_make_large_txns_rejected() {
+fn a_constant_latency_does_not_lead_to_rejection_of_large_txns() {
     // Connecting and round trips take as long for a small txn as for a large one and say nothing of the transfer rate.
     let mut world = World::new(settings());
     for id in 0..200 {
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -84,21 +84,12 @@
             }
             while in_flight.front().is_some_and(|o| o.0 <= now) {
                 let (_, i, txn, hop) = in_flight.pop_front().unwrap();
-                let (end, took) = (HopStatus::Completed, ms(100));
-                let (note, load) = (Some(CacheStatus::Held), LoadReport::default());
+                let (status, duration) = (HopStatus::Completed, ms(100));
+                let (cache_status, load) = (Some(CacheStatus::Held), LoadReport::default());
                 let first_byte = None;
                 gateways[i].record_outcome(
                     now,
-                    Outcome {
-                        txn,
-                        hop,
-                        status: end,
-                        duration: took,
-                        answered: true,
-                        cache_status: note,
-                        first_byte,
-                        load,
-                    },
+                    Outcome { txn, hop, status, duration, answered: true, cache_status, first_byte, load },
                 );
             }
             for (i, gateway) in gateways.iter_mut().enumerate() {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small installation for tests: one zone of caches, two parents and an origin, with time passed by hand.
+//! A small installation for tests: one zone of caches, two parents and an origin, with the time passed to each call.
 #![allow(dead_code, reason = "each test file uses its part")]
 
 use kelpcart::interface::*;
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -52,6 +52,7 @@
     open: BTreeMap<TxnId, OpenTxn>,
     /// What was purged, the time from which copies are valid, and the time of receipt.
     purges: Vec<(PrefixSet, Time, Time)>,
+    /// Hops and fills sent: member, time, transfer time in seconds, txn.
     sent: Vec<(MemberId, Time, f64, TxnId)>,
 }
 
@@ -122,11 +123,11 @@
         let parent = Some(m.kind) == self.set.parent_kind;
         let cold = if parent { &self.set.parent_cold_start } else { &self.set.cache_cold_start };
         let age = m.started.map(|at| self.now - at).filter(|age| *age < cold.warm_up)?;
-        let sharers = if parent { self.set.gateways } else { self.set.zone_gateways };
-        let present = cold.initial_share + (1.0 - cold.initial_share) * (age / cold.warm_up);
+        let gateway_count = if parent { self.set.gateways } else { self.set.zone_gateways };
+        let current_share = cold.initial_share + (1.0 - cold.initial_share) * (age / cold.warm_up);
         Some(
-            cold.overload_factor * present * m.capacity * cold.overload_window.as_secs_f64()
-                / f64::from(sharers),
+            cold.overload_factor * current_share * m.capacity * cold.overload_window.as_secs_f64()
+                / f64::from(gateway_count),
         )
     }
 
@@ -147,21 +148,21 @@
         open.in_flight = Some((member.clone(), self.now));
         let object = open.object;
         let source = fill.map(|f| &f.source).filter(|s| *s != member);
-        for place in [Some(member), source].into_iter().flatten() {
-            assert_eq!(self.members[place].state, MemberState::Up, "sent to a member that is not up");
-            self.sent.push((place.clone(), self.now, 0.1, id));
+        for target in [Some(member), source].into_iter().flatten() {
+            assert_eq!(self.members[target].state, MemberState::Up, "sent to a member that is not up");
+            self.sent.push((target.clone(), self.now, 0.1, id));
         }
-        for place in [Some(member), source].into_iter().flatten() {
-            let Some(budget) = self.budget(place) else { continue };
+        for target in [Some(member), source].into_iter().flatten() {
+            let Some(budget) = self.budget(target) else { continue };
             let since = self.now.saturating_sub(self.set.cache_cold_start.overload_window);
-            let spent = self.sent.iter().filter(|s| s.0 == *place && s.1 >= since);
-            assert!(spent.map(|s| s.2).sum::<f64>() <= budget + 1e-9, "{place}: cold-start budget exceeded");
+            let spent = self.sent.iter().filter(|s| s.0 == *target && s.1 >= since);
+            assert!(spent.map(|s| s.2).sum::<f64>() <= budget + 1e-9, "{target}: cold-start budget exceeded");
         }
-        let names = [object_hash(object), group_hash(object % 8)];
-        let binds = |p: &&(PrefixSet, Time, Time)| {
-            names.iter().any(|n| p.0.contains(*n)) && self.now - p.2 < self.set.purge_propagation
+        let hashes = [object_hash(object), group_hash(object % 8)];
+        let applies = |p: &&(PrefixSet, Time, Time)| {
+            hashes.iter().any(|h| p.0.contains(*h)) && self.now - p.2 < self.set.purge_propagation
         };
-        let purge = self.purges.iter().filter(binds);
+        let purge = self.purges.iter().filter(applies);
         if let (Some(age), Some(fill)) = (purge.map(|p| self.now - p.1).min(), fill) {
             let oldest = fill.max_age.expect("no limit on the age of copies after a purge");
             assert!(oldest > Span::ZERO && oldest <= age.max(Span::from_micros(1)));
@@ -176,9 +177,9 @@
                     let (open, first) =
                         (&self.open[&txn], self.open[&txn].may_have_run.as_ref().map(|ran| ran.1));
                     let rule = &self.set.rules[open.rule];
-                    let known =
+                    let dedup_end =
                         first.filter(|_| rule.effect == Effect::Keyed).map(|at| at + rule.dedup_window);
-                    assert!(start_by <= known.unwrap_or(open.deadline));
+                    assert!(start_by <= dedup_end.unwrap_or(open.deadline));
                     self.check_hop(txn, &member, fill.as_ref());
                     assert!(deadline <= self.open[&txn].deadline);
                 }
