--- a/gateway/src/buffers.rs
+++ b/gateway/src/buffers.rs
@@ -7,61 +7,61 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-pub const SIZE: usize = 16 * 1024;
+pub const BUFFER_BYTES: usize = 16 * 1024;
 
 pub struct Pool {
     free: RefCell<Vec<Box<[u8]>>>,
-    out: Cell<usize>,
-    most: usize,
+    in_use: Cell<usize>,
+    max_buffers: usize,
     freed: Event,
-    waiting: Rc<Cell<usize>>,
+    waiters: Rc<Cell<usize>>,
 }
 
 impl Pool {
     /// `bytes`: the most that all bodies together may take.
     pub fn new(bytes: usize) -> Rc<Pool> {
-        let most = (bytes / SIZE).max(1);
+        let max_buffers = (bytes / BUFFER_BYTES).max(1);
         Rc::new(Pool {
             free: RefCell::default(),
-            out: Cell::new(0),
-            most,
+            in_use: Cell::new(0),
+            max_buffers,
             freed: Event::new(),
-            waiting: Rc::default(),
+            waiters: Rc::default(),
         })
     }
 
-    pub fn used(&self) -> usize {
-        self.out.get() * SIZE
+    pub fn used_bytes(&self) -> usize {
+        self.in_use.get() * BUFFER_BYTES
     }
 
     /// Somebody waits for room.
-    pub fn is_short(&self) -> bool {
-        self.waiting.get() > 0
+    pub fn has_waiters(&self) -> bool {
+        self.waiters.get() > 0
     }
 
     /// Room for a body, as soon as there is some; `None` if it could never fit.
-    pub async fn body(self: &Rc<Pool>, len: usize) -> Option<Body> {
-        let n = len.div_ceil(SIZE);
-        if n > self.most {
+    pub async fn allocate(self: &Rc<Pool>, len: usize) -> Option<Body> {
+        let n = len.div_ceil(BUFFER_BYTES);
+        if n > self.max_buffers {
             return None;
         }
-        while self.out.get() + n > self.most {
+        while self.in_use.get() + n > self.max_buffers {
             let freed = self.freed.listen();
-            if self.out.get() + n > self.most {
-                let _waits = CountGuard::new(&self.waiting);
+            if self.in_use.get() + n > self.max_buffers {
+                let _waiter = CountGuard::new(&self.waiters);
                 freed.await;
             }
         }
-        self.out.set(self.out.get() + n);
+        self.in_use.set(self.in_use.get() + n);
         let mut free = self.free.borrow_mut();
-        let parts = (0..n).map(|_| free.pop().unwrap_or_else(|| vec![0; SIZE].into_boxed_slice()));
-        Some(Body { parts: parts.collect(), len, filled: 0, pool: Rc::clone(self) })
+        let buffers = (0..n).map(|_| free.pop().unwrap_or_else(|| vec![0; BUFFER_BYTES].into_boxed_slice()));
+        Some(Body { buffers: buffers.collect(), len, filled: 0, pool: Rc::clone(self) })
     }
 }
 
 /// The bytes of one answer, in order; all of them count only once it is full.
 pub struct Body {
-    parts: Vec<Box<[u8]>>,
+    buffers: Vec<Box<[u8]>>,
     len: usize,
     filled: usize,
     pool: Rc<Pool>,
@@ -81,13 +81,13 @@
     }
 
     /// Where the next bytes go; empty once the body is full.
-    pub fn space(&mut self) -> &mut [u8] {
+    pub fn unfilled(&mut self) -> &mut [u8] {
         if self.is_full() {
             return &mut [];
         }
-        let (part, from) = (self.filled / SIZE, self.filled % SIZE);
-        let to = SIZE.min(from + self.len - self.filled);
-        &mut self.parts[part][from..to]
+        let (buffer, from) = (self.filled / BUFFER_BYTES, self.filled % BUFFER_BYTES);
+        let to = BUFFER_BYTES.min(from + self.len - self.filled);
+        &mut self.buffers[buffer][from..to]
     }
 
     pub fn advance(&mut self, n: usize) {
@@ -95,27 +95,30 @@
     }
 
     /// Takes what fits of `bytes` and tells how much that was.
-    pub fn fill(&mut self, bytes: &[u8]) -> usize {
-        let mut taken = 0;
-        while taken < bytes.len() && !self.is_full() {
-            let space = self.space();
-            let n = space.len().min(bytes.len() - taken);
-            space[..n].copy_from_slice(&bytes[taken..taken + n]);
+    pub fn copy_from(&mut self, bytes: &[u8]) -> usize {
+        let mut copied = 0;
+        while copied < bytes.len() && !self.is_full() {
+            let unfilled = self.unfilled();
+            let n = unfilled.len().min(bytes.len() - copied);
+            unfilled[..n].copy_from_slice(&bytes[copied..copied + n]);
             self.advance(n);
-            taken += n;
+            copied += n;
         }
-        taken
+        copied
     }
 
-    pub fn slices(&self) -> impl Iterator<Item = &[u8]> {
-        self.parts.iter().enumerate().map(|(i, part)| &part[..SIZE.min(self.len - i * SIZE)])
+    pub fn chunks(&self) -> impl Iterator<Item = &[u8]> {
+        self.buffers
+            .iter()
+            .enumerate()
+            .map(|(i, buffer)| &buffer[..BUFFER_BYTES.min(self.len - i * BUFFER_BYTES)])
     }
 }
 
 impl Drop for Body {
     fn drop(&mut self) {
-        self.pool.out.set(self.pool.out.get() - self.parts.len());
-        self.pool.free.borrow_mut().append(&mut self.parts);
+        self.pool.in_use.set(self.pool.in_use.get() - self.buffers.len());
+        self.pool.free.borrow_mut().append(&mut self.buffers);
         self.pool.freed.notify(usize::MAX);
     }
 }
--- a/gateway/src/caches.rs
+++ b/gateway/src/caches.rs
@@ -22,59 +22,59 @@
 use std::rc::Rc;
 
 /// The largest body that is taken from a cache: no object is larger.
-const MOST_BODY: usize = 240_000;
+const MAX_BODY_BYTES: usize = 240_000;
 /// A connection rests this long before it carries another hop: what still follows an answer has come by then, and
 /// is found before it could pass for the next one.
-const REST: Span = Span::from_millis(20);
+const REUSE_DELAY: Span = Span::from_millis(20);
 
 /// What a hop has come to: its end should its time be over now, and its waits for the gateway's own means.
 struct Progress {
-    late: Cell<ConnectionEnd>,
-    own: Cell<Span>,
+    timeout_end: Cell<ConnectionEnd>,
+    local_wait: Cell<Span>,
 }
 
-struct Link {
+struct Connection {
     stream: Async<TcpStream>,
-    _held: CountGuard,
+    _guard: CountGuard,
     _permit: Option<Box<dyn Permit>>,
 }
 
-struct Kept {
-    link: Link,
-    since: Time,
+struct IdleConnection {
+    connection: Connection,
+    idle_since: Time,
 }
 
-struct Place {
+struct Endpoint {
     address: SocketAddr,
     started: Option<Time>,
 }
 
 /// What the configuration sets to connections.
-pub struct Bounds {
-    pub connect: Span,
+pub struct ConnectionLimits {
+    pub connect_timeout: Span,
     /// Caches close idle ones after this time.
-    pub idle: Span,
+    pub idle_timeout: Span,
     /// Descriptors.
-    pub most: usize,
+    pub max_connections: usize,
 }
 
 pub struct Caches {
     clock: Clock,
     pool: Rc<Pool>,
     counters: Rc<Counters>,
-    bounds: Bounds,
-    places: RefCell<BTreeMap<MemberId, Place>>,
-    kept: RefCell<BTreeMap<MemberId, Vec<Kept>>>,
+    limits: ConnectionLimits,
+    endpoints: RefCell<BTreeMap<MemberId, Endpoint>>,
+    idle: RefCell<BTreeMap<MemberId, Vec<IdleConnection>>>,
     /// A hop has ended, so that its descriptor may be free.
-    freed: Event,
+    connection_freed: Event,
     /// Bounds in common with other gateways, where there are any.
-    common: OnceCell<Rc<dyn SharedLimits>>,
+    shared_limits: OnceCell<Rc<dyn SharedLimits>>,
 }
 
 /// Tells of the end of a hop, also of one that is taken back.
-struct Tells<'a>(&'a Event);
+struct NotifyOnDrop<'a>(&'a Event);
 
-impl Drop for Tells<'_> {
+impl Drop for NotifyOnDrop<'_> {
     fn drop(&mut self) {
         // One more each time, also while another is still waking: two ends at once free two.
         self.0.notify_additional(1);
@@ -82,39 +82,39 @@
 }
 
 impl Caches {
-    pub fn new(clock: Clock, pool: Rc<Pool>, counters: Rc<Counters>, bounds: Bounds) -> Rc<Caches> {
-        let (places, kept) = Default::default();
+    pub fn new(clock: Clock, pool: Rc<Pool>, counters: Rc<Counters>, limits: ConnectionLimits) -> Rc<Caches> {
+        let (endpoints, idle) = Default::default();
         Rc::new(Caches {
             clock,
             pool,
             counters,
-            bounds,
-            places,
-            kept,
-            freed: Event::new(),
-            common: OnceCell::new(),
+            limits,
+            endpoints,
+            idle,
+            connection_freed: Event::new(),
+            shared_limits: OnceCell::new(),
         })
     }
 
     /// Connections and fills need a permit from now on.
-    pub fn bound_by(&self, common: Rc<dyn SharedLimits>) {
+    pub fn set_shared_limits(&self, limits: Rc<dyn SharedLimits>) {
         // A second one has no place beside the first.
-        _ = self.common.set(common);
+        _ = self.shared_limits.set(limits);
     }
 
     /// Closes idle connections to some members: others want their places.
     pub fn close_idle(&self, of: impl Fn(&MemberId) -> bool) {
-        self.kept.borrow_mut().retain(|id, _| !of(id));
+        self.idle.borrow_mut().retain(|id, _| !of(id));
     }
 
     /// Closes idle connections well before the caches would, lest one is closed just as it is used.
-    pub fn sweep(self: &Rc<Self>, tasks: Tasks) {
+    pub fn spawn_idle_sweep(self: &Rc<Self>, tasks: Tasks) {
         let caches = Rc::clone(self);
         let sweep = async move {
             loop {
                 caches.clock.sleep(Span::from_millis(500)).await;
-                let old = caches.clock.now().back(caches.bounds.idle * 0.75);
-                caches.kept.borrow_mut().values_mut().for_each(|all| all.retain(|k| k.since > old));
+                let cutoff = caches.clock.now().back(caches.limits.idle_timeout * 0.75);
+                caches.idle.borrow_mut().values_mut().for_each(|all| all.retain(|k| k.idle_since > cutoff));
             }
         };
         tasks.spawn(sweep).detach();
@@ -122,165 +122,175 @@
 
     /// News of the list; with `whole`, members that it does not name are gone. Gives those that are not what they were:
     /// gone, draining, started anew or elsewhere.
-    pub fn members(&self, whole: bool, list: &[ListedMember]) -> BTreeSet<MemberId> {
-        let (mut places, mut kept) = (self.places.borrow_mut(), self.kept.borrow_mut());
+    pub fn update_members(&self, snapshot: bool, list: &[ListedMember]) -> BTreeSet<MemberId> {
+        let (mut endpoints, mut idle) = (self.endpoints.borrow_mut(), self.idle.borrow_mut());
         let mut changed = BTreeSet::new();
-        if whole {
+        if snapshot {
             let named: BTreeSet<_> = list.iter().map(|l| &l.member.id).collect();
-            changed.extend(places.keys().filter(|id| !named.contains(id)).cloned());
-            places.retain(|id, _| named.contains(id));
+            changed.extend(endpoints.keys().filter(|id| !named.contains(id)).cloned());
+            endpoints.retain(|id, _| named.contains(id));
         }
         for listed in list {
             let (m, address) = (&listed.member, listed.address);
-            let before = places.get(&m.id);
-            if before.is_some_and(|p| Some(p.address) != address || p.started != m.started) {
-                kept.remove(&m.id);
+            let previous = endpoints.get(&m.id);
+            if previous.is_some_and(|p| Some(p.address) != address || p.started != m.started) {
+                idle.remove(&m.id);
                 changed.insert(m.id.clone());
             }
             match address {
                 // Hops that were ordered before may still be on their way to one that drains.
                 Some(address) if m.state != MemberState::Gone => {
                     // An address is used again: connections to the one that had it before are not the new one's.
-                    kept.retain(|id, _| *id == m.id || places.get(id).is_none_or(|p| p.address != address));
-                    places.insert(m.id.clone(), Place { address, started: m.started });
+                    idle.retain(|id, _| {
+                        *id == m.id || endpoints.get(id).is_none_or(|p| p.address != address)
+                    });
+                    endpoints.insert(m.id.clone(), Endpoint { address, started: m.started });
                 }
-                _ => _ = places.remove(&m.id),
+                _ => _ = endpoints.remove(&m.id),
             }
             if m.state != MemberState::Up {
-                kept.remove(&m.id);
+                idle.remove(&m.id);
                 changed.insert(m.id.clone());
             }
         }
-        kept.retain(|id, _| places.contains_key(id));
+        idle.retain(|id, _| endpoints.contains_key(id));
         changed
     }
 
     /// How much is kept, by name.
-    pub fn sizes(&self) -> [(&'static str, usize); 2] {
-        let idle = self.kept.borrow().values().map(Vec::len).sum();
-        [("members with an address", self.places.borrow().len()), ("idle hop connections", idle)]
+    pub fn table_sizes(&self) -> [(&'static str, usize); 2] {
+        let idle = self.idle.borrow().values().map(Vec::len).sum();
+        [("members with an address", self.endpoints.borrow().len()), ("idle hop connections", idle)]
     }
 
     /// Runs one hop to its end, which comes by the job's time at the latest.
-    pub async fn hop(&self, job: HopRequest) -> HopResult {
-        let progress = Progress { late: Cell::new(ConnectionEnd::LateUnsent), own: Cell::default() };
-        let _tells = Tells(&self.freed);
-        let run = self.clock.by(job.deadline, self.run(&job, &progress));
+    pub async fn run_hop(&self, hop: HopRequest) -> HopResult {
+        let progress =
+            Progress { timeout_end: Cell::new(ConnectionEnd::LateUnsent), local_wait: Cell::default() };
+        let _notify = NotifyOnDrop(&self.connection_freed);
+        let run = self.clock.timeout_at(hop.deadline, self.execute(&hop, &progress));
         // Guards against a first byte at a time at which the hop may not be begun any more.
         let too_late = async {
-            self.clock.sleep_until(job.start_by).await;
-            if job.started.get() {
+            self.clock.sleep_until(hop.start_by).await;
+            if hop.started.get() {
                 future::pending::<()>().await;
             }
             Some(ConnectionEnd::Overtaken.into())
         };
-        let ended = future::or(run, too_late).await;
-        let mut ended = ended.unwrap_or_else(|| progress.late.get().into());
-        (ended.at, ended.local_wait) = (Some(self.clock.now()), progress.own.get());
-        self.counters.record_end(ended.end);
-        ended
+        let result = future::or(run, too_late).await;
+        let mut result = result.unwrap_or_else(|| progress.timeout_end.get().into());
+        (result.finished_at, result.local_wait) = (Some(self.clock.now()), progress.local_wait.get());
+        self.counters.record_end(result.end);
+        result
     }
 
     /// Guards members against being held to be slow for what the gateway itself lacks.
-    async fn own<T>(&self, progress: &Progress, late: ConnectionEnd, wait: impl Future<Output = T>) -> T {
-        let (before, since) = (progress.late.replace(late), self.clock.now());
-        let got = wait.await;
-        progress.late.set(before);
-        progress.own.set(progress.own.get() + (self.clock.now() - since));
-        got
+    async fn track_local_wait<T>(
+        &self,
+        progress: &Progress,
+        timeout_end: ConnectionEnd,
+        wait: impl Future<Output = T>,
+    ) -> T {
+        let (before, since) = (progress.timeout_end.replace(timeout_end), self.clock.now());
+        let output = wait.await;
+        progress.timeout_end.set(before);
+        progress.local_wait.set(progress.local_wait.get() + (self.clock.now() - since));
+        output
     }
 
-    async fn run(&self, job: &HopRequest, progress: &Progress) -> HopResult {
-        let place = self.places.borrow().get(&job.member).map(|p| p.address);
-        let Some(address) = place else { return ConnectionEnd::NoSocket.into() };
-        let mut fill = None;
-        if let Some(permit) = self.common.get().and_then(|common| common.acquire_fill(job)) {
-            fill = self.own(progress, ConnectionEnd::LateUnsent, permit).await;
-            if fill.is_none() {
+    async fn execute(&self, hop: &HopRequest, progress: &Progress) -> HopResult {
+        let address = self.endpoints.borrow().get(&hop.member).map(|p| p.address);
+        let Some(address) = address else { return ConnectionEnd::NoSocket.into() };
+        let mut fill_permit = None;
+        if let Some(permit) = self.shared_limits.get().and_then(|limits| limits.acquire_fill(hop)) {
+            fill_permit = self.track_local_wait(progress, ConnectionEnd::LateUnsent, permit).await;
+            if fill_permit.is_none() {
                 self.counters.add("hops without a fill in common");
                 return ConnectionEnd::NoSocket.into();
             }
         }
-        let ended = self.talk(job, address, progress).await;
-        if let Some(fill) = fill.as_mut().filter(|_| ended.end == ConnectionEnd::Whole) {
-            fill.complete();
+        let result = self.exchange(hop, address, progress).await;
+        if let Some(permit) = fill_permit.as_mut().filter(|_| result.end == ConnectionEnd::Whole) {
+            permit.complete();
         }
-        ended
+        result
     }
 
-    async fn talk(&self, job: &HopRequest, address: SocketAddr, progress: &Progress) -> HopResult {
-        let (mut link, again) = match self.take_idle(&job.member) {
-            Some(link) => (link, true),
-            None => match self.connect(&job.member, address, progress).await {
-                Ok(link) => (link, false),
+    async fn exchange(&self, hop: &HopRequest, address: SocketAddr, progress: &Progress) -> HopResult {
+        let (mut connection, reused) = match self.take_idle(&hop.member) {
+            Some(connection) => (connection, true),
+            None => match self.connect(&hop.member, address, progress).await {
+                Ok(connection) => (connection, false),
                 Err(end) => return end.into(),
             },
         };
         let host = address.to_string();
         let request = http::Request {
-            rule: &job.rule,
-            object: &job.request.object_name,
-            part: job.request.part,
-            trace: &job.request.request_id,
+            rule: &hop.rule,
+            object: &hop.request.object_name,
+            part: hop.request.part,
+            trace_id: &hop.request.request_id,
             host: &host,
-            patience: job.deadline - self.clock.now(),
-            fill: job.fill.as_ref(),
-            have: job.request.client_etag.as_deref().filter(|_| !job.write),
-            mark: job.request.idempotency_key.as_deref(),
-            body: job.write.then_some(job.request.body.len()),
+            time_limit: hop.deadline - self.clock.now(),
+            fill: hop.fill.as_ref(),
+            etag: hop.request.client_etag.as_deref().filter(|_| !hop.is_write),
+            idempotency_key: hop.request.idempotency_key.as_deref(),
+            content_length: hop.is_write.then_some(hop.request.body.len()),
         };
         let mut bytes = request.encode();
-        if job.write {
-            bytes.extend_from_slice(&job.request.body);
+        if hop.is_write {
+            bytes.extend_from_slice(&hop.request.body);
         }
-        job.started.set(true);
-        if link.stream.write_all(&bytes).await.is_err() {
-            return if again { ConnectionEnd::KeptClosed } else { ConnectionEnd::CutUnsent }.into();
+        hop.started.set(true);
+        if connection.stream.write_all(&bytes).await.is_err() {
+            return if reused { ConnectionEnd::KeptClosed } else { ConnectionEnd::CutUnsent }.into();
         }
-        progress.late.set(ConnectionEnd::Late);
-        match self.answer(&mut link, request.have.is_some(), progress).await {
-            Ok((ended, keep)) => {
-                if keep && ended.end.leaves_connection_usable() {
-                    self.keep(&job.member, address, link);
+        progress.timeout_end.set(ConnectionEnd::Late);
+        match self.read_response(&mut connection, request.etag.is_some(), progress).await {
+            Ok((result, keep)) => {
+                if keep && result.end.leaves_connection_usable() {
+                    self.return_idle(&hop.member, address, connection);
                 }
-                ended
+                result
             }
             Err(end) => end.into(),
         }
     }
 
     /// Reads one answer; tells whether the connection can be used again.
-    async fn answer(
+    async fn read_response(
         &self,
-        link: &mut Link,
+        connection: &mut Connection,
         has_copy: bool,
         progress: &Progress,
     ) -> Result<(HopResult, bool), ConnectionEnd> {
-        let damaged = |what: &str| {
+        let malformed = |what: &str| {
             log::debug!("a cache's answer can't be used: {what}");
             ConnectionEnd::Damaged
         };
-        let mut bytes = [0; http::MOST_HEAD];
+        let mut buffer = [0; http::MAX_HEAD_BYTES];
         let mut n = 0;
         let (head, used) = loop {
-            let got = link.stream.read(&mut bytes[n..]).await.map_err(|_| ConnectionEnd::Cut)?;
+            let got = connection.stream.read(&mut buffer[n..]).await.map_err(|_| ConnectionEnd::Cut)?;
             if got == 0 {
                 return Err(ConnectionEnd::Cut);
             }
             n += got;
-            if let Some(found) = http::head(&bytes[..n]).map_err(|d| damaged(d.0))? {
+            if let Some(found) = http::parse_head(&buffer[..n]).map_err(|d| malformed(d.0))? {
                 break found;
             }
         };
-        if head.length > MOST_BODY {
-            return Err(damaged("too large"));
+        if head.content_length > MAX_BODY_BYTES {
+            return Err(malformed("too large"));
         }
-        let room = self.own(progress, ConnectionEnd::LateForRoom, self.pool.body(head.length)).await;
-        let mut body = room.ok_or(ConnectionEnd::Damaged)?;
+        let body = self
+            .track_local_wait(progress, ConnectionEnd::LateForRoom, self.pool.allocate(head.content_length))
+            .await;
+        let mut body = body.ok_or(ConnectionEnd::Damaged)?;
         // What follows a whole answer does not make it a bad one; but nothing more is read from there.
-        let more = body.fill(&bytes[used..n]) < n - used;
+        let has_trailing_bytes = body.copy_from(&buffer[used..n]) < n - used;
         while !body.is_full() {
-            let got = link.stream.read(body.space()).await.map_err(|_| ConnectionEnd::Cut)?;
+            let got = connection.stream.read(body.unfilled()).await.map_err(|_| ConnectionEnd::Cut)?;
             if got == 0 {
                 return Err(ConnectionEnd::Cut);
             }
@@ -290,37 +300,46 @@
             (200, _) => ConnectionEnd::Whole,
             (304, _) if has_copy => ConnectionEnd::Current,
             // Guards a client without a copy from an answer without bytes.
-            (304, _) => return Err(damaged("it confirms a copy that nobody has")),
+            (304, _) => return Err(malformed("it confirms a copy that nobody has")),
             (404, _) => ConnectionEnd::Lacking,
             (503, true) => ConnectionEnd::Full,
             (504, true) => ConnectionEnd::Over,
             _ => ConnectionEnd::Errored,
         };
         let body = (end == ConnectionEnd::Whole).then_some(body);
-        let ended =
-            HopResult { cache_status: head.note, waited: head.waited, stats: head.stats, body, ..end.into() };
-        Ok((ended, !head.close && !more))
+        let result = HopResult {
+            cache_status: head.cache_status,
+            first_byte_wait: head.first_byte_wait,
+            load_report: head.load_report,
+            body,
+            ..end.into()
+        };
+        Ok((result, !head.close && !has_trailing_bytes))
     }
 
     /// A connection kept from an earlier hop on which nothing has come since, its end included.
-    fn take_idle(&self, id: &MemberId) -> Option<Link> {
-        let (mut kept, rested) = (self.kept.borrow_mut(), self.clock.now().back(REST));
-        let all = kept.get_mut(id)?;
-        while let Some(last) = all.iter().rposition(|k| k.since <= rested) {
-            let link = all.remove(last).link;
-            let quiet = link.stream.get_ref().peek(&mut [0]);
+    fn take_idle(&self, id: &MemberId) -> Option<Connection> {
+        let (mut idle, rested) = (self.idle.borrow_mut(), self.clock.now().back(REUSE_DELAY));
+        let all = idle.get_mut(id)?;
+        while let Some(last) = all.iter().rposition(|k| k.idle_since <= rested) {
+            let connection = all.remove(last).connection;
+            let quiet = connection.stream.get_ref().peek(&mut [0]);
             if quiet.is_err_and(|e| e.kind() == ErrorKind::WouldBlock) {
-                return Some(link);
+                return Some(connection);
             }
             self.counters.add("kept connections found closed");
         }
         None
     }
 
-    fn keep(&self, id: &MemberId, address: SocketAddr, link: Link) {
-        if self.places.borrow().get(id).is_some_and(|p| p.address == address) {
-            let since = self.clock.now();
-            self.kept.borrow_mut().entry(id.clone()).or_default().push(Kept { link, since });
+    fn return_idle(&self, id: &MemberId, address: SocketAddr, connection: Connection) {
+        if self.endpoints.borrow().get(id).is_some_and(|p| p.address == address) {
+            let idle_since = self.clock.now();
+            self.idle
+                .borrow_mut()
+                .entry(id.clone())
+                .or_default()
+                .push(IdleConnection { connection, idle_since });
         }
     }
 
@@ -329,49 +348,51 @@
         member: &MemberId,
         address: SocketAddr,
         progress: &Progress,
-    ) -> Result<Link, ConnectionEnd> {
-        let room = self.clock.within(self.bounds.connect, self.room());
-        self.own(progress, ConnectionEnd::LateUnsent, room).await.ok_or(ConnectionEnd::NoSocket)?;
+    ) -> Result<Connection, ConnectionEnd> {
+        let descriptor = self.clock.timeout(self.limits.connect_timeout, self.wait_for_descriptor());
+        self.track_local_wait(progress, ConnectionEnd::LateUnsent, descriptor)
+            .await
+            .ok_or(ConnectionEnd::NoSocket)?;
         let mut permit = None;
-        if let Some(common) = self.common.get() {
-            let permits = common.acquire_connection(member, self.clock.now() + self.bounds.connect);
-            permit = self.own(progress, ConnectionEnd::LateUnsent, permits).await;
+        if let Some(limits) = self.shared_limits.get() {
+            let permits = limits.acquire_connection(member, self.clock.now() + self.limits.connect_timeout);
+            permit = self.track_local_wait(progress, ConnectionEnd::LateUnsent, permits).await;
             if permit.is_none() {
                 self.counters.add("hops without a connection in common");
                 return Err(ConnectionEnd::NoSocket);
             }
         }
-        let limit = self.clock.now() + self.bounds.connect;
-        let held = CountGuard::new(&self.counters.hops);
+        let limit = self.clock.now() + self.limits.connect_timeout;
+        let guard = CountGuard::new(&self.counters.hop_connections);
         self.counters.add("hop connections opened");
-        let connected = self.clock.by(limit, Async::<TcpStream>::connect(address)).await;
-        let stream = connected.ok_or(ConnectionEnd::NoConnection)?.map_err(refusal)?;
-        stream.get_ref().set_nodelay(true).map_err(refusal)?;
-        Ok(Link { stream, _held: held, _permit: permit })
+        let connected = self.clock.timeout_at(limit, Async::<TcpStream>::connect(address)).await;
+        let stream = connected.ok_or(ConnectionEnd::NoConnection)?.map_err(connect_error)?;
+        stream.get_ref().set_nodelay(true).map_err(connect_error)?;
+        Ok(Connection { stream, _guard: guard, _permit: permit })
     }
 
     /// Guards txns at the bound of descriptors against being told off at once by every cache in turn: a hop waits
     /// for one as it would for its connection.
-    async fn room(&self) {
-        while self.counters.hops.get() >= self.bounds.most {
-            self.drop_oldest();
-            let freed = self.freed.listen();
-            if self.counters.hops.get() >= self.bounds.most {
-                freed.await;
+    async fn wait_for_descriptor(&self) {
+        while self.counters.hop_connections.get() >= self.limits.max_connections {
+            self.close_oldest_idle();
+            let connection_freed = self.connection_freed.listen();
+            if self.counters.hop_connections.get() >= self.limits.max_connections {
+                connection_freed.await;
             }
         }
     }
 
-    fn drop_oldest(&self) {
-        let mut kept = self.kept.borrow_mut();
-        let oldest = kept.values_mut().filter(|all| !all.is_empty()).min_by_key(|all| all[0].since);
+    fn close_oldest_idle(&self) {
+        let mut idle = self.idle.borrow_mut();
+        let oldest = idle.values_mut().filter(|all| !all.is_empty()).min_by_key(|all| all[0].idle_since);
         if let Some(all) = oldest {
             all.remove(0);
         }
     }
 }
 
-fn refusal(e: io::Error) -> ConnectionEnd {
+fn connect_error(e: io::Error) -> ConnectionEnd {
     // EMFILE and ENFILE have no kind of their own.
     match (e.kind(), e.raw_os_error()) {
         (ErrorKind::AddrNotAvailable, _) | (_, Some(23 | 24)) => ConnectionEnd::NoSocket,
--- a/gateway/src/clock.rs
+++ b/gateway/src/clock.rs
@@ -32,7 +32,7 @@
     }
 
     /// What `work` gives, or `None` when it is not done by `at`.
-    pub async fn by<T>(&self, at: Time, work: impl Future<Output = T>) -> Option<T> {
+    pub async fn timeout_at<T>(&self, at: Time, work: impl Future<Output = T>) -> Option<T> {
         let late = async {
             self.sleep_until(at).await;
             None
@@ -41,7 +41,7 @@
     }
 
     /// What `work` gives, or `None` when it takes longer than the span.
-    pub async fn within<T>(&self, span: Span, work: impl Future<Output = T>) -> Option<T> {
-        self.by(self.now() + span, work).await
+    pub async fn timeout<T>(&self, span: Span, work: impl Future<Output = T>) -> Option<T> {
+        self.timeout_at(self.now() + span, work).await
     }
 }
--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -15,7 +15,7 @@
     pub seed: u64,
     pub memory_limit: usize,
     pub descriptor_limit: usize,
-    pub bulletin: SocketAddr,
+    pub discovery_address: SocketAddr,
     /// The events of the start, and the number of the last.
     pub initial_events: Vec<DiscoveryEvent>,
     pub last_event: u64,
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug)]
 pub enum DiscoveryEvent {
     Roster {
-        whole: bool,
+        snapshot: bool,
         list: Vec<ListedMember>,
     },
     /// Of what `names` covers nothing is good any more that is older than `issued_ms`, in ms since 1970.
@@ -61,33 +61,34 @@
     pub fn read(json: &str) -> ParseResult<Config> {
         let all: Value = serde_json::from_str(json).map_err(|e| format!("not JSON: {e}"))?;
         let all = all.as_object().ok_or("not an object")?;
-        let inside = |what: &str, e: String| format!("{what}: {e}");
-        let told = object(all, "settings")?;
+        let in_section = |what: &str, e: String| format!("{what}: {e}");
+        let settings_object = object(all, "settings")?;
         let names = Names {
-            rules: named(told, "Classes").map_err(|e| inside("settings", e))?,
-            zones: named(told, "Zones").map_err(|e| inside("settings", e))?,
-            kinds: named(told, "Shapes").map_err(|e| inside("settings", e))?,
+            rules: read_names(settings_object, "Classes").map_err(|e| in_section("settings", e))?,
+            zones: read_names(settings_object, "Zones").map_err(|e| in_section("settings", e))?,
+            kinds: read_names(settings_object, "Shapes").map_err(|e| in_section("settings", e))?,
         };
         let limits = object(all, "limits")?;
-        let policy = object(told, "PolicyLimits").map_err(|e| inside("settings", e))?;
+        let policy_limits = object(settings_object, "PolicyLimits").map_err(|e| in_section("settings", e))?;
         let known = object(all, "known")?;
-        let mut events = Vec::new();
+        let mut initial_events = Vec::new();
         for item in list(known, "items")? {
-            events.extend(parse_event(item, &names).map_err(|e| inside("known", e))?.1);
+            initial_events.extend(parse_event(item, &names).map_err(|e| in_section("known", e))?.1);
         }
-        let deadlines = list(told, "Classes")?.iter().filter_map(|c| c.get("DeadlineUs")?.as_u64());
+        let deadlines =
+            list(settings_object, "Classes")?.iter().filter_map(|c| c.get("DeadlineUs")?.as_u64());
         Ok(Config {
             name: text(all, "name")?.to_owned(),
             listen: address(all, "listen")?,
             seed: hex(text(all, "seed")?).ok_or("seed is not a number in hex digits")?,
             memory_limit: int(limits, "memory_mb")? as usize * 1024 * 1024,
             descriptor_limit: int(limits, "sockets")? as usize,
-            bulletin: address(all, "bulletin")?,
-            initial_events: events,
+            discovery_address: address(all, "bulletin")?,
+            initial_events,
             last_event: int(known, "no")?,
-            settings: settings(told).map_err(|e| inside("settings", e))?,
-            idle_timeout: span(policy, "ConnIdleUs").map_err(|e| inside("settings", e))?,
-            max_open_txns: int(policy, "MaxOpen").map_err(|e| inside("settings", e))? as usize,
+            settings: settings(settings_object).map_err(|e| in_section("settings", e))?,
+            idle_timeout: span(policy_limits, "ConnIdleUs").map_err(|e| in_section("settings", e))?,
+            max_open_txns: int(policy_limits, "MaxOpen").map_err(|e| in_section("settings", e))? as usize,
             max_time_limit: Span::from_micros(deadlines.max().ok_or("settings: no class has DeadlineUs")?),
             names,
         })
@@ -95,13 +96,13 @@
 }
 
 /// The address of the bulletin, the one thing that may change on the way.
-pub fn bulletin(json: &str) -> ParseResult<SocketAddr> {
+pub fn read_discovery_address(json: &str) -> ParseResult<SocketAddr> {
     let all: Value = serde_json::from_str(json).map_err(|e| format!("not JSON: {e}"))?;
     address(all.as_object().ok_or("not an object")?, "bulletin")
 }
 
 /// The events of the start as they are written.
-pub fn known(json: &str) -> ParseResult<Vec<Value>> {
+pub fn read_initial_events(json: &str) -> ParseResult<Vec<Value>> {
     let all: Value = serde_json::from_str(json).map_err(|e| format!("not JSON: {e}"))?;
     let known = object(all.as_object().ok_or("not an object")?, "known")?;
     list(known, "items").map(|items| items.to_vec())
@@ -110,36 +111,37 @@
 /// The number of an event and what it says; `None` for kinds of event not known here.
 pub fn parse_event(item: &Value, names: &Names) -> ParseResult<(u64, Option<DiscoveryEvent>)> {
     let item = item.as_object().ok_or("not an event")?;
-    let no = int(item, "no")?;
+    let number = int(item, "no")?;
     if item.contains_key("roster") {
         let roster = object(item, "roster")?;
         let list: ParseResult<Vec<ListedMember>> =
-            list(roster, "endpoints")?.iter().map(|e| listed(e, names)).collect();
-        let whole = optional(roster, "snapshot", flag)?.unwrap_or(false);
-        return Ok((no, Some(DiscoveryEvent::Roster { whole, list: list? })));
+            list(roster, "endpoints")?.iter().map(|e| parse_listed_member(e, names)).collect();
+        let snapshot = optional(roster, "snapshot", flag)?.unwrap_or(false);
+        return Ok((number, Some(DiscoveryEvent::Roster { snapshot, list: list? })));
     }
     if !item.contains_key("recall") {
-        return Ok((no, None));
+        return Ok((number, None));
     }
     let recall = object(item, "recall")?;
-    let named = optional(recall, "item", |r, n| hex(text(r, n)?).ok_or("item is not hex digits".into()))?;
+    let object = optional(recall, "item", |r, n| hex(text(r, n)?).ok_or("item is not hex digits".into()))?;
     let group = optional(recall, "lot", int)?;
-    let names = named.map(PrefixSet::object).or(group.map(PrefixSet::group)).ok_or("recall names nothing")?;
-    Ok((no, Some(DiscoveryEvent::Purge { names, issued_ms: int(recall, "issued")? })))
+    let names =
+        object.map(PrefixSet::object).or(group.map(PrefixSet::group)).ok_or("recall names nothing")?;
+    Ok((number, Some(DiscoveryEvent::Purge { names, issued_ms: int(recall, "issued")? })))
 }
 
-fn listed(entry: &Value, names: &Names) -> ParseResult<ListedMember> {
+fn parse_listed_member(entry: &Value, names: &Names) -> ParseResult<ListedMember> {
     let entry = entry.as_object().ok_or("an endpoint is not an object")?;
     // A place that the settings don't name is one of its own: no zone or kind is taken for another.
-    let place = |name: &str, of: &[String]| {
-        let told = entry.get(name).and_then(Value::as_str);
-        told.and_then(|t| of.iter().position(|n| n == t)).unwrap_or(of.len())
+    let index_of = |name: &str, of: &[String]| {
+        let value = entry.get(name).and_then(Value::as_str);
+        value.and_then(|t| of.iter().position(|n| n == t)).unwrap_or(of.len())
     };
     let started = optional(entry, "since_ms", int)?.filter(|&ms| ms > 0);
     let member = Member {
         id: Arc::from(text(entry, "name")?),
-        zone: place("zone", &names.zones),
-        kind: place("type", &names.kinds),
+        zone: index_of("zone", &names.zones),
+        kind: index_of("type", &names.kinds),
         cell: optional(entry, "group", int)?.unwrap_or(0),
         state: state(entry, "status")?,
         capacity: optional(entry, "weight", number)?.unwrap_or(0.0),
@@ -150,12 +152,12 @@
     Ok(ListedMember { member, address })
 }
 
-fn named(body: &Fields, name: &str) -> ParseResult<Vec<String>> {
-    let one = |v: &Value| {
-        let told = v.as_str().or_else(|| v.get("Name")?.as_str());
-        told.map(str::to_owned).ok_or_else(|| format!("{name} holds one without a name"))
+fn read_names(body: &Fields, name: &str) -> ParseResult<Vec<String>> {
+    let name_of = |v: &Value| {
+        let name_value = v.as_str().or_else(|| v.get("Name")?.as_str());
+        name_value.map(str::to_owned).ok_or_else(|| format!("{name} holds one without a name"))
     };
-    list(body, name)?.iter().map(one).collect()
+    list(body, name)?.iter().map(name_of).collect()
 }
 
 fn address(body: &Fields, name: &str) -> ParseResult<SocketAddr> {
--- a/gateway/src/counters.rs
+++ b/gateway/src/counters.rs
@@ -12,17 +12,17 @@
     counts: RefCell<BTreeMap<&'static str, u64>>,
     ends: RefCell<BTreeMap<ConnectionEnd, u64>>,
     /// Answers handed to connections and not yet written.
-    pub unwritten: Rc<Cell<usize>>,
+    pub unwritten_answers: Rc<Cell<usize>>,
     /// Descriptors of clients, and of hops with those kept for later ones.
-    pub clients: Rc<Cell<usize>>,
-    pub hops: Rc<Cell<usize>>,
+    pub client_connections: Rc<Cell<usize>>,
+    pub hop_connections: Rc<Cell<usize>>,
     /// How much the tables of the gateway held when they were last asked.
-    pub sizes: RefCell<Vec<(&'static str, usize)>>,
+    pub table_sizes: RefCell<Vec<(&'static str, usize)>>,
 }
 
 impl Counters {
-    pub fn add(&self, what: &'static str) {
-        *self.counts.borrow_mut().entry(what).or_default() += 1;
+    pub fn add(&self, name: &'static str) {
+        *self.counts.borrow_mut().entry(name).or_default() += 1;
     }
 
     pub fn record_end(&self, end: ConnectionEnd) {
@@ -32,8 +32,8 @@
 
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "now: clients {}, hops {}", self.clients.get(), self.hops.get())?;
-        self.sizes.borrow().iter().try_for_each(|(what, n)| write!(f, ", {what} {n}"))?;
+        write!(f, "now: clients {}, hops {}", self.client_connections.get(), self.hop_connections.get())?;
+        self.table_sizes.borrow().iter().try_for_each(|(what, n)| write!(f, ", {what} {n}"))?;
         write!(f, "; in all")?;
         self.counts.borrow().iter().try_for_each(|(what, n)| write!(f, ", {what} {n}"))?;
         self.ends.borrow().iter().try_for_each(|(end, n)| write!(f, ", end {end:?} {n}"))
--- a/gateway/src/discovery.rs
+++ b/gateway/src/discovery.rs
@@ -14,70 +14,75 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-const MOST_LINE: usize = 1024 * 1024;
+const MAX_LINE_BYTES: usize = 1024 * 1024;
 /// It writes a line each second; this long without a whole one, and the connection is held to be dead. A long line has
 /// as long again for each piece of it that has come.
-const SILENT: Span = Span::from_millis(2_000);
-const PIECE: usize = 16 * 1024;
-const CONNECT: Span = Span::from_millis(500);
-const WAITS: std::ops::Range<Span> = Span::from_millis(50)..Span::from_millis(400);
+const IDLE_TIMEOUT: Span = Span::from_millis(2_000);
+const READ_CHUNK_BYTES: usize = 16 * 1024;
+const CONNECT_TIMEOUT: Span = Span::from_millis(500);
+const RECONNECT_BACKOFF: std::ops::Range<Span> = Span::from_millis(50)..Span::from_millis(400);
 
 // What it has to tell counts as told 2 s after a break and 4 s after it stops: one try may fail before that.
-const ONE_TRY: u64 = CONNECT.as_micros() + WAITS.end.as_micros();
-const _: () = assert!(2 * ONE_TRY < 2_000_000 && SILENT.as_micros() + 2 * ONE_TRY < 4_000_000);
+const MAX_ATTEMPT_US: u64 = CONNECT_TIMEOUT.as_micros() + RECONNECT_BACKOFF.end.as_micros();
+const _: () =
+    assert!(2 * MAX_ATTEMPT_US < 2_000_000 && IDLE_TIMEOUT.as_micros() + 2 * MAX_ATTEMPT_US < 4_000_000);
 
 /// Who hears the lines. What comes after a gap or can't be read ends the connection.
 pub trait Subscriber {
     /// The number of the last event that is known.
-    fn after(&self) -> u64;
-    fn line(&mut self, line: &[u8]) -> Result<(), String>;
+    fn last_event(&self) -> u64;
+    fn on_line(&mut self, line: &[u8]) -> Result<(), String>;
     /// Comes when a connection is wanted, and when one that stands is not wanted any more.
-    fn wanted(&self) -> impl Future<Output = ()>;
-    fn unwanted(&self) -> impl Future<Output = ()>;
+    fn connection_wanted(&self) -> impl Future<Output = ()>;
+    fn connection_unwanted(&self) -> impl Future<Output = ()>;
     /// A connection has ended, or did not come up.
-    fn ended(&mut self) {}
+    fn connection_ended(&mut self) {}
 }
 
-pub struct DiscoveryClient<H> {
+pub struct DiscoveryClient<S> {
     pub address: SocketAddr,
     /// Further addresses, as the configuration comes to name them.
-    pub moves: Receiver<SocketAddr>,
+    pub address_changes: Receiver<SocketAddr>,
     pub clock: Clock,
     pub counters: Rc<Counters>,
-    pub subscriber: H,
+    pub subscriber: S,
 }
 
-impl<H: Subscriber> DiscoveryClient<H> {
-    pub async fn follow(mut self) {
-        let (moves, mut wait) = (self.moves.clone(), WAITS.start);
+impl<S: Subscriber> DiscoveryClient<S> {
+    pub async fn run(mut self) {
+        let (address_changes, mut backoff) = (self.address_changes.clone(), RECONNECT_BACKOFF.start);
         loop {
-            let here = self.address;
-            let moved = async {
-                while let Ok(address) = moves.recv().await {
-                    if address != here {
+            let current = self.address;
+            let address_changed = async {
+                while let Ok(address) = address_changes.recv().await {
+                    if address != current {
                         return address;
                     }
                 }
                 future::pending().await
             };
-            let followed = async {
-                self.subscriber.wanted().await;
-                let (before, mut healthy) = (self.subscriber.after(), false);
+            let session = async {
+                self.subscriber.connection_wanted().await;
+                let (before, mut healthy) = (self.subscriber.last_event(), false);
                 let end = self.read(&mut healthy).await;
                 self.counters.record_end(end);
-                let after = self.subscriber.after();
+                let after = self.subscriber.last_event();
                 if end == ConnectionEnd::PeerDamaged || after > before && end != ConnectionEnd::Withdrawn {
                     log::warn!("the bulletin's connection ended ({end:?}); asking again after {after}");
                 }
-                self.subscriber.ended();
-                wait = if healthy { WAITS.start } else { (wait * 2.0).min(WAITS.end) };
-                self.clock.sleep(wait).await;
-                here
+                self.subscriber.connection_ended();
+                backoff = if healthy {
+                    RECONNECT_BACKOFF.start
+                } else {
+                    (backoff * 2.0).min(RECONNECT_BACKOFF.end)
+                };
+                self.clock.sleep(backoff).await;
+                current
             };
-            self.address = future::or(moved, followed).await;
-            if self.address != here {
-                wait = WAITS.start;
-                let after = self.subscriber.after();
+            self.address = future::or(address_changed, session).await;
+            if self.address != current {
+                backoff = RECONNECT_BACKOFF.start;
+                let after = self.subscriber.last_event();
                 log::info!("the bulletin is now followed at {}, after {after}", self.address);
             }
         }
@@ -85,47 +90,49 @@
 
     /// `healthy` becomes true with the first line that can be used.
     async fn read(&mut self, healthy: &mut bool) -> ConnectionEnd {
-        let mut stream = match self.clock.within(CONNECT, Async::<TcpStream>::connect(self.address)).await {
-            Some(Ok(stream)) => stream,
-            Some(Err(_)) => return ConnectionEnd::Refused,
-            None => return ConnectionEnd::NoConnection,
-        };
-        let ask = format!("after {}\n", self.subscriber.after());
-        match self.clock.within(SILENT, stream.write_all(ask.as_bytes())).await {
+        let mut stream =
+            match self.clock.timeout(CONNECT_TIMEOUT, Async::<TcpStream>::connect(self.address)).await {
+                Some(Ok(stream)) => stream,
+                Some(Err(_)) => return ConnectionEnd::Refused,
+                None => return ConnectionEnd::NoConnection,
+            };
+        let subscribe_line = format!("after {}\n", self.subscriber.last_event());
+        match self.clock.timeout(IDLE_TIMEOUT, stream.write_all(subscribe_line.as_bytes())).await {
             Some(Ok(())) => {}
             Some(Err(_)) => return ConnectionEnd::PeerLeft,
             None => return ConnectionEnd::PeerSilent,
         }
-        let (mut held, mut bytes, mut heard) = (Vec::new(), vec![0; PIECE], self.clock.now());
+        let (mut buffer, mut chunk, mut last_line_at) =
+            (Vec::new(), vec![0; READ_CHUNK_BYTES], self.clock.now());
         loop {
             // Guards against one that stands and sends a byte now and then, but nothing that can be used.
-            let silent = heard + SILENT * (1 + held.len() / PIECE) as f64;
-            let read = async { Some(self.clock.by(silent, stream.read(&mut bytes)).await) };
+            let idle_deadline = last_line_at + IDLE_TIMEOUT * (1 + buffer.len() / READ_CHUNK_BYTES) as f64;
+            let read = async { Some(self.clock.timeout_at(idle_deadline, stream.read(&mut chunk)).await) };
             let unwanted = async {
-                self.subscriber.unwanted().await;
+                self.subscriber.connection_unwanted().await;
                 None
             };
-            let Some(got) = future::or(read, unwanted).await else { return ConnectionEnd::Withdrawn };
-            let n = match got {
+            let Some(read_result) = future::or(read, unwanted).await else { return ConnectionEnd::Withdrawn };
+            let n = match read_result {
                 Some(Ok(0) | Err(_)) => return ConnectionEnd::PeerLeft,
                 Some(Ok(n)) => n,
                 None => return ConnectionEnd::PeerSilent,
             };
-            let seen = held.len();
-            held.extend_from_slice(&bytes[..n]);
+            let scanned = buffer.len();
+            buffer.extend_from_slice(&chunk[..n]);
             let mut used = 0;
-            while let Some(end) = held[seen.max(used)..].iter().position(|&b| b == b'\n') {
-                let end = seen.max(used) + end;
-                if let Err(why) = self.subscriber.line(&held[used..end]) {
-                    log::warn!("a line of the bulletin can't be used: {why}");
+            while let Some(end) = buffer[scanned.max(used)..].iter().position(|&b| b == b'\n') {
+                let end = scanned.max(used) + end;
+                if let Err(reason) = self.subscriber.on_line(&buffer[used..end]) {
+                    log::warn!("a line of the bulletin can't be used: {reason}");
                     return ConnectionEnd::PeerDamaged;
                 }
                 *healthy = true;
-                heard = self.clock.now();
+                last_line_at = self.clock.now();
                 used = end + 1;
             }
-            held.drain(..used);
-            if held.len() > MOST_LINE {
+            buffer.drain(..used);
+            if buffer.len() > MAX_LINE_BYTES {
                 return ConnectionEnd::PeerDamaged;
             }
         }
@@ -133,44 +140,44 @@
 }
 
 /// Passes events on to the dispatcher; a connection is always wanted.
-pub struct Alone {
+pub struct DispatcherSubscriber {
     /// The number of the last event that was passed on.
-    pub last: u64,
+    pub last_event: u64,
     pub names: Names,
     pub counters: Rc<Counters>,
     pub dispatcher: Sender<Event>,
 }
 
-impl Subscriber for Alone {
-    fn after(&self) -> u64 {
-        self.last
+impl Subscriber for DispatcherSubscriber {
+    fn last_event(&self) -> u64 {
+        self.last_event
     }
 
-    async fn wanted(&self) {}
+    async fn connection_wanted(&self) {}
 
-    async fn unwanted(&self) {
+    async fn connection_unwanted(&self) {
         future::pending().await
     }
 
-    fn line(&mut self, line: &[u8]) -> Result<(), String> {
+    fn on_line(&mut self, line: &[u8]) -> Result<(), String> {
         if line.trim_ascii().is_empty() {
             return Ok(());
         }
         let value: serde_json::Value = serde_json::from_slice(line).map_err(|e| format!("not JSON: {e}"))?;
-        let gap = |no| format!("number {no} after {}", self.last);
-        if let Some(no) = value.as_u64() {
-            return if no > self.last { Err(gap(no)) } else { Ok(()) };
+        let gap = |number| format!("number {number} after {}", self.last_event);
+        if let Some(number) = value.as_u64() {
+            return if number > self.last_event { Err(gap(number)) } else { Ok(()) };
         }
-        let (no, said) = parse_event(&value, &self.names)?;
-        if no > self.last + 1 {
-            return Err(gap(no));
+        let (number, event) = parse_event(&value, &self.names)?;
+        if number > self.last_event + 1 {
+            return Err(gap(number));
         }
-        if no == self.last + 1 {
-            self.last = no;
+        if number == self.last_event + 1 {
+            self.last_event = number;
             self.counters.add("bulletin events");
-            if let Some(said) = said {
+            if let Some(event) = event {
                 // It fails only when the dispatcher has ended, and with it the process.
-                _ = self.dispatcher.try_send(Event::Discovery(said));
+                _ = self.dispatcher.try_send(Event::Discovery(event));
             }
         }
         Ok(())
--- a/gateway/src/dispatch_api.rs
+++ b/gateway/src/dispatch_api.rs
@@ -42,9 +42,9 @@
     /// Unique among all callers of the process.
     fn key(&self) -> u64;
     /// Without a body the asker's own copy is the one. After `until` nobody waits for it.
-    fn serve(&self, id: u64, body: Option<Body>, until: Time);
+    fn serve(&self, id: u64, body: Option<Body>, deadline: Time);
     /// Another try is harmless, and welcome after the span where one is given.
-    fn reject(&self, id: u64, come_back: Option<Span>);
+    fn reject(&self, id: u64, retry_after: Option<Span>);
     /// What has run is not known.
     fn abort(&self, id: u64);
     /// The request itself can't be used; it went nowhere.
@@ -65,22 +65,22 @@
 
 pub enum Event {
     Request {
-        client: Rc<dyn Responder>,
+        responder: Rc<dyn Responder>,
         id: u64,
         method: String,
         request: Box<Request>,
-        at: Time,
+        received_at: Time,
     },
     HealthCheck {
-        client: Rc<dyn Responder>,
+        responder: Rc<dyn Responder>,
         id: u64,
     },
     Cancelled {
-        client: u64,
+        responder: u64,
         id: u64,
     },
     Disconnected {
-        client: u64,
+        responder: u64,
     },
     HopFinished {
         txn: TxnId,
@@ -107,7 +107,7 @@
     /// When the txn's SLA time is over.
     pub sla_deadline: Time,
     pub rule: Rc<str>,
-    pub write: bool,
+    pub is_write: bool,
     /// It must not run twice.
     pub unrepeatable: bool,
     pub request: Rc<Request>,
@@ -117,11 +117,11 @@
 pub struct HopResult {
     pub end: ConnectionEnd,
     pub cache_status: Option<CacheStatus>,
-    pub waited: Option<Span>,
-    pub stats: Option<Vec<u8>>,
+    pub first_byte_wait: Option<Span>,
+    pub load_report: Option<Vec<u8>>,
     pub body: Option<Body>,
     /// When it ended at the socket; `None` where no task reports it.
-    pub at: Option<Time>,
+    pub finished_at: Option<Time>,
     /// How long the hop waited for what the gateway itself lacked.
     pub local_wait: Span,
 }
@@ -131,10 +131,10 @@
         HopResult {
             end,
             cache_status: None,
-            waited: None,
-            stats: None,
+            first_byte_wait: None,
+            load_report: None,
             body: None,
-            at: None,
+            finished_at: None,
             local_wait: Span::ZERO,
         }
     }
@@ -160,7 +160,7 @@
     /// Members that are reached by it.
     fn reaches(&self, member: &MemberId) -> bool;
     /// Runs one hop to its end, which comes by the job's time at the latest; dropped, the hop is given up.
-    fn hop(&self, job: HopRequest) -> HopFuture;
+    fn hop(&self, request: HopRequest) -> HopFuture;
 }
 
 /// Given back when it is dropped.
@@ -175,7 +175,7 @@
 /// is no permit in time ends as never sent.
 pub trait SharedLimits {
     /// For one connection to a member; `None`: there is none in time.
-    fn acquire_connection(&self, member: &MemberId, until: Time) -> PermitFuture;
+    fn acquire_connection(&self, member: &MemberId, deadline: Time) -> PermitFuture;
     /// For a fill of the object through a member; `None` at once where fills are not counted now.
-    fn acquire_fill(&self, job: &HopRequest) -> Option<PermitFuture>;
+    fn acquire_fill(&self, request: &HopRequest) -> Option<PermitFuture>;
 }
--- a/gateway/src/dispatcher.rs
+++ b/gateway/src/dispatcher.rs
@@ -23,42 +23,42 @@
 
 /// After SIGTERM: requests still come for this long; all is answered this long before the longest wait and the
 /// time given on top of it are over; bytes written get this long to leave.
-const STILL_COMING: Span = Span::from_millis(700);
-const ANSWERED_BEFORE: Span = Span::from_millis(250);
-const LEAVING: Span = Span::from_millis(50);
+const SHUTDOWN_ACCEPT_PERIOD: Span = Span::from_millis(700);
+const SHUTDOWN_ABORT_MARGIN: Span = Span::from_millis(250);
+const FLUSH_PERIOD: Span = Span::from_millis(50);
 /// The longest wait that a planned restart allows for.
-const LONGEST: Span = Span::from_millis(3_000);
+const MAX_SHUTDOWN_WAIT: Span = Span::from_millis(3_000);
 /// A client that leaves this shortly before its time is over has waited for it.
-const AT_LIMIT: Span = Span::from_millis(20);
+const TIMEOUT_TOLERANCE: Span = Span::from_millis(20);
 
 /// What the dispatcher knows of a remap rule.
 #[derive(Clone)]
 struct Rule {
     name: Rc<str>,
-    write: bool,
-    once: bool,
+    is_write: bool,
+    unrepeatable: bool,
     /// The SLA time, and by what multiple of the txn's own sending time it grows.
     sla: (Span, f64),
 }
 
-struct Open {
-    client: Rc<dyn Responder>,
-    id: u64,
+struct OpenTxn {
+    responder: Rc<dyn Responder>,
+    message_id: u64,
     rule: usize,
-    ask: Rc<Request>,
+    request: Rc<Request>,
     /// When its SLA time is over.
-    wanted: Time,
-    limit: Time,
-    hops: u32,
+    sla_deadline: Time,
+    deadline: Time,
+    hop_count: u32,
 }
 
-struct Out {
+struct ActiveHop {
     member: MemberId,
     source: Option<MemberId>,
-    begun: Rc<Cell<bool>>,
+    started: Rc<Cell<bool>>,
     task: Option<Task<()>>,
-    sent: Time,
-    until: Time,
+    ordered_at: Time,
+    deadline: Time,
 }
 
 pub struct Dispatcher {
@@ -66,31 +66,31 @@
     clock: Clock,
     tasks: Tasks,
     caches: Rc<Caches>,
-    carriers: Vec<Rc<dyn Transport>>,
+    transports: Vec<Rc<dyn Transport>>,
     /// What is told of a stop and asked for its sizes.
     services: Vec<Rc<dyn Service>>,
     /// Members that carriers reach, listed beside those of the bulletin.
-    carried: Vec<ListedMember>,
+    transport_members: Vec<ListedMember>,
     counters: Rc<Counters>,
     queue: (Sender<Event>, Receiver<Event>),
     /// Ends that no task reports: of hops never begun, or taken back.
-    own: VecDeque<(TxnId, u32, ConnectionEnd)>,
-    open: BTreeMap<TxnId, Open>,
+    local_results: VecDeque<(TxnId, u32, ConnectionEnd)>,
+    open_txns: BTreeMap<TxnId, OpenTxn>,
     by_message: BTreeMap<(u64, u64), TxnId>,
     /// Open txns by the clients' own ids.
-    by_req: BTreeSet<(u64, TxnId)>,
-    out: BTreeMap<(TxnId, u32), Out>,
-    next: TxnId,
+    by_request_number: BTreeSet<(u64, TxnId)>,
+    active_hops: BTreeMap<(TxnId, u32), ActiveHop>,
+    last_txn_id: TxnId,
     rules: Vec<Rule>,
     /// KB a second of one transfer to a client; zero where it is not told.
-    pace: f64,
+    client_rate_kb_per_s: f64,
     max_hops: u32,
-    most_open: usize,
+    max_open_txns: usize,
     /// Bytes of the bodies of open writes, and their bound.
-    held: usize,
-    most_held: usize,
-    most_wait: Span,
-    stopped: Option<Time>,
+    held_write_bytes: usize,
+    max_held_write_bytes: usize,
+    max_time_limit: Span,
+    shutdown_at: Option<Time>,
 }
 
 impl Dispatcher {
@@ -105,48 +105,48 @@
         let set = config.settings;
         let rule = |(name, r): (&String, &RemapRule)| Rule {
             name: Rc::from(name.as_str()),
-            write: r.is_write,
-            once: r.effect != Effect::Repeatable,
+            is_write: r.is_write,
+            unrepeatable: r.effect != Effect::Repeatable,
             sla: (r.sla, r.sla_size_factor),
         };
         let rules = config.names.rules.iter().zip(&set.rules).map(rule);
         let mut dispatcher = Dispatcher {
             rules: rules.collect(),
-            pace: set.client_rate,
+            client_rate_kb_per_s: set.client_rate,
             max_hops: set.max_hops,
-            most_open: config.max_open_txns,
-            held: 0,
-            most_held: config.memory_limit / 8,
-            most_wait: config.max_time_limit,
+            max_open_txns: config.max_open_txns,
+            held_write_bytes: 0,
+            max_held_write_bytes: config.memory_limit / 8,
+            max_time_limit: config.max_time_limit,
             gateway: Gateway::new(set, config.seed, clock.now()),
             clock,
             tasks,
             caches,
-            carriers: Vec::new(),
+            transports: Vec::new(),
             services: Vec::new(),
-            carried: Vec::new(),
+            transport_members: Vec::new(),
             counters,
             queue,
-            own: VecDeque::new(),
-            open: BTreeMap::new(),
+            local_results: VecDeque::new(),
+            open_txns: BTreeMap::new(),
             by_message: BTreeMap::new(),
-            by_req: BTreeSet::new(),
-            out: BTreeMap::new(),
-            next: 0,
-            stopped: None,
+            by_request_number: BTreeSet::new(),
+            active_hops: BTreeMap::new(),
+            last_txn_id: 0,
+            shutdown_at: None,
         };
-        for said in config.initial_events {
-            dispatcher.news(said);
+        for event in config.initial_events {
+            dispatcher.apply_discovery_event(event);
         }
         dispatcher
     }
 
     /// Adds a way to members of its own; they stay listed whatever the bulletin says.
-    pub fn add(&mut self, carrier: Rc<dyn Transport>, members: Vec<ListedMember>) {
-        self.services.push(carrier.clone());
-        self.carriers.push(carrier);
-        self.carried.extend(members.iter().cloned());
-        self.news(DiscoveryEvent::Roster { whole: false, list: members });
+    pub fn add_transport(&mut self, transport: Rc<dyn Transport>, members: Vec<ListedMember>) {
+        self.services.push(transport.clone());
+        self.transports.push(transport);
+        self.transport_members.extend(members.iter().cloned());
+        self.apply_discovery_event(DiscoveryEvent::Roster { snapshot: false, list: members });
     }
 
     pub fn add_service(&mut self, service: Rc<dyn Service>) {
@@ -157,95 +157,100 @@
     pub async fn run(mut self) {
         loop {
             let now = self.clock.now();
-            self.pull(now);
-            if let Some(at) = self.stopped {
-                let end = at + self.most_wait.min(LONGEST) + STILL_COMING;
-                if now + ANSWERED_BEFORE >= end {
+            self.run_decisions(now);
+            if let Some(at) = self.shutdown_at {
+                let end = at + self.max_time_limit.min(MAX_SHUTDOWN_WAIT) + SHUTDOWN_ACCEPT_PERIOD;
+                if now + SHUTDOWN_ABORT_MARGIN >= end {
                     self.abort_all(now);
                 }
                 // Requests cross the close of the connection they come on, and what crosses is still served: the
                 // work goes on until every connection has ended.
-                if now - at >= STILL_COMING {
+                if now - at >= SHUTDOWN_ACCEPT_PERIOD {
                     self.services.iter().for_each(|b| b.close());
                 }
-                let quiet = self.open.is_empty() && self.counters.unwritten.get() == 0;
-                let quiet = quiet && now - at >= STILL_COMING && self.services.iter().all(|b| b.is_closed());
-                if quiet || now + LEAVING >= end {
-                    self.clock.sleep(LEAVING).await;
-                    return self.tell();
+                let quiet = self.open_txns.is_empty() && self.counters.unwritten_answers.get() == 0;
+                let quiet = quiet
+                    && now - at >= SHUTDOWN_ACCEPT_PERIOD
+                    && self.services.iter().all(|b| b.is_closed());
+                if quiet || now + FLUSH_PERIOD >= end {
+                    self.clock.sleep(FLUSH_PERIOD).await;
+                    return self.dump_counters();
                 }
             }
             let mut wake = self.gateway.next_wake();
-            if self.stopped.is_some() {
-                wake = wake.min(now + LEAVING);
+            if self.shutdown_at.is_some() {
+                wake = wake.min(now + FLUSH_PERIOD);
             }
-            if let Some(Ok(event)) = self.clock.by(wake, self.queue.1.recv()).await {
-                self.event(event);
+            if let Some(Ok(event)) = self.clock.timeout_at(wake, self.queue.1.recv()).await {
+                self.handle_event(event);
                 while let Ok(event) = self.queue.1.try_recv() {
-                    self.event(event);
+                    self.handle_event(event);
                 }
             }
         }
     }
 
-    fn event(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Request { client, id, method, request: ask, at } => {
-                self.asked(client, id, &method, ask, at)
+            Event::Request { responder, id, method, request, received_at } => {
+                self.accept_request(responder, id, &method, request, received_at)
             }
-            Event::HealthCheck { client, id } => client.ready(id, self.stopped.is_none()),
-            Event::Cancelled { client, id } => self.left((client, id)),
-            Event::Disconnected { client } => {
-                let of_client = self.by_message.range((client, 0)..=(client, u64::MAX));
-                let keys: Vec<_> = of_client.map(|(key, _)| *key).collect();
-                keys.into_iter().for_each(|key| self.left(key));
+            Event::HealthCheck { responder, id } => responder.ready(id, self.shutdown_at.is_none()),
+            Event::Cancelled { responder, id } => self.cancel_txn((responder, id)),
+            Event::Disconnected { responder } => {
+                let of_responder = self.by_message.range((responder, 0)..=(responder, u64::MAX));
+                let keys: Vec<_> = of_responder.map(|(key, _)| *key).collect();
+                keys.into_iter().for_each(|key| self.cancel_txn(key));
             }
-            Event::HopFinished { txn, hop, result: ended } => self.ended(txn, hop, ended),
-            Event::Discovery(said) => self.news(said),
+            Event::HopFinished { txn, hop, result } => self.finish_hop(txn, hop, result),
+            Event::Discovery(event) => self.apply_discovery_event(event),
             Event::MemberAlive { member } => self.gateway.member_alive(self.clock.now(), &member),
-            Event::DumpCounters => self.tell(),
+            Event::DumpCounters => self.dump_counters(),
             Event::Shutdown => {
-                log::info!("told to stop, {} txns open", self.open.len());
-                self.stopped.get_or_insert(self.clock.now());
+                log::info!("told to stop, {} txns open", self.open_txns.len());
+                self.shutdown_at.get_or_insert(self.clock.now());
                 self.services.iter().for_each(|b| b.shutdown());
             }
         }
     }
 
     /// Writes the counters, with the size of every table that could grow with the day.
-    fn tell(&self) {
+    fn dump_counters(&self) {
         let own = [
-            ("txns open", self.open.len()),
+            ("txns open", self.open_txns.len()),
             ("txns by message", self.by_message.len()),
-            ("txns by id", self.by_req.len()),
-            ("hops out", self.out.len()),
-            ("bytes of writes", self.held),
+            ("txns by id", self.by_request_number.len()),
+            ("hops out", self.active_hops.len()),
+            ("bytes of writes", self.held_write_bytes),
         ];
         let services = self.services.iter().flat_map(|b| b.table_sizes());
-        let all = own.into_iter().chain(self.caches.sizes()).chain(services);
+        let all = own.into_iter().chain(self.caches.table_sizes()).chain(services);
         let all = all.chain(self.gateway.table_sizes(self.clock.now()));
-        *self.counters.sizes.borrow_mut() = all.collect();
+        *self.counters.table_sizes.borrow_mut() = all.collect();
         log::info!("{}", self.counters);
     }
 
-    fn news(&mut self, said: DiscoveryEvent) {
+    fn apply_discovery_event(&mut self, event: DiscoveryEvent) {
         let now = self.clock.now();
-        match said {
-            DiscoveryEvent::Roster { whole, mut list } => {
-                if whole {
-                    list.extend(self.carried.iter().cloned());
+        match event {
+            DiscoveryEvent::Roster { snapshot, mut list } => {
+                if snapshot {
+                    list.extend(self.transport_members.iter().cloned());
                 }
-                let changed = self.caches.members(whole, &list);
-                self.gateway.update_members(now, whole, list.into_iter().map(|l| l.member).collect());
+                let changed = self.caches.update_members(snapshot, &list);
+                self.gateway.update_members(now, snapshot, list.into_iter().map(|l| l.member).collect());
                 let by = |m: &MemberId| changed.contains(m);
-                self.overtake(|_, out| by(&out.member) || out.source.as_ref().is_some_and(by));
+                self.cancel_waiting_hops(|_, active| {
+                    by(&active.member) || active.source.as_ref().is_some_and(by)
+                });
             }
             DiscoveryEvent::Purge { names, issued_ms } => {
                 // The end of its millisecond, lest a copy made in the same one passes for newer.
                 let at = Time::from_micros(issued_ms.saturating_add(1).saturating_mul(1_000));
                 self.gateway.purge(now, names.clone(), now - at);
-                self.overtake(|ask, _| {
-                    names.contains(object_hash(ask.object)) || names.contains(group_hash(ask.group.into()))
+                self.cancel_waiting_hops(|request, _| {
+                    names.contains(object_hash(request.object))
+                        || names.contains(group_hash(request.group.into()))
                 });
             }
         }
@@ -253,241 +258,259 @@
 
     /// Takes back hops that wait for a descriptor, a connection or a permit and that news has changed: what was true
     /// when a hop was ordered has to be true when its first byte is written.
-    fn overtake(&mut self, hit: impl Fn(&Request, &Out) -> bool) {
-        let open = |txn| self.open.get(&txn).map(|open: &Open| &*open.ask);
-        let waits = self.out.iter().filter(|(_, out)| !out.begun.get());
-        let hits = waits.filter(|(key, out)| open(key.0).is_some_and(|ask| hit(ask, out)));
+    fn cancel_waiting_hops(&mut self, hit: impl Fn(&Request, &ActiveHop) -> bool) {
+        let open = |txn| self.open_txns.get(&txn).map(|open: &OpenTxn| &*open.request);
+        let waits = self.active_hops.iter().filter(|(_, active)| !active.started.get());
+        let hits = waits.filter(|(key, active)| open(key.0).is_some_and(|request| hit(request, active)));
         for (txn, hop) in hits.map(|(key, _)| *key).collect::<Vec<_>>() {
             self.counters.add("waiting hops overtaken by news");
-            self.take_back(txn, hop, ConnectionEnd::Overtaken);
+            self.cancel_hop(txn, hop, ConnectionEnd::Overtaken);
         }
     }
 
-    fn asked(&mut self, client: Rc<dyn Responder>, id: u64, method: &str, ask: Box<Request>, at: Time) {
+    fn accept_request(
+        &mut self,
+        responder: Rc<dyn Responder>,
+        message_id: u64,
+        method: &str,
+        request: Box<Request>,
+        received_at: Time,
+    ) {
         let Some(rule) = self.rules.iter().position(|r| *r.name == *method) else {
             self.counters.add("unknown methods");
-            return client.invalid(id);
+            return responder.invalid(message_id);
         };
-        let write = self.rules[rule].write;
+        let write = self.rules[rule].is_write;
         // Guards caches from two txns under one id, and from bodies that nobody reads.
-        let same = self.by_req.range((ask.request_number, 0)..=(ask.request_number, TxnId::MAX));
-        let other = same.map(|(_, txn)| &self.open[txn].ask).any(|open| open.object != ask.object);
-        if other || !write && !ask.body.is_empty() {
+        let same =
+            self.by_request_number.range((request.request_number, 0)..=(request.request_number, TxnId::MAX));
+        let other =
+            same.map(|(_, txn)| &self.open_txns[txn].request).any(|open| open.object != request.object);
+        if other || !write && !request.body.is_empty() {
             self.counters.add("requests at odds with their method or id");
-            return client.invalid(id);
+            return responder.invalid(message_id);
         }
         // The bounds of the process itself: nothing has run, so that another try is harmless.
-        if self.open.len() >= self.most_open || self.held + ask.body.len() > self.most_held {
+        if self.open_txns.len() >= self.max_open_txns
+            || self.held_write_bytes + request.body.len() > self.max_held_write_bytes
+        {
             self.counters.add("requests over the open bound");
-            return client.reject(id, None);
+            return responder.reject(message_id, None);
         }
-        self.next += 1;
-        let (txn, now) = (self.next, self.clock.now());
+        self.last_txn_id += 1;
+        let (txn, now) = (self.last_txn_id, self.clock.now());
         // Nobody waits longer than the settings say: what claims to would only stay in the tables.
-        let limit = at + Span::from_millis(ask.timeout_ms.into()).min(self.most_wait);
-        let (object, group, part, size) = (ask.object, ask.group.into(), ask.part, ask.size_kb);
-        let (left, oldest) = (limit - now, ask.max_age);
-        let sending = ask.size_kb.filter(|_| self.pace > 0.0).map_or(0.0, |kb| kb / self.pace);
-        let (sla, stretch) = self.rules[rule].sla;
-        let wanted = at + sla + Span::from_secs_f64(sending * stretch);
-        self.held += ask.body.len();
-        self.by_message.insert((client.key(), id), txn);
-        self.by_req.insert((ask.request_number, txn));
-        self.open.insert(txn, Open { client, id, rule, ask: Rc::from(ask), wanted, limit, hops: 0 });
-        self.gateway.submit(
-            now,
-            Txn {
-                id: txn,
+        let deadline = received_at + Span::from_millis(request.timeout_ms.into()).min(self.max_time_limit);
+        let (object, group, part, size) =
+            (request.object, request.group.into(), request.part, request.size_kb);
+        let (time_left, max_age) = (deadline - now, request.max_age);
+        let sending = request
+            .size_kb
+            .filter(|_| self.client_rate_kb_per_s > 0.0)
+            .map_or(0.0, |kb| kb / self.client_rate_kb_per_s);
+        let (sla, size_factor) = self.rules[rule].sla;
+        let sla_deadline = received_at + sla + Span::from_secs_f64(sending * size_factor);
+        self.held_write_bytes += request.body.len();
+        self.by_message.insert((responder.key(), message_id), txn);
+        self.by_request_number.insert((request.request_number, txn));
+        self.open_txns.insert(
+            txn,
+            OpenTxn {
+                responder,
+                message_id,
                 rule,
-                object,
-                group,
-                part,
-                is_write: write,
-                size,
-                time_left: left,
-                max_age: oldest,
+                request: Rc::from(request),
+                sla_deadline,
+                deadline,
+                hop_count: 0,
             },
         );
+        self.gateway.submit(
+            now,
+            Txn { id: txn, rule, object, group, part, is_write: write, size, time_left, max_age },
+        );
     }
 
     /// Takes a txn off the table: from here on it can't be answered again.
-    fn close(&mut self, txn: TxnId) -> Option<Open> {
-        let open = self.open.remove(&txn)?;
-        self.by_message.remove(&(open.client.key(), open.id));
-        self.by_req.remove(&(open.ask.request_number, txn));
-        self.held -= open.ask.body.len();
+    fn remove_txn(&mut self, txn: TxnId) -> Option<OpenTxn> {
+        let open = self.open_txns.remove(&txn)?;
+        self.by_message.remove(&(open.responder.key(), open.message_id));
+        self.by_request_number.remove(&(open.request.request_number, txn));
+        self.held_write_bytes -= open.request.body.len();
         Some(open)
     }
 
     /// Closes a txn that is not served, and counts and traces how it ended.
-    fn give_up(&mut self, now: Time, txn: TxnId, counted: &'static str) -> Option<Open> {
-        let open = self.close(txn)?;
+    fn finish_unserved(&mut self, now: Time, txn: TxnId, counted: &'static str) -> Option<OpenTxn> {
+        let open = self.remove_txn(txn)?;
         self.counters.add(counted);
-        let left = (open.limit - now).as_micros();
-        log::trace!("{counted}: txn {txn} after {} hops, {left} us left", open.hops);
+        let left = (open.deadline - now).as_micros();
+        log::trace!("{counted}: txn {txn} after {} hops, {left} us left", open.hop_count);
         Some(open)
     }
 
     /// The client does not wait any more: what is out for it is given up.
-    fn left(&mut self, key: (u64, u64)) {
+    fn cancel_txn(&mut self, key: (u64, u64)) {
         let Some(txn) = self.by_message.get(&key).copied() else { return };
-        self.close(txn);
+        self.remove_txn(txn);
         self.gateway.client_left(txn);
         self.counters.add("txns left by their client");
         let now = self.clock.now();
-        let hops: Vec<_> = self.out.range((txn, 0)..=(txn, u32::MAX)).map(|(k, o)| (k.1, o.until)).collect();
+        let hops: Vec<_> = self
+            .active_hops
+            .range((txn, 0)..=(txn, u32::MAX))
+            .map(|(key, hop)| (key.1, hop.deadline))
+            .collect();
         for (hop, until) in hops {
-            self.take_back(
+            self.cancel_hop(
                 txn,
                 hop,
-                if now + AT_LIMIT >= until { ConnectionEnd::Late } else { ConnectionEnd::Withdrawn },
+                if now + TIMEOUT_TOLERANCE >= until { ConnectionEnd::Late } else { ConnectionEnd::Withdrawn },
             );
         }
     }
 
-    fn take_back(&mut self, txn: TxnId, hop: u32, end: ConnectionEnd) {
-        let Some(out) = self.out.get_mut(&(txn, hop)) else { return };
+    fn cancel_hop(&mut self, txn: TxnId, hop: u32, end: ConnectionEnd) {
+        let Some(active) = self.active_hops.get_mut(&(txn, hop)) else { return };
         // One that has ended has its outcome in the queue already.
-        if let Some(task) = out.task.take_if(|task| !task.is_finished()) {
+        if let Some(task) = active.task.take_if(|task| !task.is_finished()) {
             drop(task);
             self.counters.record_end(end);
-            self.own.push_back((txn, hop, end));
+            self.local_results.push_back((txn, hop, end));
         }
     }
 
-    fn ended(&mut self, txn: TxnId, hop: u32, ended: HopResult) {
-        let Some(out) = self.out.remove(&(txn, hop)) else { return };
-        let Some(end) = ended.end.hop_status() else { return };
+    fn finish_hop(&mut self, txn: TxnId, hop: u32, result: HopResult) {
+        let Some(active) = self.active_hops.remove(&(txn, hop)) else { return };
+        let Some(status) = result.end.hop_status() else { return };
         let now = self.clock.now();
-        if end == HopStatus::Completed
-            && let Some(open) = self.close(txn)
+        if status == HopStatus::Completed
+            && let Some(open) = self.remove_txn(txn)
         {
             self.counters.add("txns completed");
-            open.client.serve(open.id, ended.body, open.limit);
+            open.responder.serve(open.message_id, result.body, open.deadline);
         }
-        let link = ended.stats.as_deref().and_then(|report| http::stat(report, "x1"));
-        let first_byte = ended.waited.filter(|waited| *waited > Span::ZERO);
+        let link_load = result.load_report.as_deref().and_then(|report| http::load_value(report, "x1"));
+        let first_byte = result.first_byte_wait.filter(|waited| *waited > Span::ZERO);
         // At the socket, and without the gateway's own waits: neither is the member's slowness.
-        let took = ended.at.unwrap_or(now).back(ended.local_wait) - out.sent;
-        let (closed, note) = (!self.open.contains_key(&txn), ended.cache_status);
+        let duration = result.finished_at.unwrap_or(now).back(result.local_wait) - active.ordered_at;
+        let (answered, cache_status) = (!self.open_txns.contains_key(&txn), result.cache_status);
         log::trace!(
-            "txn {txn} hop {hop} at {} ended {:?} {note:?} after {} us, link {link:?}, closed {closed}",
-            out.member,
-            ended.end,
-            took.as_micros()
+            "txn {txn} hop {hop} at {} finished: end {:?}, cache status {cache_status:?}, {} us, link load {link_load:?}, txn answered {answered}",
+            active.member,
+            result.end,
+            duration.as_micros()
         );
-        let load = LoadReport { link_load: link };
+        let load = LoadReport { link_load };
         self.gateway.record_outcome(
             now,
-            Outcome {
-                txn,
-                hop,
-                status: end,
-                duration: took,
-                answered: closed,
-                cache_status: note,
-                first_byte,
-                load,
-            },
+            Outcome { txn, hop, status, duration, answered, cache_status, first_byte, load },
         );
     }
 
-    fn pull(&mut self, now: Time) {
+    fn run_decisions(&mut self, now: Time) {
         loop {
             while let Some(decision) = self.gateway.poll(now) {
-                self.order(now, decision);
+                self.execute(now, decision);
             }
-            let Some((txn, hop, end)) = self.own.pop_front() else { return };
-            self.ended(txn, hop, end.into());
+            let Some((txn, hop, end)) = self.local_results.pop_front() else { return };
+            self.finish_hop(txn, hop, end.into());
         }
     }
 
-    fn order(&mut self, now: Time, decision: Decision) {
+    fn execute(&mut self, now: Time, decision: Decision) {
         match decision {
-            Decision::Hop { txn, member, fill, start_by: begin_by, deadline: limit } => {
-                self.hop(now, txn, member, fill, [begin_by, limit]);
+            Decision::Hop { txn, member, fill, start_by, deadline } => {
+                self.start_hop(now, txn, member, fill, [start_by, deadline]);
             }
-            Decision::Cancel { txn, hop } => self.take_back(txn, hop, ConnectionEnd::Withdrawn),
+            Decision::Cancel { txn, hop } => self.cancel_hop(txn, hop, ConnectionEnd::Withdrawn),
             Decision::Reject { txn, retry_after: come_back } => {
-                let Some(open) = self.give_up(now, txn, "txns rejected") else { return };
-                open.client.reject(open.id, come_back);
+                let Some(open) = self.finish_unserved(now, txn, "txns rejected") else { return };
+                open.responder.reject(open.message_id, come_back);
             }
             Decision::Abort { txn } => {
-                let Some(open) = self.give_up(now, txn, "txns aborted") else { return };
-                open.client.abort(open.id);
+                let Some(open) = self.finish_unserved(now, txn, "txns aborted") else { return };
+                open.responder.abort(open.message_id);
             }
             // The bulletin is followed from the start.
             Decision::Subscribe => {}
         }
     }
 
-    fn hop(
+    fn start_hop(
         &mut self,
         now: Time,
         txn: TxnId,
         member: MemberId,
         fill: Option<Fill>,
-        [begin_by, limit]: [Time; 2],
+        [start_by, limit]: [Time; 2],
     ) {
-        let Some(open) = self.open.get_mut(&txn) else { return };
-        let hop = open.hops;
-        open.hops += 1;
-        let until = limit.min(open.limit);
-        let Rule { name: rule, write, once, .. } = self.rules[open.rule].clone();
+        let Some(open) = self.open_txns.get_mut(&txn) else { return };
+        let hop = open.hop_count;
+        open.hop_count += 1;
+        let deadline = limit.min(open.deadline);
+        let Rule { name: rule, is_write, unrepeatable, .. } = self.rules[open.rule].clone();
         log::trace!(
             "txn {txn} hop {hop} to {member} by {rule}, filled from {:?}",
             fill.as_ref().map(|f| &*f.source)
         );
-        let wanted = open.wanted;
-        let (ask, begun) = (Rc::clone(&open.ask), Rc::<Cell<bool>>::default());
+        let sla_deadline = open.sla_deadline;
+        let (request, started) = (Rc::clone(&open.request), Rc::<Cell<bool>>::default());
         let source = fill.as_ref().map(|fill| Arc::clone(&fill.source));
         let to = member.clone();
-        let job = HopRequest {
+        let hop_request = HopRequest {
             member: to,
-            start_by: begin_by,
-            started: Rc::clone(&begun),
-            deadline: until,
-            sla_deadline: wanted,
+            start_by,
+            started: Rc::clone(&started),
+            deadline,
+            sla_deadline,
             rule,
-            write,
-            unrepeatable: once,
-            request: ask,
+            is_write,
+            unrepeatable,
+            request,
             fill,
         };
         let mut task = None;
-        if hop >= self.max_hops || until <= now {
-            self.own.push_back((txn, hop, ConnectionEnd::LateUnsent));
+        if hop >= self.max_hops || deadline <= now {
+            self.local_results.push_back((txn, hop, ConnectionEnd::LateUnsent));
         } else {
-            task = Some(match self.carriers.iter().find(|c| c.reaches(&job.member)) {
-                Some(carrier) => {
-                    // What a carrier has taken over may cross at any time.
-                    begun.set(true);
-                    self.report(txn, hop, carrier.hop(job))
-                }
-                None => {
-                    let caches = Rc::clone(&self.caches);
-                    self.report(txn, hop, async move { caches.hop(job).await })
-                }
-            });
+            task =
+                Some(match self.transports.iter().find(|transport| transport.reaches(&hop_request.member)) {
+                    Some(transport) => {
+                        // What a carrier has taken over may cross at any time.
+                        started.set(true);
+                        self.spawn_hop(txn, hop, transport.hop(hop_request))
+                    }
+                    None => {
+                        let caches = Rc::clone(&self.caches);
+                        self.spawn_hop(txn, hop, async move { caches.run_hop(hop_request).await })
+                    }
+                });
         }
-        self.out.insert((txn, hop), Out { member, source, begun, task, sent: now, until });
+        self.active_hops
+            .insert((txn, hop), ActiveHop { member, source, started, task, ordered_at: now, deadline });
     }
 
-    fn report(&self, txn: TxnId, hop: u32, running: impl Future<Output = HopResult> + 'static) -> Task<()> {
+    fn spawn_hop(
+        &self,
+        txn: TxnId,
+        hop: u32,
+        running: impl Future<Output = HopResult> + 'static,
+    ) -> Task<()> {
         let queue = self.queue.0.clone();
         self.tasks.spawn(async move {
-            let ended = running.await;
+            let result = running.await;
             // It fails only when the dispatcher has ended, and with it the process.
-            _ = queue.try_send(Event::HopFinished { txn, hop, result: ended });
+            _ = queue.try_send(Event::HopFinished { txn, hop, result });
         })
     }
 
     /// The restart can't wait longer: what is still open gets an answer that promises nothing.
     fn abort_all(&mut self, now: Time) {
-        for txn in self.open.keys().copied().collect::<Vec<_>>() {
-            if let Some(open) = self.give_up(now, txn, "txns aborted at the stop") {
+        for txn in self.open_txns.keys().copied().collect::<Vec<_>>() {
+            if let Some(open) = self.finish_unserved(now, txn, "txns aborted at the stop") {
                 self.gateway.client_left(txn);
-                open.client.abort(open.id);
+                open.responder.abort(open.message_id);
             }
         }
     }
--- a/gateway/src/feed.rs
+++ b/gateway/src/feed.rs
@@ -150,7 +150,7 @@
             // well, they are nobody's until a stream names them.
             let alone = of.streams.iter().enumerate().all(|(i, s)| i == of.own || s.known == 0);
             for said in serves.known {
-                if let DiscoveryEvent::Roster { whole, list } = said {
+                if let DiscoveryEvent::Roster { snapshot: whole, list } = said {
                     owners.change(if alone { of.own } else { NOBODY }, whole, list);
                 }
             }
@@ -192,7 +192,9 @@
             });
             let subscriber = Stream { feed: Rc::clone(self), place: i };
             let (clock, counters) = (self.clock, Rc::clone(&self.counters));
-            tasks.spawn(DiscoveryClient { address, moves, clock, counters, subscriber }.follow()).detach();
+            tasks
+                .spawn(DiscoveryClient { address, address_changes: moves, clock, counters, subscriber }.run())
+                .detach();
         }
     }
 
@@ -232,7 +234,7 @@
             // Whatever the core asks for, the others of the process have their turn.
             let at = self.core.borrow().next_wake(now).max(now + LEAST_SLEEP);
             self.sleeps_until.set(at);
-            self.clock.by(at, moved).await;
+            self.clock.timeout_at(at, moved).await;
         }
     }
 
@@ -276,7 +278,7 @@
         let Some(hears) = &self.hears else { return };
         let value: Result<serde_json::Value, _> = serde_json::from_slice(line);
         match value.map_err(|e| e.to_string()).and_then(|v| config::parse_event(&v, &hears.names)) {
-            Ok((_, Some(DiscoveryEvent::Roster { whole, list }))) => {
+            Ok((_, Some(DiscoveryEvent::Roster { snapshot: whole, list }))) => {
                 let (list, left_out) = hears.owners.borrow_mut().change(stream, whole, list);
                 if left_out > 0 {
                     self.counters.add("fleet feed lists beyond the bound");
@@ -284,7 +286,7 @@
                         "{left_out} caches of a list are beyond the bound of {MOST_LISTED} and left out"
                     );
                 }
-                self.news(DiscoveryEvent::Roster { whole: false, list });
+                self.news(DiscoveryEvent::Roster { snapshot: false, list });
             }
             Ok((_, Some(said))) => self.news(said),
             Ok((_, None)) => {}
@@ -362,7 +364,7 @@
 
     /// Writes the counters of a control machine, and who has not confirmed what it told.
     fn write(&self) {
-        *self.counters.sizes.borrow_mut() = self.sizes();
+        *self.counters.table_sizes.borrow_mut() = self.sizes();
         log::info!("{}", self.counters);
         let (missing, liars) = {
             let core = self.core.borrow();
@@ -393,31 +395,31 @@
 }
 
 impl Subscriber for Stream {
-    fn after(&self) -> u64 {
+    fn last_event(&self) -> u64 {
         self.feed.core.borrow().after(self.place)
     }
 
-    fn line(&mut self, line: &[u8]) -> Result<(), String> {
+    fn on_line(&mut self, line: &[u8]) -> Result<(), String> {
         let line = line.trim_ascii();
         if line.is_empty() {
             return Ok(());
         }
         if let Some(no) = crate::digits(line) {
             let fits = self.feed.tell(|core, now| core.last(now, self.place, no));
-            return if fits { Ok(()) } else { Err(format!("number {no} after {}", self.after())) };
+            return if fits { Ok(()) } else { Err(format!("number {no} after {}", self.last_event())) };
         }
         self.feed.tell(|core, now| core.line(now, self.place, line)).map_err(|e| e.to_string())
     }
 
-    fn wanted(&self) -> impl Future<Output = ()> {
+    fn connection_wanted(&self) -> impl Future<Output = ()> {
         self.feed.until(self.place, true)
     }
 
-    fn unwanted(&self) -> impl Future<Output = ()> {
+    fn connection_unwanted(&self) -> impl Future<Output = ()> {
         self.feed.until(self.place, false)
     }
 
-    fn ended(&mut self) {
+    fn connection_ended(&mut self) {
         self.feed.tell(|core, now| core.ended(now, self.place));
     }
 }
--- a/gateway/src/fleet.rs
+++ b/gateway/src/fleet.rs
@@ -132,7 +132,7 @@
             phase: Cell::new(Phase::Joining),
         });
         if counts {
-            means.caches.bound_by(Rc::new(Bounds(Rc::clone(&fleet))));
+            means.caches.set_shared_limits(Rc::new(Bounds(Rc::clone(&fleet))));
         }
         let (subscriber, drives) = (Rc::clone(&fleet), Rc::clone(&fleet));
         means.tasks.spawn(async move { subscriber.hear().await }).detach();
@@ -210,7 +210,7 @@
             // Whatever the core asks for, the others of the process have their turn.
             let at = self.node.borrow().next_wake(now).max(now + LEAST_SLEEP);
             self.sleeps_until.set(at);
-            self.clock.by(at, moved).await;
+            self.clock.timeout_at(at, moved).await;
         }
     }
 
@@ -385,7 +385,7 @@
     }
 
     fn acquire_fill(&self, job: &HopRequest) -> Option<PermitFuture> {
-        if job.write || job.fill.is_none() || self.0.phase.get() >= Phase::Serving {
+        if job.is_write || job.fill.is_none() || self.0.phase.get() >= Phase::Serving {
             return None;
         }
         let fleet = Rc::clone(&self.0);
@@ -471,31 +471,31 @@
 pub struct Asker(pub Rc<Fleet>);
 
 impl Subscriber for Asker {
-    fn after(&self) -> u64 {
+    fn last_event(&self) -> u64 {
         self.0.node.borrow().relay.list.no()
     }
 
-    fn line(&mut self, line: &[u8]) -> Result<(), String> {
+    fn on_line(&mut self, line: &[u8]) -> Result<(), String> {
         let line = line.trim_ascii();
         if line.is_empty() {
             return Ok(());
         }
         if let Some(no) = crate::digits(line) {
             let fits = self.0.tell(|node, now| node.last(now, no));
-            return if fits { Ok(()) } else { Err(format!("number {no} after {}", self.after())) };
+            return if fits { Ok(()) } else { Err(format!("number {no} after {}", self.last_event())) };
         }
         self.0.tell(|node, now| node.line(now, line)).map_err(|e| e.to_string())
     }
 
-    fn wanted(&self) -> impl Future<Output = ()> {
+    fn connection_wanted(&self) -> impl Future<Output = ()> {
         self.0.until(true)
     }
 
-    fn unwanted(&self) -> impl Future<Output = ()> {
+    fn connection_unwanted(&self) -> impl Future<Output = ()> {
         self.0.until(false)
     }
 
-    fn ended(&mut self) {
+    fn connection_ended(&mut self) {
         self.0.tell(|node, now| node.ended(now));
     }
 }
--- a/gateway/src/http.rs
+++ b/gateway/src/http.rs
@@ -6,22 +6,22 @@
 use kelpcart::interface::{CacheStatus, Fill};
 use std::fmt::Write;
 
-pub const MOST_HEAD: usize = 8 * 1024;
-const STATUS: &[u8] = b"HTTP/1.";
+pub const MAX_HEAD_BYTES: usize = 8 * 1024;
+const STATUS_LINE_PREFIX: &[u8] = b"HTTP/1.";
 
 /// What goes out with a hop, beside its body.
 pub struct Request<'a> {
     pub rule: &'a str,
     pub object: &'a str,
     pub part: u64,
-    pub trace: &'a str,
+    pub trace_id: &'a str,
     pub host: &'a str,
-    pub patience: Span,
+    pub time_limit: Span,
     pub fill: Option<&'a Fill>,
-    pub have: Option<&'a str>,
-    pub mark: Option<&'a str>,
+    pub etag: Option<&'a str>,
+    pub idempotency_key: Option<&'a str>,
     /// The length of a write's body.
-    pub body: Option<usize>,
+    pub content_length: Option<usize>,
 }
 
 impl Request<'_> {
@@ -31,17 +31,17 @@
         let mut line = |args: std::fmt::Arguments| _ = head.write_fmt(args);
         // A write goes by the same method with its body behind it: caches know no other and answer it with an error.
         line(format_args!("GET /x/{}/{}/{} HTTP/1.1\r\n", self.rule, self.object, self.part));
-        line(format_args!("Host: {}\r\nX-Trace: {}\r\n", self.host, self.trace));
+        line(format_args!("Host: {}\r\nX-Trace: {}\r\n", self.host, self.trace_id));
         // Rounded down: the cache gives up no later than the gateway.
-        line(format_args!("X-Patience: {}\r\n", (self.patience.as_micros() / 1_000).max(1)));
+        line(format_args!("X-Patience: {}\r\n", (self.time_limit.as_micros() / 1_000).max(1)));
         if let Some(fill) = self.fill {
             line(format_args!("X-Fill-From: {}\r\n", fill.source));
             if fill.keep_rank > 0 {
                 line(format_args!("X-Keep: {}\r\n", fill.keep_rank));
             }
-            if let Some(oldest) = fill.max_age {
+            if let Some(max_age) = fill.max_age {
                 // Rounded down, but never to 0: that would lift the limit.
-                line(format_args!("X-Max-Age-Ms: {}\r\n", (oldest.as_micros() / 1_000).max(1)));
+                line(format_args!("X-Max-Age-Ms: {}\r\n", (max_age.as_micros() / 1_000).max(1)));
             }
             let flags =
                 [(fill.coalesce, "ride"), (fill.only_if_cached, "have-only"), (fill.revalidate, "update")];
@@ -50,13 +50,13 @@
                 line(format_args!("X-Flags: {}\r\n", flags.join("+")));
             }
         }
-        if let Some(tag) = self.have {
+        if let Some(tag) = self.etag {
             line(format_args!("If-None-Match: {tag}\r\n"));
         }
-        if let Some(mark) = self.mark {
-            line(format_args!("X-Op-Key: {mark}\r\n"));
+        if let Some(key) = self.idempotency_key {
+            line(format_args!("X-Op-Key: {key}\r\n"));
         }
-        if let Some(len) = self.body {
+        if let Some(len) = self.content_length {
             line(format_args!("Content-Length: {len}\r\n"));
         }
         head.push_str("\r\n");
@@ -65,86 +65,87 @@
 }
 
 #[derive(Debug, Default, PartialEq)]
-pub struct Head {
+pub struct ResponseHead {
     pub status: u16,
-    pub length: usize,
+    pub content_length: usize,
     /// The answer says that the txn never ran.
     pub declined: bool,
     pub close: bool,
-    pub note: Option<CacheStatus>,
-    pub waited: Option<Span>,
+    pub cache_status: Option<CacheStatus>,
+    pub first_byte_wait: Option<Span>,
     /// The load report's text.
-    pub stats: Option<Vec<u8>>,
+    pub load_report: Option<Vec<u8>>,
 }
 
 #[derive(Debug, PartialEq, Eq)]
-pub struct Damaged(pub &'static str);
+pub struct MalformedHead(pub &'static str);
 
 /// The head at the start of `bytes` and its length, with that of interim ones (1xx) before it; `None` while it is not
 /// whole. What is damaged is told as soon as the line that shows it is whole.
-pub fn head(bytes: &[u8]) -> Result<Option<(Head, usize)>, Damaged> {
+pub fn parse_head(bytes: &[u8]) -> Result<Option<(ResponseHead, usize)>, MalformedHead> {
     let mut from = 0;
-    while let Some((mut found, len)) = one_head(&bytes[from..])? {
+    while let Some((mut head, len)) = parse_one_head(&bytes[from..])? {
         from += len;
-        if from > MOST_HEAD {
+        if from > MAX_HEAD_BYTES {
             break;
         }
-        if found.status >= 200 {
+        if head.status >= 200 {
             // Whoever sends more than the answer may send more behind it, too.
-            found.close |= from > len;
-            return Ok(Some((found, from)));
+            head.close |= from > len;
+            return Ok(Some((head, from)));
         }
     }
-    if bytes.len() >= MOST_HEAD { Err(Damaged("a head is too long")) } else { Ok(None) }
+    if bytes.len() >= MAX_HEAD_BYTES { Err(MalformedHead("a head is too long")) } else { Ok(None) }
 }
 
-fn one_head(bytes: &[u8]) -> Result<Option<(Head, usize)>, Damaged> {
-    if !bytes.starts_with(&STATUS[..STATUS.len().min(bytes.len())]) {
-        return Err(Damaged("not HTTP"));
+fn parse_one_head(bytes: &[u8]) -> Result<Option<(ResponseHead, usize)>, MalformedHead> {
+    if !bytes.starts_with(&STATUS_LINE_PREFIX[..STATUS_LINE_PREFIX.len().min(bytes.len())]) {
+        return Err(MalformedHead("not HTTP"));
     }
     let end = bytes.windows(4).position(|w| w == b"\r\n\r\n");
-    let Some(whole) = end.or_else(|| bytes.iter().rposition(|&b| b == b'\n')) else { return Ok(None) };
-    let mut lines = bytes[..whole].split(|&b| b == b'\n').map(|l| l.strip_suffix(b"\r").unwrap_or(l));
+    let Some(parsed_len) = end.or_else(|| bytes.iter().rposition(|&b| b == b'\n')) else { return Ok(None) };
+    let mut lines = bytes[..parsed_len].split(|&b| b == b'\n').map(|l| l.strip_suffix(b"\r").unwrap_or(l));
     let first = lines.next().unwrap_or_default();
-    let status = first.strip_prefix(STATUS).filter(|f| f.len() >= 5 && f[1] == b' ');
+    let status = first.strip_prefix(STATUS_LINE_PREFIX).filter(|f| f.len() >= 5 && f[1] == b' ');
     // 101 would make another protocol of what follows.
     let status = status.and_then(|f| digits(&f[2..5])).filter(|s| (100..600).contains(s) && *s != 101);
-    let mut found = Head { status: status.ok_or(Damaged("no status"))?, ..Head::default() };
-    found.close = first.starts_with(b"HTTP/1.0");
-    let mut length = None;
+    let mut head =
+        ResponseHead { status: status.ok_or(MalformedHead("no status"))?, ..ResponseHead::default() };
+    head.close = first.starts_with(b"HTTP/1.0");
+    let mut content_length = None;
     for line in lines {
-        let colon = line.iter().position(|&b| b == b':').ok_or(Damaged("a field without a colon"))?;
+        let colon = line.iter().position(|&b| b == b':').ok_or(MalformedHead("a field without a colon"))?;
         let (name, value) = (&line[..colon], line[colon + 1..].trim_ascii());
         if name.eq_ignore_ascii_case(b"content-length") {
-            let told = digits(value).ok_or(Damaged("a length that is no number"))?;
-            if length.replace(told).is_some_and(|other| other != told) {
-                return Err(Damaged("two lengths"));
+            let length = digits(value).ok_or(MalformedHead("a length that is no number"))?;
+            if content_length.replace(length).is_some_and(|other| other != length) {
+                return Err(MalformedHead("two lengths"));
             }
         } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
-            return Err(Damaged("a transfer encoding"));
+            return Err(MalformedHead("a transfer encoding"));
         } else if name.eq_ignore_ascii_case(b"connection") {
-            found.close |= value.eq_ignore_ascii_case(b"close");
+            head.close |= value.eq_ignore_ascii_case(b"close");
         } else if name.eq_ignore_ascii_case(b"x-declined") {
-            found.declined = value == b"1";
+            head.declined = value == b"1";
         } else if name.eq_ignore_ascii_case(b"x-result") {
-            found.note = note(value);
+            head.cache_status = parse_cache_status(value);
         } else if name.eq_ignore_ascii_case(b"x-waited-ms") {
-            found.waited = number::<f64>(value).map(|ms| Span::from_secs_f64(ms / 1e3));
+            head.first_byte_wait = number::<f64>(value).map(|ms| Span::from_secs_f64(ms / 1e3));
         } else if name.eq_ignore_ascii_case(b"x-stats") {
-            found.stats = Some(value.to_vec());
+            head.load_report = Some(value.to_vec());
         }
     }
     let Some(end) = end else { return Ok(None) };
-    found.length = match (found.status, length) {
+    head.content_length = match (head.status, content_length) {
         (..200 | 204 | 304, _) => 0,
         (_, Some(length)) => length,
-        (_, None) => return Err(Damaged("no length")),
+        (_, None) => return Err(MalformedHead("no length")),
     };
-    Ok(Some((found, end + 4)))
+    Ok(Some((head, end + 4)))
 }
 
-fn note(word: &[u8]) -> Option<CacheStatus> {
-    Some(match word {
+fn parse_cache_status(value: &[u8]) -> Option<CacheStatus> {
+    Some(match value {
         b"hit" => CacheStatus::Held,
         b"filled" => CacheStatus::Filled,
         b"via_origin" => CacheStatus::FilledByOrigin,
@@ -160,7 +161,7 @@
 }
 
 /// A value of a load report such as `inflight:7;util:0.61`.
-pub fn stat(report: &[u8], name: &str) -> Option<f64> {
+pub fn load_value(report: &[u8], name: &str) -> Option<f64> {
     let mut pairs = report.split(|&b| b == b';');
     pairs.find_map(|pair| {
         let value = pair.trim_ascii().strip_prefix(name.as_bytes())?.strip_prefix(b":")?;
--- a/gateway/src/logger.rs
+++ b/gateway/src/logger.rs
@@ -4,9 +4,9 @@
 use log::{LevelFilter, Log, Metadata, Record};
 use std::io::Write;
 
-struct Lines;
+struct StderrLogger;
 
-impl Log for Lines {
+impl Log for StderrLogger {
     fn enabled(&self, _: &Metadata) -> bool {
         true
     }
@@ -21,8 +21,8 @@
 }
 
 pub fn start() {
-    let told = std::env::var("KELPCART_LOG").ok().and_then(|level| level.parse().ok());
-    log::set_max_level(told.unwrap_or(LevelFilter::Info));
+    let level = std::env::var("KELPCART_LOG").ok().and_then(|level| level.parse().ok());
+    log::set_max_level(level.unwrap_or(LevelFilter::Info));
     // A second start changes nothing.
-    _ = log::set_logger(&Lines);
+    _ = log::set_logger(&StderrLogger);
 }
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -8,12 +8,12 @@
 use futures_lite::{StreamExt, future};
 use kelpcart_fleet::settings::Fleet as FleetFile;
 use kelpcart_gateway::buffers::Pool;
-use kelpcart_gateway::caches::{Bounds, Caches};
-use kelpcart_gateway::clients::Front;
+use kelpcart_gateway::caches::{Caches, ConnectionLimits};
+use kelpcart_gateway::clients::Frontend;
 use kelpcart_gateway::clock::Clock;
 use kelpcart_gateway::config::{self, Config};
 use kelpcart_gateway::counters::Counters;
-use kelpcart_gateway::discovery::{Alone, DiscoveryClient};
+use kelpcart_gateway::discovery::{DiscoveryClient, DispatcherSubscriber};
 use kelpcart_gateway::dispatch_api::{Event, ResponderKeys};
 use kelpcart_gateway::dispatcher::Dispatcher;
 use kelpcart_gateway::feed;
@@ -26,14 +26,14 @@
 use std::rc::Rc;
 
 /// Descriptors that neither clients nor hops may take: the listener, the bulletin, signals, standard streams.
-const RESERVE: usize = 16;
+const RESERVED_DESCRIPTORS: usize = 16;
 
 fn main() -> ExitCode {
     logger::start();
     match start() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("kelpcart: {why}");
+        Err(reason) => {
+            eprintln!("kelpcart: {reason}");
             ExitCode::FAILURE
         }
     }
@@ -44,13 +44,13 @@
     let signals = Signals::new([Signal::Term, Signal::Int, Signal::Usr1, Signal::Hup]);
     let signals = signals.map_err(|e| format!("signals: {e}"))?;
     let tasks: Tasks = Box::leak(Box::new(LocalExecutor::new()));
-    let named = |name: &str| env::var(name).ok();
-    if let Some(path) = named("KELPCART_FLEET") {
-        let file = || read(&path, |text| FleetFile::read(text).map_err(|e| e.to_string()));
-        let first = file()?;
+    let variable = |name: &str| env::var(name).ok();
+    if let Some(path) = variable("KELPCART_FLEET") {
+        let read_fleet_file = || read(&path, |text| FleetFile::read(text).map_err(|e| e.to_string()));
+        let first = read_fleet_file()?;
         // Set aside for control: whatever else is configured for this machine, it takes no txns.
         if first.feed.as_ref().is_some_and(|f| f.control.is_some()) {
-            let control = feed::control(tasks, first, signals, file);
+            let control = feed::control(tasks, first, signals, read_fleet_file);
             return async_io::block_on(tasks.run(control)).map_err(|why| format!("{path}: {why}"));
         }
     }
@@ -61,8 +61,8 @@
     }
     let listener = Async::<TcpListener>::bind(config.listen);
     let listener = listener.map_err(|e| format!("{}: {e}", config.listen))?;
-    let (sites, fleet) = (named("KELPCART_SITES"), named("KELPCART_FLEET"));
-    let files = Files { sites, fleet, copies: named("KELPCART_COPIES") };
+    let (sites, fleet) = (variable("KELPCART_SITES"), variable("KELPCART_FLEET"));
+    let files = Files { sites, fleet, copies: variable("KELPCART_COPIES") };
     if files.copies.is_some() && files.sites.is_none() {
         return Err(
             "KELPCART_COPIES: copies are kept of what other sites send, and KELPCART_SITES names none".into(),
@@ -78,9 +78,9 @@
     copies: Option<String>,
 }
 
-fn read<T>(path: &str, what: impl FnOnce(&str) -> Result<T, String>) -> Result<T, String> {
+fn read<T>(path: &str, parse: impl FnOnce(&str) -> Result<T, String>) -> Result<T, String> {
     let text = std::fs::read_to_string(path).map_err(|e| e.to_string());
-    text.and_then(|text| what(&text)).map_err(|e| format!("{path}: {e}"))
+    text.and_then(|text| parse(&text)).map_err(|e| format!("{path}: {e}"))
 }
 
 async fn run(
@@ -94,13 +94,18 @@
     let (clock, counters) = (Clock::start(), Rc::new(Counters::default()));
     let (dispatcher, events) = async_channel::unbounded();
     // Clients hold a third of the descriptors at most; some of theirs may still be closing.
-    let clients = config.descriptor_limit / 3 + RESERVE / 2;
-    let hops = config.descriptor_limit.saturating_sub(clients + RESERVE).max(1);
+    let max_clients = config.descriptor_limit / 3 + RESERVED_DESCRIPTORS / 2;
+    let max_hop_connections =
+        config.descriptor_limit.saturating_sub(max_clients + RESERVED_DESCRIPTORS).max(1);
     let pool = Pool::new(config.memory_limit / 2);
-    let bounds = Bounds { connect: config.settings.connect_timeout, idle: config.idle_timeout, most: hops };
-    let caches = Caches::new(clock, Rc::clone(&pool), Rc::clone(&counters), bounds);
-    caches.sweep(tasks);
-    let (moved, moves) = async_channel::unbounded();
+    let limits = ConnectionLimits {
+        connect_timeout: config.settings.connect_timeout,
+        idle_timeout: config.idle_timeout,
+        max_connections: max_hop_connections,
+    };
+    let caches = Caches::new(clock, Rc::clone(&pool), Rc::clone(&counters), limits);
+    caches.spawn_idle_sweep(tasks);
+    let (address_changed, address_changes) = async_channel::unbounded();
     let keys = ResponderKeys::default();
     let means = Means {
         tasks,
@@ -110,79 +115,91 @@
         dispatcher: dispatcher.clone(),
         keys: keys.clone(),
     };
-    let whole = |text: &str| Ok(text.to_owned());
-    let copies = files.copies.as_ref().map(|path| read(path, whole)).transpose()?;
-    let start = |path: &String| read(path, |text| Between::start(means, text, copies.as_deref(), &config));
-    let between = files.sites.as_ref().map(start).transpose()?;
-    let of_fleet = FleetMeans {
+    let unparsed = |text: &str| Ok(text.to_owned());
+    let copies = files.copies.as_ref().map(|path| read(path, unparsed)).transpose()?;
+    let start_sites =
+        |path: &String| read(path, |text| Between::start(means, text, copies.as_deref(), &config));
+    let between = files.sites.as_ref().map(start_sites).transpose()?;
+    let fleet_means = FleetMeans {
         tasks,
         clock,
         counters: Rc::clone(&counters),
         dispatcher: dispatcher.clone(),
         caches: Rc::clone(&caches),
     };
-    let join = |of: &String| {
-        let known = read(path, config::known)?;
-        read(of, |text| Fleet::start(of_fleet, text, &config, &known))
+    let start_fleet = |of: &String| {
+        let initial_events = read(path, config::read_initial_events)?;
+        read(of, |text| Fleet::start(fleet_means, text, &config, &initial_events))
     };
-    let fleet = files.fleet.as_ref().map(join).transpose()?;
-    let address = config.bulletin;
+    let fleet = files.fleet.as_ref().map(start_fleet).transpose()?;
+    let address = config.discovery_address;
     match (&fleet, fleet.as_ref().and_then(|f| f.feed.as_ref())) {
-        (_, Some(feed)) => feed.follow(tasks, Some((address, moves))),
+        (_, Some(feed)) => feed.follow(tasks, Some((address, address_changes))),
         (None, None) => {
-            let subscriber = Alone {
-                last: config.last_event,
+            let subscriber = DispatcherSubscriber {
+                last_event: config.last_event,
                 names: config.names.clone(),
                 counters: Rc::clone(&counters),
                 dispatcher: dispatcher.clone(),
             };
-            let bulletin =
-                DiscoveryClient { address, moves, clock, counters: Rc::clone(&counters), subscriber };
-            tasks.spawn(bulletin.follow()).detach();
+            let discovery = DiscoveryClient {
+                address,
+                address_changes,
+                clock,
+                counters: Rc::clone(&counters),
+                subscriber,
+            };
+            tasks.spawn(discovery.run()).detach();
         }
         (Some(fleet), None) => {
             let subscriber = Asker(Rc::clone(fleet));
-            let bulletin =
-                DiscoveryClient { address, moves, clock, counters: Rc::clone(&counters), subscriber };
-            tasks.spawn(bulletin.follow()).detach();
+            let discovery = DiscoveryClient {
+                address,
+                address_changes,
+                clock,
+                counters: Rc::clone(&counters),
+                subscriber,
+            };
+            tasks.spawn(discovery.run()).detach();
         }
     }
-    let listens = listener.get_ref().local_addr().unwrap_or(config.listen);
-    log::info!("{} listens on {listens}", config.name);
-    let front = Front {
+    let local_address = listener.get_ref().local_addr().unwrap_or(config.listen);
+    log::info!("{} listens on {local_address}", config.name);
+    let frontend = Frontend {
         tasks,
         clock,
         counters: Rc::clone(&counters),
         pool: Rc::clone(&pool),
         dispatcher: dispatcher.clone(),
-        most: clients,
+        max_clients,
         connected: Rc::default(),
         keys,
-        ending: Rc::default(),
+        shutdown_state: Rc::default(),
     };
-    tasks.spawn(front.clone().accept(listener)).detach();
-    let mut work = Dispatcher::new(config, clock, tasks, caches, counters, (dispatcher.clone(), events));
-    work.add_service(Rc::new(front));
-    let rekeys = between.as_ref().map(|(between, _)| Rc::clone(between));
+    tasks.spawn(frontend.clone().accept(listener)).detach();
+    let mut dispatcher_task =
+        Dispatcher::new(config, clock, tasks, caches, counters, (dispatcher.clone(), events));
+    dispatcher_task.add_service(Rc::new(frontend));
+    let rekey_target = between.as_ref().map(|(between, _)| Rc::clone(between));
     if let Some((between, members)) = between {
-        work.add(between, members);
+        dispatcher_task.add_transport(between, members);
     }
     if let Some(fleet) = &fleet {
-        work.add_service(fleet.clone());
+        dispatcher_task.add_service(fleet.clone());
     }
-    let told = async {
+    let signal_handler = async {
         while let Some(signal) = signals.next().await {
             match signal {
                 Ok(Signal::Usr1) => _ = dispatcher.send(Event::DumpCounters).await,
                 Ok(Signal::Hup) => {
-                    match read(path, config::bulletin) {
-                        Ok(address) => _ = moved.try_send(address),
-                        Err(why) => log::warn!("{why}; the bulletin stays where it was"),
+                    match read(path, config::read_discovery_address) {
+                        Ok(address) => _ = address_changed.try_send(address),
+                        Err(reason) => log::warn!("{reason}; the bulletin stays where it was"),
                     }
-                    let copies = files.copies.as_ref().map(|of| read(of, whole));
-                    rekeys.iter().for_each(|between| between.reread(copies.clone()));
+                    let copies = files.copies.as_ref().map(|of| read(of, unparsed));
+                    rekey_target.iter().for_each(|between| between.reread(copies.clone()));
                     if let Some((fleet, of)) = fleet.as_ref().zip(files.fleet.as_ref()) {
-                        fleet.rekey(read(of, whole));
+                        fleet.rekey(read(of, unparsed));
                     }
                 }
                 Ok(_) => _ = dispatcher.send(Event::Shutdown).await,
@@ -191,6 +208,6 @@
         }
         future::pending().await
     };
-    future::or(work.run(), told).await;
+    future::or(dispatcher_task.run(), signal_handler).await;
     Ok(())
 }
--- a/gateway/src/rpc.rs
+++ b/gateway/src/rpc.rs
@@ -5,27 +5,27 @@
 use crate::{digits, number};
 
 /// A body of 48,000 bytes with its fields fits; more is no request.
-pub const MOST_FRAME: usize = 64 * 1024;
+pub const MAX_FRAME_BYTES: usize = 64 * 1024;
 /// A write's body.
-const MOST_BODY: usize = 48_000;
-const MOST_MARK: usize = 256;
+const MAX_BODY_BYTES: usize = 48_000;
+const MAX_IDEMPOTENCY_KEY_BYTES: usize = 256;
 /// Values in a frame and their nesting.
-const MOST_VALUES: usize = 256;
-const MOST_DEPTH: usize = 6;
+const MAX_VALUES: usize = 256;
+const MAX_DEPTH: usize = 6;
 
 #[derive(Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum DecodeError {
     /// The bytes are no MessagePack, or more than a frame may hold: nothing after them can be trusted.
-    Damaged { id: Option<u64> },
+    Malformed { id: Option<u64> },
     /// A whole message, but none that is known here.
-    Refused { id: Option<u64>, why: &'static str },
+    Invalid { id: Option<u64>, reason: &'static str },
 }
 
 #[derive(Debug, PartialEq)]
 pub enum Message {
-    Request { id: u64, method: String, ask: Box<Request> },
-    Check { id: u64 },
-    Interrupt { ids: Vec<u64> },
+    Request { id: u64, method: String, request: Box<Request> },
+    HealthCheck { id: u64 },
+    Cancel { ids: Vec<u64> },
 }
 
 enum Value<'a> {
@@ -47,206 +47,207 @@
     }
 }
 
-enum Stop {
+enum ReadError {
     /// The bytes so far are good, and not enough.
-    Short,
-    Damaged,
+    Incomplete,
+    Malformed,
 }
 
 struct Reader<'a> {
     bytes: &'a [u8],
-    at: usize,
-    values: usize,
+    position: usize,
+    value_count: usize,
 }
 
 impl<'a> Reader<'a> {
-    fn take(&mut self, n: usize) -> Result<&'a [u8], Stop> {
-        if n > MOST_FRAME {
-            return Err(Stop::Damaged);
+    fn take(&mut self, n: usize) -> Result<&'a [u8], ReadError> {
+        if n > MAX_FRAME_BYTES {
+            return Err(ReadError::Malformed);
         }
-        let taken = self.bytes.get(self.at..self.at + n).ok_or(Stop::Short)?;
-        self.at += n;
+        let taken = self.bytes.get(self.position..self.position + n).ok_or(ReadError::Incomplete)?;
+        self.position += n;
         Ok(taken)
     }
 
-    fn big(&mut self, n: usize) -> Result<u64, Stop> {
-        Ok(self.take(n)?.iter().fold(0, |all, &b| all << 8 | u64::from(b)))
+    fn read_uint(&mut self, n: usize) -> Result<u64, ReadError> {
+        Ok(self.take(n)?.iter().fold(0, |value, &b| value << 8 | u64::from(b)))
     }
 
-    fn sized(&mut self, n: usize) -> Result<Value<'a>, Stop> {
-        let len = self.big(n)? as usize;
+    fn read_bytes(&mut self, n: usize) -> Result<Value<'a>, ReadError> {
+        let len = self.read_uint(n)? as usize;
         Ok(Value::Bytes(self.take(len)?))
     }
 
-    fn other(&mut self, n: usize) -> Result<Value<'a>, Stop> {
+    fn skip_other(&mut self, n: usize) -> Result<Value<'a>, ReadError> {
         self.take(n)?;
         Ok(Value::Other)
     }
 
-    fn value(&mut self, depth: usize) -> Result<Value<'a>, Stop> {
-        self.values += 1;
-        if self.values > MOST_VALUES || depth > MOST_DEPTH {
-            return Err(Stop::Damaged);
+    fn read_value(&mut self, depth: usize) -> Result<Value<'a>, ReadError> {
+        self.value_count += 1;
+        if self.value_count > MAX_VALUES || depth > MAX_DEPTH {
+            return Err(ReadError::Malformed);
         }
         let tag = self.take(1)?[0];
         match tag {
             0x00..=0x7f => Ok(Value::Int(u64::from(tag))),
-            0x80..=0x8f => self.map(usize::from(tag & 0x0f), depth),
-            0x90..=0x9f => self.array(usize::from(tag & 0x0f), depth),
+            0x80..=0x8f => self.read_map(usize::from(tag & 0x0f), depth),
+            0x90..=0x9f => self.read_array(usize::from(tag & 0x0f), depth),
             0xa0..=0xbf => Ok(Value::Bytes(self.take(usize::from(tag & 0x1f))?)),
             0xc0 => Ok(Value::Nil),
-            0xc1 => Err(Stop::Damaged),
+            0xc1 => Err(ReadError::Malformed),
             0xc2 | 0xc3 | 0xe0..=0xff => Ok(Value::Other),
-            0xc4 | 0xd9 => self.sized(1),
-            0xc5 | 0xda => self.sized(2),
-            0xc6 | 0xdb => self.sized(4),
+            0xc4 | 0xd9 => self.read_bytes(1),
+            0xc5 | 0xda => self.read_bytes(2),
+            0xc6 | 0xdb => self.read_bytes(4),
             0xc7..=0xc9 => {
-                let len = self.big(1 << (tag - 0xc7))? as usize;
-                self.other(len.saturating_add(1))
+                let len = self.read_uint(1 << (tag - 0xc7))? as usize;
+                self.skip_other(len.saturating_add(1))
             }
-            0xca => self.other(4),
-            0xcb => self.other(8),
-            0xcc..=0xcf => Ok(Value::Int(self.big(1 << (tag - 0xcc))?)),
+            0xca => self.skip_other(4),
+            0xcb => self.skip_other(8),
+            0xcc..=0xcf => Ok(Value::Int(self.read_uint(1 << (tag - 0xcc))?)),
             0xd0..=0xd3 => {
                 let n = 1 << (tag - 0xd0);
-                let bits = self.big(n)?;
+                let bits = self.read_uint(n)?;
                 // A negative number is none that is known here.
                 Ok(if bits >> (n * 8 - 1) == 0 { Value::Int(bits) } else { Value::Other })
             }
-            0xd4..=0xd8 => self.other(1 + (1 << (tag - 0xd4))),
-            0xdc => self.counted(2, depth, Reader::array),
-            0xdd => self.counted(4, depth, Reader::array),
-            0xde => self.counted(2, depth, Reader::map),
-            0xdf => self.counted(4, depth, Reader::map),
+            0xd4..=0xd8 => self.skip_other(1 + (1 << (tag - 0xd4))),
+            0xdc => self.read_counted(2, depth, Reader::read_array),
+            0xdd => self.read_counted(4, depth, Reader::read_array),
+            0xde => self.read_counted(2, depth, Reader::read_map),
+            0xdf => self.read_counted(4, depth, Reader::read_map),
         }
     }
 
-    fn counted(
+    fn read_counted(
         &mut self,
         n: usize,
         depth: usize,
-        read: fn(&mut Self, usize, usize) -> Result<Value<'a>, Stop>,
-    ) -> Result<Value<'a>, Stop> {
-        let count = self.big(n)? as usize;
+        read: fn(&mut Self, usize, usize) -> Result<Value<'a>, ReadError>,
+    ) -> Result<Value<'a>, ReadError> {
+        let count = self.read_uint(n)? as usize;
         read(self, count, depth)
     }
 
-    fn array(&mut self, n: usize, depth: usize) -> Result<Value<'a>, Stop> {
-        if n > MOST_VALUES {
-            return Err(Stop::Damaged);
+    fn read_array(&mut self, n: usize, depth: usize) -> Result<Value<'a>, ReadError> {
+        if n > MAX_VALUES {
+            return Err(ReadError::Malformed);
         }
-        (0..n).map(|_| self.value(depth + 1)).collect::<Result<_, _>>().map(Value::Array)
+        (0..n).map(|_| self.read_value(depth + 1)).collect::<Result<_, _>>().map(Value::Array)
     }
 
-    fn map(&mut self, n: usize, depth: usize) -> Result<Value<'a>, Stop> {
-        if n > MOST_VALUES {
-            return Err(Stop::Damaged);
+    fn read_map(&mut self, n: usize, depth: usize) -> Result<Value<'a>, ReadError> {
+        if n > MAX_VALUES {
+            return Err(ReadError::Malformed);
         }
-        let pair = |_| Ok((self.value(depth + 1)?, self.value(depth + 1)?));
+        let pair = |_| Ok((self.read_value(depth + 1)?, self.read_value(depth + 1)?));
         (0..n).map(pair).collect::<Result<_, _>>().map(Value::Map)
     }
 }
 
 /// The message at the start of `bytes` and its length; `None` while it is not whole.
-pub fn message(bytes: &[u8]) -> Result<Option<(Message, usize)>, (Fault, usize)> {
-    let mut reader = Reader { bytes, at: 0, values: 0 };
-    match reader.value(0) {
-        Ok(value) => match understand(&value) {
-            Ok(message) => Ok(Some((message, reader.at))),
-            Err(fault) => Err((fault, reader.at)),
+pub fn decode_message(bytes: &[u8]) -> Result<Option<(Message, usize)>, (DecodeError, usize)> {
+    let mut reader = Reader { bytes, position: 0, value_count: 0 };
+    match reader.read_value(0) {
+        Ok(value) => match interpret(&value) {
+            Ok(message) => Ok(Some((message, reader.position))),
+            Err(fault) => Err((fault, reader.position)),
         },
-        Err(Stop::Short) if bytes.len() < MOST_FRAME => Ok(None),
-        Err(_) => Err((Fault::Damaged { id: early_id(bytes) }, bytes.len())),
+        Err(ReadError::Incomplete) if bytes.len() < MAX_FRAME_BYTES => Ok(None),
+        Err(_) => Err((DecodeError::Malformed { id: request_id_of_prefix(bytes) }, bytes.len())),
     }
 }
 
 /// The id of a request of which only the start could be read.
-fn early_id(bytes: &[u8]) -> Option<u64> {
+fn request_id_of_prefix(bytes: &[u8]) -> Option<u64> {
     let rest = bytes.strip_prefix(&[0x94, 0x00])?;
-    Reader { bytes: rest, at: 0, values: 0 }.value(0).ok()?.int()
+    Reader { bytes: rest, position: 0, value_count: 0 }.read_value(0).ok()?.int()
 }
 
-fn understand(value: &Value) -> Result<Message, Fault> {
-    let refused = |id, why| Fault::Refused { id, why };
-    let Value::Array(parts) = value else { return Err(refused(None, "no message")) };
+fn interpret(value: &Value) -> Result<Message, DecodeError> {
+    let invalid = |id, reason| DecodeError::Invalid { id, reason };
+    let Value::Array(parts) = value else { return Err(invalid(None, "no message")) };
     match parts.as_slice() {
         [Value::Int(0), Value::Int(id), method, Value::Array(params)] => {
             let method = method.bytes().and_then(|m| std::str::from_utf8(m).ok());
-            let method = method.ok_or(refused(Some(*id), "no method"))?;
+            let method = method.ok_or(invalid(Some(*id), "no method"))?;
             if method == "check" {
-                return Ok(Message::Check { id: *id });
+                return Ok(Message::HealthCheck { id: *id });
             }
-            let ask = ask(params).map_err(|why| refused(Some(*id), why))?;
-            Ok(Message::Request { id: *id, method: method.to_owned(), ask: Box::new(ask) })
+            let request = parse_request(params).map_err(|reason| invalid(Some(*id), reason))?;
+            Ok(Message::Request { id: *id, method: method.to_owned(), request: Box::new(request) })
         }
-        [Value::Int(0), Value::Int(id), ..] => Err(refused(Some(*id), "no request")),
+        [Value::Int(0), Value::Int(id), ..] => Err(invalid(Some(*id), "no request")),
         [Value::Int(2), method, Value::Array(ids)] if method.bytes() == Some(b"interrupt") => {
-            Ok(Message::Interrupt { ids: ids.iter().filter_map(Value::int).collect() })
+            Ok(Message::Cancel { ids: ids.iter().filter_map(Value::int).collect() })
         }
-        _ => Err(refused(None, "no message")),
+        _ => Err(invalid(None, "no message")),
     }
 }
 
-fn ask(params: &[Value]) -> Result<Request, &'static str> {
+fn parse_request(params: &[Value]) -> Result<Request, &'static str> {
     let (fields, body) = match params {
         [Value::Map(fields)] => (fields, &[][..]),
         [Value::Map(fields), Value::Nil] => (fields, &[][..]),
         [Value::Map(fields), Value::Bytes(body)] => (fields, *body),
         _ => return Err("no fields"),
     };
-    let twice = |i: usize| fields[..i].iter().any(|(name, _)| name.bytes() == fields[i].0.bytes());
-    if body.len() > MOST_BODY || (0..fields.len()).any(twice) {
+    let is_duplicate = |i: usize| fields[..i].iter().any(|(name, _)| name.bytes() == fields[i].0.bytes());
+    if body.len() > MAX_BODY_BYTES || (0..fields.len()).any(is_duplicate) {
         return Err("too long a body, or a field twice");
     }
-    let mut ask = Request { body: body.to_vec(), ..Request::default() };
+    let mut request = Request { body: body.to_vec(), ..Request::default() };
     let (mut part, mut group, mut timeout) = (None, None, None);
     for (name, value) in fields {
         let (Some(name), Some(value)) = (name.bytes(), value.bytes()) else {
             return Err("a field is no text");
         };
         match name {
-            b"req" => (ask.request_id, ask.request_number) = hex(value).ok_or("no req")?,
-            b"subject" => (ask.object_name, ask.object) = hex(value).ok_or("no subject")?,
+            b"req" => (request.request_id, request.request_number) = parse_hex_id(value).ok_or("no req")?,
+            b"subject" => (request.object_name, request.object) = parse_hex_id(value).ok_or("no subject")?,
             b"slice" => part = digits::<u32>(value),
             b"set" => group = digits(value),
             b"timeout" => timeout = digits(value).filter(|ms| *ms > 0),
-            b"need" => ask.size_kb = Some(size(value).ok_or("no need")?),
-            b"seen" => ask.client_etag = Some(hex(value).ok_or("no seen")?.0),
-            b"opkey" => ask.idempotency_key = Some(mark(value).ok_or("no opkey")?),
+            b"need" => request.size_kb = Some(parse_size_kb(value).ok_or("no need")?),
+            b"seen" => request.client_etag = Some(parse_hex_id(value).ok_or("no seen")?.0),
+            b"opkey" => request.idempotency_key = Some(parse_idempotency_key(value).ok_or("no opkey")?),
             b"resent" if value != b"1" => return Err("no resent"),
             _ => {}
         }
     }
-    ask.part = part.ok_or("no slice")?.into();
-    ask.group = group.ok_or("no set")?;
-    ask.timeout_ms = timeout.ok_or("no timeout")?;
-    if ask.request_id.is_empty() || ask.object_name.is_empty() {
+    request.part = part.ok_or("no slice")?.into();
+    request.group = group.ok_or("no set")?;
+    request.timeout_ms = timeout.ok_or("no timeout")?;
+    if request.request_id.is_empty() || request.object_name.is_empty() {
         return Err("no req or subject");
     }
-    Ok(ask)
+    Ok(request)
 }
 
 /// A size in KB: digits with a point at most, and more than nothing.
-fn size(value: &[u8]) -> Option<f64> {
-    let plain = value.iter().all(|b| b.is_ascii_digit() || *b == b'.');
-    number(value).filter(|kb: &f64| plain && kb.is_finite() && *kb > 0.0)
+fn parse_size_kb(value: &[u8]) -> Option<f64> {
+    let valid = value.iter().all(|b| b.is_ascii_digit() || *b == b'.');
+    number(value).filter(|kb: &f64| valid && kb.is_finite() && *kb > 0.0)
 }
 
 /// A mark goes on unchanged in a head's line, which it must not break.
-fn mark(value: &[u8]) -> Option<String> {
-    let plain = (1..=MOST_MARK).contains(&value.len()) && value.iter().all(u8::is_ascii_graphic);
-    plain.then(|| String::from_utf8_lossy(value).into_owned())
+fn parse_idempotency_key(value: &[u8]) -> Option<String> {
+    let valid =
+        (1..=MAX_IDEMPOTENCY_KEY_BYTES).contains(&value.len()) && value.iter().all(u8::is_ascii_graphic);
+    valid.then(|| String::from_utf8_lossy(value).into_owned())
 }
 
-fn hex(value: &[u8]) -> Option<(String, u64)> {
+fn parse_hex_id(value: &[u8]) -> Option<(String, u64)> {
     let text = std::str::from_utf8(value).ok().filter(|t| t.len() == 16)?;
-    let plain = text.bytes().all(|b| b.is_ascii_hexdigit());
-    plain.then(|| u64::from_str_radix(text, 16).ok()).flatten().map(|n| (text.to_owned(), n))
+    let valid = text.bytes().all(|b| b.is_ascii_hexdigit());
+    valid.then(|| u64::from_str_radix(text, 16).ok()).flatten().map(|n| (text.to_owned(), n))
 }
 
 /// How an answer names what became of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum ErrorCode {
     Backoff,
     Lost,
     Invalid,
@@ -289,7 +290,7 @@
     }
 }
 
-fn answer(id: u64) -> Vec<u8> {
+fn encode_response_start(id: u64) -> Vec<u8> {
     let mut out = Vec::with_capacity(48);
     out.extend_from_slice(&[0x94, 0x01]);
     push_int(&mut out, id);
@@ -297,22 +298,22 @@
 }
 
 /// What stands before and after the body of a served answer.
-pub fn served(id: u64, len: usize, current: bool) -> (Vec<u8>, Vec<u8>) {
-    let mut head = answer(id);
+pub fn encode_served(id: u64, len: usize, not_modified: bool) -> (Vec<u8>, Vec<u8>) {
+    let mut head = encode_response_start(id);
     head.extend_from_slice(&[0xc0, 0x92, 0xc6]);
     head.extend_from_slice(&(len as u32).to_be_bytes());
     let mut tail = Vec::new();
-    push_fields(&mut tail, if current { &[("current", "1")] } else { &[] });
+    push_fields(&mut tail, if not_modified { &[("current", "1")] } else { &[] });
     (head, tail)
 }
 
-pub fn unserved(id: u64, word: Word, fields: &[(&str, &str)]) -> Vec<u8> {
-    let mut out = answer(id);
+pub fn encode_error(id: u64, code: ErrorCode, fields: &[(&str, &str)]) -> Vec<u8> {
+    let mut out = encode_response_start(id);
     out.push(0x92);
-    let name = match word {
-        Word::Backoff => "Backoff",
-        Word::Lost => "Lost",
-        Word::Invalid => "Invalid",
+    let name = match code {
+        ErrorCode::Backoff => "Backoff",
+        ErrorCode::Lost => "Lost",
+        ErrorCode::Invalid => "Invalid",
     };
     push_str(&mut out, name);
     push_fields(&mut out, fields);
@@ -320,8 +321,8 @@
     out
 }
 
-pub fn checked(id: u64, ready: bool) -> Vec<u8> {
-    let mut out = answer(id);
+pub fn encode_health(id: u64, ready: bool) -> Vec<u8> {
+    let mut out = encode_response_start(id);
     out.extend_from_slice(&[0xc0, 0x92, if ready { 0xc3 } else { 0xc2 }]);
     push_fields(&mut out, &[]);
     out
--- a/gateway/src/sites.rs
+++ b/gateway/src/sites.rs
@@ -60,13 +60,13 @@
     while let Ok(frame) = frames.recv().await {
         let write = async {
             quic::write(stream, &frame.bytes).await.ok()?;
-            for slice in frame.body.iter().flat_map(Body::slices) {
+            for slice in frame.body.iter().flat_map(Body::chunks) {
                 quic::write(stream, slice).await.ok()?;
             }
             Some(())
         };
         let written = match frame.until {
-            Some(until) => clock.by(until, write).await.flatten(),
+            Some(until) => clock.timeout_at(until, write).await.flatten(),
             None => write.await,
         };
         if written.is_none() {
--- a/gateway/src/sites/copies.rs
+++ b/gateway/src/sites/copies.rs
@@ -219,7 +219,7 @@
             let moved = self.moved.listen();
             let at = self.node.borrow().next_wake().max(now + LEAST_SLEEP);
             self.sleeps_until.set(at);
-            self.means.clock.by(at, moved).await;
+            self.means.clock.timeout_at(at, moved).await;
         }
     }
 
@@ -279,7 +279,7 @@
             let keys = self.keys.borrow().clone();
             let address = self.file.holders[holder].address;
             let dial = self.endpoint.dial(&keys, address, &self.site);
-            match clock.within(CONNECTS, dial).await {
+            match clock.timeout(CONNECTS, dial).await {
                 Some(Ok(connection)) => {
                     self.say_to(holder, &connection).await;
                     quic::close(&connection, "renewed");
@@ -300,7 +300,7 @@
     /// Until the connection is of no use.
     async fn say_to(&self, holder: usize, connection: &Connection) {
         let clock = self.means.clock;
-        let Some(Ok((mut send, _recv))) = clock.within(CONNECTS, connection.open_bi()).await else { return };
+        let Some(Ok((mut send, _recv))) = clock.timeout(CONNECTS, connection.open_bi()).await else { return };
         _ = send.set_priority(1);
         let greeting = framed(&self.node.borrow().greeting());
         if quic::write(&mut send, &greeting).await.is_err() {
@@ -390,7 +390,7 @@
             Ok((connection, recv, first))
         };
         // One that gave up before it said anything is no sign of harm.
-        let Some(begun) = clock.within(CONNECTS * 2.0, begun).await else { return Ok(()) };
+        let Some(begun) = clock.timeout(CONNECTS * 2.0, begun).await else { return Ok(()) };
         let (connection, mut recv, first) = begun?;
         let known = self.peers.borrow().len();
         let (holder, id) = self.tell(|node, now| node.greeted(now, &first))?;
--- a/gateway/src/sites/far.rs
+++ b/gateway/src/sites/far.rs
@@ -146,7 +146,7 @@
             self.tell(|_, _| ());
             let poked = self.poke.listen();
             let wake = self.core.borrow().next_wake().max(self.means.clock.now() + LEAST_SLEEP);
-            self.means.clock.by(wake, poked).await;
+            self.means.clock.timeout_at(wake, poked).await;
         }
     }
 
@@ -278,7 +278,7 @@
                 Do::HangUp { call } => {
                     self.calls.borrow_mut().remove(&call);
                     // It fails only when the dispatcher has ended, and with it the process.
-                    _ = self.means.dispatcher.try_send(Event::Cancelled { client: self.key, id: call });
+                    _ = self.means.dispatcher.try_send(Event::Cancelled { responder: self.key, id: call });
                     let answer = Arc::new(Answer { ending: Ending::Aborted, body: Vec::new() });
                     self.core.borrow_mut().ended(now, call, &answer);
                 }
@@ -330,7 +330,13 @@
         let Some(client) = self.itself.upgrade() else { return };
         self.means.counters.add("far requests");
         // It fails only when the dispatcher has ended, and with it the process.
-        _ = self.means.dispatcher.try_send(Event::Request { client, id: call, method, request: ask, at });
+        _ = self.means.dispatcher.try_send(Event::Request {
+            responder: client,
+            id: call,
+            method,
+            request: ask,
+            received_at: at,
+        });
     }
 
     fn control(&self, session: SessionId, frame: Frame) {
@@ -366,14 +372,14 @@
             Bytes::Body(body) => frame.body = Some(body),
             Bytes::None => {}
         }
-        (frame.until, frame._held) = (until, Some(CountGuard::new(&self.means.counters.unwritten)));
+        (frame.until, frame._held) = (until, Some(CountGuard::new(&self.means.counters.unwritten_answers)));
         self.write(session, number, frame, true);
     }
 
     /// What the dispatcher says of a call; each has one answer.
     fn ended(&self, call: Call, ending: Ending, body: Option<Body>, until: Option<Time>) {
         let Some(once) = self.calls.borrow_mut().remove(&call) else { return };
-        let kept = body.iter().filter(|_| once).flat_map(Body::slices).flatten().copied().collect();
+        let kept = body.iter().filter(|_| once).flat_map(Body::chunks).flatten().copied().collect();
         let answer = Arc::new(Answer { ending, body: kept });
         let to = self.core.borrow_mut().ended(self.means.clock.now(), call, &answer);
         if let Some((session, number)) = to {
@@ -406,7 +412,7 @@
                 _ => Err("its first word is no hello".to_owned()),
             }
         };
-        let (connection, mut send, mut recv, hello) = match clock.within(HELLO, begun).await {
+        let (connection, mut send, mut recv, hello) = match clock.timeout(HELLO, begun).await {
             Some(Ok(begun)) => begun,
             other => {
                 let why = other
@@ -465,7 +471,7 @@
     async fn stream(self: Rc<Self>, session: SessionId, mut send: SendStream, mut recv: RecvStream) {
         let clock = self.means.clock;
         let greeted = || self.sessions.borrow().get(&session).is_some_and(|s| s.greeted.get());
-        let request = match clock.within(WHOLE, quic::read(&mut recv)).await {
+        let request = match clock.timeout(WHOLE, quic::read(&mut recv)).await {
             Some(Ok(Said::Request(request))) if greeted() => request,
             _ => {
                 self.means.counters.add("far streams without a request");
--- a/gateway/src/sites/near.rs
+++ b/gateway/src/sites/near.rs
@@ -113,7 +113,7 @@
             let poked = self.poke.listen();
             // Whatever the core asks for, the others of the process have their turn.
             let wake = self.core.borrow().next_wake().max(self.means.clock.now() + LEAST_SLEEP);
-            _ = self.means.clock.by(wake, poked).await;
+            _ = self.means.clock.timeout_at(wake, poked).await;
         }
     }
 
@@ -131,8 +131,8 @@
         let want = Want {
             importance: self.file.importance(&job.rule),
             once: job.unrepeatable,
-            need: job.request.size_kb.filter(|_| !job.write),
-            body: if job.write { job.request.body.len() } else { 0 },
+            need: job.request.size_kb.filter(|_| !job.is_write),
+            body: if job.is_write { job.request.body.len() } else { 0 },
             until: job.deadline,
             wanted: job.sla_deadline,
             path: &job.request.via,
@@ -143,7 +143,7 @@
         self.tell(|_, _| ());
         // The sender goes only with its word or with the guard.
         let mut ended = told.recv().await.unwrap_or_else(|_| Ends::FarLost.into());
-        ended.at = Some(self.means.clock.now());
+        ended.finished_at = Some(self.means.clock.now());
         self.means.counters.record_end(ended.end);
         ended
     }
@@ -206,7 +206,7 @@
             End::Lost => Ends::FarLost.into(),
             End::TimedOut => Ends::Late.into(),
         };
-        ended.waited = wait.first;
+        ended.first_byte_wait = wait.first;
         _ = wait.tell.try_send(ended);
     }
 
@@ -241,8 +241,8 @@
             part: ask.part,
             group: ask.group.into(),
             need: ask.size_kb,
-            seen: ask.client_etag.clone().filter(|_| !job.write),
-            body: if job.write { ask.body.clone() } else { Vec::new() },
+            seen: ask.client_etag.clone().filter(|_| !job.is_write),
+            body: if job.is_write { ask.body.clone() } else { Vec::new() },
             left_us: left.as_micros(),
             oldest_us: job.fill.as_ref().and_then(|f| f.max_age).map(Span::as_micros),
             path,
@@ -341,14 +341,14 @@
                 return skip(recv, length).await;
             }
             let before = self.means.clock.now();
-            body = self.means.pool.body(length).await;
+            body = self.means.pool.allocate(length).await;
             own = self.means.clock.now() - before;
             let Some(body) = &mut body else {
                 self.tell(|core, now| turned(core, now, End::Lost));
                 return skip(recv, length).await;
             };
             while !body.is_full() {
-                match recv.read(body.space()).await {
+                match recv.read(body.unfilled()).await {
                     Ok(Some(n)) if n > 0 => {
                         body.advance(n);
                         let now = self.means.clock.now();
--- a/gateway/tests/closing.rs
+++ b/gateway/tests/closing.rs
@@ -9,7 +9,7 @@
 use kelpcart::Span;
 use kelpcart_gateway::Tasks;
 use kelpcart_gateway::buffers::Pool;
-use kelpcart_gateway::clients::Front;
+use kelpcart_gateway::clients::Frontend;
 use kelpcart_gateway::clock::Clock;
 use kelpcart_gateway::counters::Counters;
 use kelpcart_gateway::dispatch_api::{Event, Request, Responder, ResponderKeys, Service};
@@ -22,7 +22,7 @@
 const PATIENCE: Span = Span::from_millis(20_000);
 
 struct World {
-    front: Front,
+    front: Frontend,
     events: Receiver<Event>,
     address: SocketAddr,
     pool: Rc<Pool>,
@@ -38,13 +38,15 @@
 
 impl World {
     async fn event(&self) -> Event {
-        self.clock.within(PATIENCE, self.events.recv()).await.expect("an event").unwrap()
+        self.clock.timeout(PATIENCE, self.events.recv()).await.expect("an event").unwrap()
     }
 
     async fn asked(&self) -> Asked {
         loop {
             match self.event().await {
-                Event::Request { client, id, request: ask, .. } => return Asked { caller: client, id, ask },
+                Event::Request { responder: client, id, request: ask, .. } => {
+                    return Asked { caller: client, id, ask };
+                }
                 Event::Disconnected { .. } => {}
                 _ => panic!("something else came"),
             }
@@ -57,8 +59,8 @@
     }
 
     async fn serve(&self, asked: &Asked, len: usize) {
-        let mut body = self.pool.body(len).await.unwrap();
-        body.fill(&vec![7; len]);
+        let mut body = self.pool.allocate(len).await.unwrap();
+        body.copy_from(&vec![7; len]);
         asked.caller.serve(asked.id, Some(body), self.clock.now() + PATIENCE);
     }
 
@@ -116,7 +118,7 @@
     async fn take(&mut self, n: usize) -> Vec<u8> {
         let mut bytes = vec![0; n];
         let read = self.stream.read_exact(&mut bytes);
-        self.clock.within(PATIENCE, read).await.expect("bytes").unwrap();
+        self.clock.timeout(PATIENCE, read).await.expect("bytes").unwrap();
         bytes
     }
 
@@ -124,7 +126,7 @@
     async fn is_ended(&mut self) -> bool {
         let mut byte = [0];
         let read = self.stream.read(&mut byte);
-        matches!(self.clock.within(PATIENCE, read).await.expect("an end"), Ok(0))
+        matches!(self.clock.timeout(PATIENCE, read).await.expect("an end"), Ok(0))
     }
 
     fn leave(&self) {
@@ -138,16 +140,16 @@
     let address = listener.get_ref().local_addr().unwrap();
     let (dispatcher, events) = async_channel::unbounded();
     let (clock, pool) = (Clock::start(), Pool::new(64 << 20));
-    let front = Front {
+    let front = Frontend {
         tasks,
         clock,
         counters: Rc::<Counters>::default(),
         pool: Rc::clone(&pool),
         dispatcher,
-        most,
+        max_clients: most,
         connected: Rc::default(),
         keys: ResponderKeys::default(),
-        ending: Rc::default(),
+        shutdown_state: Rc::default(),
     };
     tasks.spawn(front.clone().accept(listener)).detach();
     // In the queue of tasks with the front's: they take turns.
@@ -162,7 +164,7 @@
                 self.clock.sleep(Span::from_millis(1)).await;
             }
         };
-        self.clock.within(PATIENCE, closed).await.expect("the front never closed");
+        self.clock.timeout(PATIENCE, closed).await.expect("the front never closed");
     }
 
     /// Lets everything run that can.
@@ -215,12 +217,12 @@
         let asked = world.asked().await;
         world.serve(&asked, 3_000).await;
         // The answer is in the machine's hands and not read yet.
-        while world.front.counters.unwritten.get() > 0 {
+        while world.front.counters.unwritten_answers.get() > 0 {
             world.settle().await;
         }
         world.front.close();
         // Writes as long as the connection takes it: the first of these may come before the close.
-        while world.front.connected.borrow().values().any(|c| c.is_open()) {
+        while world.front.connected.borrow().values().any(|c| c.is_writable()) {
             future::yield_now().await;
         }
         client.ask(3);
@@ -312,7 +314,9 @@
         let open = world.asked().await;
         client.write(&[0xc1; 8]);
         // What is open is given up, with an answer that promises nothing.
-        assert!(matches!(world.event().await, Event::Disconnected { client } if client == open.caller.key()));
+        assert!(
+            matches!(world.event().await, Event::Disconnected { responder: client } if client == open.caller.key())
+        );
         for id in 1..=n {
             let answer = client.take(SERVED + 230_000).await;
             assert_eq!(answer[..4], [0x94, 0x01, id, 0xc0]);
@@ -336,7 +340,7 @@
         world.clock.sleep(Span::from_millis(3_000)).await;
         client.leave();
         assert!(
-            matches!(world.event().await, Event::Disconnected { client } if client == asked.caller.key())
+            matches!(world.event().await, Event::Disconnected { responder: client } if client == asked.caller.key())
         );
     });
 }
--- a/gateway/tests/feed.rs
+++ b/gateway/tests/feed.rs
@@ -235,7 +235,7 @@
         let list: Vec<_> = names.iter().map(endpoint).collect();
         let event = json!({"no": 1, "roster": {"snapshot": whole, "endpoints": list}});
         match config::parse_event(&event, &Names::default()).unwrap().1 {
-            Some(DiscoveryEvent::Roster { whole, list }) => (whole, list),
+            Some(DiscoveryEvent::Roster { snapshot: whole, list }) => (whole, list),
             _ => unreachable!("a roster was written"),
         }
     };
--- a/gateway/tests/loopback.rs
+++ b/gateway/tests/loopback.rs
@@ -7,7 +7,7 @@
 use futures_lite::future;
 use kelpcart::Span;
 use kelpcart_gateway::buffers::{self, Pool};
-use kelpcart_gateway::caches::{Bounds, Caches};
+use kelpcart_gateway::caches::{Caches, ConnectionLimits};
 use kelpcart_gateway::clock::Clock;
 use kelpcart_gateway::config::{self, parse_event};
 use kelpcart_gateway::connection_end::ConnectionEnd;
@@ -386,9 +386,10 @@
 #[test]
 fn waits_for_the_gateways_own_means_are_not_the_caches() {
     let (edge, release) = Cache::holding(b"x");
-    let (clock, counters, pool) = (Clock::start(), Rc::default(), Pool::new(2 * buffers::SIZE));
+    let (clock, counters, pool) = (Clock::start(), Rc::default(), Pool::new(2 * buffers::BUFFER_BYTES));
     let second = Span::from_millis(1_000);
-    let bounds = Bounds { connect: second * 20.0, idle: second, most: 1 };
+    let bounds =
+        ConnectionLimits { connect_timeout: second * 20.0, idle_timeout: second, max_connections: 1 };
     let caches = Caches::new(clock, Rc::clone(&pool), counters, bounds);
     let entry = endpoint(&Member("e1", "box", edge.address), "up");
     let roster = json!({"no": 1, "roster": {"index": 0, "snapshot": true, "endpoints": [entry]}});
@@ -397,26 +398,26 @@
     else {
         panic!("no roster")
     };
-    caches.members(true, &list);
+    caches.update_members(true, &list);
     let hop = |wait: Span| {
         let (member, until, rule, ask) = ("e1".into(), clock.now() + wait, "segment".into(), Rc::default());
         let (begin_by, begun) = (until, Rc::default());
         let (write, once, fill) = (false, false, None);
-        caches.hop(HopRequest {
+        caches.run_hop(HopRequest {
             member,
             start_by: begin_by,
             started: begun,
             deadline: until,
             sla_deadline: until,
             rule,
-            write,
+            is_write: write,
             unrepeatable: once,
             request: ask,
             fill,
         })
     };
     // No room for the body: the answer is there, and the time runs out.
-    let held = block_on(pool.body(2 * buffers::SIZE));
+    let held = block_on(pool.allocate(2 * buffers::BUFFER_BYTES));
     release.send(()).unwrap();
     assert_eq!(block_on(hop(Span::from_millis(300))).end, ConnectionEnd::LateForRoom);
     drop(held);
--- a/gateway/tests/parsers.rs
+++ b/gateway/tests/parsers.rs
@@ -3,10 +3,10 @@
 use futures_lite::future::{block_on, poll_once};
 use kelpcart::Span;
 use kelpcart::interface::{CacheStatus, Fill, HopStatus};
-use kelpcart_gateway::buffers::{Pool, SIZE};
+use kelpcart_gateway::buffers::{BUFFER_BYTES, Pool};
 use kelpcart_gateway::connection_end::ConnectionEnd;
-use kelpcart_gateway::http::{self, Head, Request};
-use kelpcart_gateway::rpc::{self, Fault, Message, Word};
+use kelpcart_gateway::http::{self, Request, ResponseHead};
+use kelpcart_gateway::rpc::{self, DecodeError, ErrorCode, Message};
 use quickcheck::{Gen, QuickCheck, Testable};
 use std::sync::Arc;
 
@@ -42,14 +42,14 @@
 }
 
 /// Feeds bytes as they might come: in pieces, parsing as far as is whole each time.
-fn fed(bytes: &[u8], cuts: &[usize]) -> (Vec<Message>, Option<Fault>) {
+fn fed(bytes: &[u8], cuts: &[usize]) -> (Vec<Message>, Option<DecodeError>) {
     let (mut held, mut all, mut rest) = (Vec::new(), Vec::new(), bytes);
     let mut cuts = cuts.iter();
     while !rest.is_empty() {
         let n = cuts.next().map_or(rest.len(), |c| 1 + c % rest.len());
         held.extend_from_slice(&rest[..n]);
         rest = &rest[n..];
-        while let Some((message, len)) = match rpc::message(&held) {
+        while let Some((message, len)) = match rpc::decode_message(&held) {
             Ok(found) => found,
             Err((fault, len)) => {
                 assert!(len > 0 && len <= held.len());
@@ -71,16 +71,16 @@
         let stop = b"\x93\x02\xa9interrupt\x91\x01".to_vec();
         let bytes = [request(1, &body), check, stop, request(9, &[])].concat();
         let (all, fault) = fed(&bytes, &cuts);
-        let Message::Request { id: 1, method, ask } = &all[0] else { return false };
+        let Message::Request { id: 1, method, request } = &all[0] else { return false };
         assert_eq!(
-            (method.as_str(), ask.object, ask.part, ask.timeout_ms),
+            (method.as_str(), request.object, request.part, request.timeout_ms),
             ("segment", 0x7f3a9c21e0b4d655, 3, 1500)
         );
         assert_eq!(
-            (ask.request_id.as_str(), ask.size_kb, &ask.body),
+            (request.request_id.as_str(), request.size_kb, &request.body),
             ("9b1f03aa5c7e2d41", Some(412.5), &body)
         );
-        let rest = [Message::Check { id: 2 }, Message::Interrupt { ids: vec![1] }];
+        let rest = [Message::HealthCheck { id: 2 }, Message::Cancel { ids: vec![1] }];
         fault.is_none()
             && all[1..3] == rest
             && matches!(all[3], Message::Request { id: 9, .. })
@@ -108,7 +108,7 @@
 fn fields_that_the_protocol_does_not_allow_are_refused_by_their_message() {
     let refused = |fields: &[(&str, &str)], body: &[u8]| {
         let bytes = request_with(9, fields, body);
-        matches!(rpc::message(&bytes), Err((Fault::Refused { id: Some(9), .. }, n)) if n == bytes.len())
+        matches!(rpc::decode_message(&bytes), Err((DecodeError::Invalid { id: Some(9), .. }, n)) if n == bytes.len())
     };
     let bad = [
         ("req", "9b1f03aa5c7e2d4 9b1f03aa5c7e2d4g"),
@@ -142,21 +142,23 @@
 
 #[test]
 fn a_frame_beyond_its_bound_is_refused_before_it_is_whole() {
-    let long = request(7, &vec![0; rpc::MOST_FRAME + 1]);
-    assert_eq!(rpc::message(&long[..200]), Err((Fault::Damaged { id: Some(7) }, 200)));
+    let long = request(7, &vec![0; rpc::MAX_FRAME_BYTES + 1]);
+    assert_eq!(rpc::decode_message(&long[..200]), Err((DecodeError::Malformed { id: Some(7) }, 200)));
     let write = request(7, &vec![1; 48_000]);
-    assert!(matches!(rpc::message(&write), Ok(Some((Message::Request { .. }, n))) if n == write.len()));
+    assert!(
+        matches!(rpc::decode_message(&write), Ok(Some((Message::Request { .. }, n))) if n == write.len())
+    );
 }
 
 #[test]
 fn answers_are_written_as_the_protocol_shows() {
-    let (head, tail) = rpc::served(7, 5, false);
+    let (head, tail) = rpc::encode_served(7, 5, false);
     assert_eq!((head, tail), (b"\x94\x01\x07\xc0\x92\xc6\x00\x00\x00\x05".to_vec(), b"\x80".to_vec()));
-    assert_eq!(rpc::served(200, 0, true).1, b"\x81\xa7current\xa11");
-    let refused = rpc::unserved(70_000, Word::Backoff, &[("holdoff", "250")]);
+    assert_eq!(rpc::encode_served(200, 0, true).1, b"\x81\xa7current\xa11");
+    let refused = rpc::encode_error(70_000, ErrorCode::Backoff, &[("holdoff", "250")]);
     assert_eq!(refused, b"\x94\x01\xce\x00\x01\x11\x70\x92\xa7Backoff\x81\xa7holdoff\xa3250\xc0");
-    assert_eq!(rpc::unserved(200, Word::Lost, &[]), b"\x94\x01\xcd\x00\xc8\x92\xa4Lost\x80\xc0");
-    assert_eq!(rpc::checked(8, true), b"\x94\x01\x08\xc0\x92\xc3\x80");
+    assert_eq!(rpc::encode_error(200, ErrorCode::Lost, &[]), b"\x94\x01\xcd\x00\xc8\x92\xa4Lost\x80\xc0");
+    assert_eq!(rpc::encode_health(8, true), b"\x94\x01\x08\xc0\x92\xc3\x80");
 }
 
 const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nETag: 4be0\r\nContent-Length: 12\r\nx-result: via_origin\r\n\
@@ -164,21 +166,29 @@
 
 #[test]
 fn heads_are_the_same_however_they_are_split() {
-    let (whole, len) = http::head(HEAD).unwrap().unwrap();
+    let (whole, len) = http::parse_head(HEAD).unwrap().unwrap();
     let stats = Some(b"inflight:7;x1:0.61".to_vec());
     let (note, waited) = (Some(CacheStatus::FilledByOrigin), Some(Span::from_millis(31)));
-    let told = Head { status: 200, length: 12, declined: false, close: false, note, waited, stats };
+    let told = ResponseHead {
+        status: 200,
+        content_length: 12,
+        declined: false,
+        close: false,
+        cache_status: note,
+        first_byte_wait: waited,
+        load_report: stats,
+    };
     assert_eq!((whole, len), (told, HEAD.len()));
-    assert!((0..HEAD.len()).all(|n| http::head(&HEAD[..n]) == Ok(None)));
+    assert!((0..HEAD.len()).all(|n| http::parse_head(&HEAD[..n]) == Ok(None)));
     // Interim ones before it belong to it; the connection is not to be used again.
     let interim = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 P\r\n\r\n";
     let both = [interim, HEAD].concat();
-    let (head, len) = http::head(&both).unwrap().unwrap();
-    assert_eq!((head.status, head.length, head.close, len), (200, 12, true, both.len()));
-    assert!((0..both.len()).all(|n| http::head(&both[..n]) == Ok(None)));
-    assert!(http::head(&interim.repeat(http::MOST_HEAD / 32)).is_err());
+    let (head, len) = http::parse_head(&both).unwrap().unwrap();
+    assert_eq!((head.status, head.content_length, head.close, len), (200, 12, true, both.len()));
+    assert!((0..both.len()).all(|n| http::parse_head(&both[..n]) == Ok(None)));
+    assert!(http::parse_head(&interim.repeat(http::MAX_HEAD_BYTES / 32)).is_err());
     let full = b"HTTP/1.1 503 Full\r\nX-Declined: 1\r\nContent-Length: 0\r\n\r\n";
-    assert!(http::head(full).unwrap().unwrap().0.declined);
+    assert!(http::parse_head(full).unwrap().unwrap().0.declined);
 }
 
 #[test]
@@ -189,7 +199,7 @@
             let at = at % HEAD.len();
             bytes[at] = with;
         }
-        match http::head(&bytes) {
+        match http::parse_head(&bytes) {
             Ok(Some((head, len))) => len <= bytes.len() && (200..600).contains(&head.status),
             Ok(None) | Err(_) => true,
         }
@@ -207,12 +217,12 @@
         "HTTP/1.1 200 OK\r\nContent-Length: +4",
         "HTTP/1.1 101 Switching Protocols\r\nContent-Length: 0",
     ] {
-        assert!(http::head(format!("{bad}\r\n\r\n").as_bytes()).is_err(), "{bad}");
+        assert!(http::parse_head(format!("{bad}\r\n\r\n").as_bytes()).is_err(), "{bad}");
         // All but a missing length is told by its line, whatever still comes.
         let last = bad == "HTTP/1.1 200 OK";
-        assert_eq!(http::head(format!("{bad}\r\n").as_bytes()).is_err(), !last, "{bad}");
+        assert_eq!(http::parse_head(format!("{bad}\r\n").as_bytes()).is_err(), !last, "{bad}");
     }
-    assert!(http::head(&[HEAD[..20].to_vec(), vec![b'x'; http::MOST_HEAD]].concat()).is_err());
+    assert!(http::parse_head(&[HEAD[..20].to_vec(), vec![b'x'; http::MAX_HEAD_BYTES]].concat()).is_err());
 }
 
 #[test]
@@ -220,7 +230,7 @@
     for (report, value) in
         [("inflight:7;x1:0.61", Some(0.61)), ("x1:nan", None), ("x11:2;x:1", None), ("", None)]
     {
-        assert_eq!(http::stat(report.as_bytes(), "x1"), value);
+        assert_eq!(http::load_value(report.as_bytes(), "x1"), value);
     }
 }
 
@@ -243,13 +253,13 @@
             rule: "segment",
             object: "7f3a9c21e0b4d655",
             part: 3,
-            trace: "9b1f03aa5c7e2d41",
+            trace_id: "9b1f03aa5c7e2d41",
             host: "127.0.0.1:1",
-            patience: Span::from_micros(900_999),
+            time_limit: Span::from_micros(900_999),
             fill: Some(&fill),
-            have: Some("4be0"),
-            mark: Some("66807aca08cfaa19"),
-            body: None,
+            etag: Some("4be0"),
+            idempotency_key: Some("66807aca08cfaa19"),
+            content_length: None,
         };
         String::from_utf8(request.encode()).unwrap()
     };
@@ -295,23 +305,23 @@
 
 #[test]
 fn the_pool_hands_out_no_more_than_its_bound_and_makes_the_rest_wait() {
-    let pool = Pool::new(10 * SIZE);
-    assert!(block_on(pool.body(10 * SIZE + 1)).is_none());
+    let pool = Pool::new(10 * BUFFER_BYTES);
+    assert!(block_on(pool.allocate(10 * BUFFER_BYTES + 1)).is_none());
     check::<fn(Vec<usize>) -> bool>(|lens: Vec<usize>| {
-        let pool = Pool::new(10 * SIZE);
+        let pool = Pool::new(10 * BUFFER_BYTES);
         let mut held = Vec::new();
-        for len in lens.into_iter().map(|n| n % (10 * SIZE)) {
-            let fits = pool.used() + len.div_ceil(SIZE) * SIZE <= 10 * SIZE;
-            let body = block_on(poll_once(pool.body(len)));
+        for len in lens.into_iter().map(|n| n % (10 * BUFFER_BYTES)) {
+            let fits = pool.used_bytes() + len.div_ceil(BUFFER_BYTES) * BUFFER_BYTES <= 10 * BUFFER_BYTES;
+            let body = block_on(poll_once(pool.allocate(len)));
             assert_eq!(body.is_some(), fits);
-            assert!(!pool.is_short() && pool.used() <= 10 * SIZE);
+            assert!(!pool.has_waiters() && pool.used_bytes() <= 10 * BUFFER_BYTES);
             match body {
                 Some(body) => held.push(body.unwrap()),
                 None => drop(held.pop()),
             }
         }
         held.clear();
-        pool.used() == 0
+        pool.used_bytes() == 0
     });
 }
 
@@ -319,16 +329,16 @@
 fn a_body_gives_back_what_it_was_filled_with() {
     check::<fn(Vec<u8>, Vec<usize>) -> bool>(|bytes: Vec<u8>, cuts: Vec<usize>| {
         let bytes: Vec<u8> =
-            bytes.into_iter().cycle().take(if cuts.is_empty() { 0 } else { 3 * SIZE + 7 }).collect();
-        let pool = Pool::new(10 * SIZE);
-        let mut body = block_on(pool.body(bytes.len())).unwrap();
+            bytes.into_iter().cycle().take(if cuts.is_empty() { 0 } else { 3 * BUFFER_BYTES + 7 }).collect();
+        let pool = Pool::new(10 * BUFFER_BYTES);
+        let mut body = block_on(pool.allocate(bytes.len())).unwrap();
         let (mut rest, mut cuts) = (&bytes[..], cuts.into_iter().cycle());
         while !rest.is_empty() {
             let n = 1 + cuts.next().unwrap() % rest.len();
-            assert_eq!(body.fill(&rest[..n]), n);
+            assert_eq!(body.copy_from(&rest[..n]), n);
             rest = &rest[n..];
         }
         // Nothing beyond its length gets in.
-        body.is_full() && body.fill(b"more") == 0 && body.slices().collect::<Vec<_>>().concat() == bytes
+        body.is_full() && body.copy_from(b"more") == 0 && body.chunks().collect::<Vec<_>>().concat() == bytes
     });
 }
--- a/routes/src/fleet.rs
+++ b/routes/src/fleet.rs
@@ -18,7 +18,7 @@
     pub fn of(config: &Config) -> Fleet {
         let mut members: BTreeMap<String, Member> = BTreeMap::new();
         for event in &config.initial_events {
-            let DiscoveryEvent::Roster { whole, list } = event else { continue };
+            let DiscoveryEvent::Roster { snapshot: whole, list } = event else { continue };
             if *whole {
                 members.clear();
             }
