--- a/feed/examples/hub_key.rs
+++ b/feed/examples/hub_key.rs
@@ -1,7 +1,7 @@
 //! Prints a pair of keys for a hub, `secret` for its own file and `public` for all files: `cargo run -p kelpcart-feed
 //! --example hub-key`. With a secret (32 bytes in hex digits) it prints that one's pair.
 
-use kelpcart_feed::settings::hex;
+use kelpcart_feed::settings::decode_hex;
 use ring::rand::{SecureRandom, SystemRandom};
 use ring::signature::{Ed25519KeyPair, KeyPair};
 
@@ -9,7 +9,7 @@
     let mut secret = [0; 32];
     match std::env::args().nth(1) {
         Some(told) => {
-            let told = hex(&told).and_then(|s| s.try_into().ok());
+            let told = decode_hex(&told).and_then(|s| s.try_into().ok());
             secret = told.ok_or("32 bytes in hex digits are wanted")?;
         }
         None => SystemRandom::new().fill(&mut secret).map_err(|_| "the machine gives no random bytes")?,
--- a/feed/src/hub.rs
+++ b/feed/src/hub.rs
@@ -2,13 +2,13 @@
 //! gateway of each site, answers those who were away, and gathers who has confirmed. Must never sign a range of which it
 //! does not know every event, nor answer faster than its pace.
 
-use crate::common::{self, Bucket, Set, Signs, short};
-use crate::compose::{Composer, Head};
+use crate::compose::{Composer, LiveHeader};
+use crate::config::{self, Config, SignedKind, TokenBucket, fold_to_u32};
 use crate::log::{Log, Seen};
-use crate::report::{Sites, Taken};
-use crate::settings::{self, MOST_SITES};
-use crate::wire::{Bundle, Fetch, Follow, Passed, Range, Report, Said};
-use crate::{Counts, Missing, Unusable};
+use crate::report::{Outcome, SiteTracker};
+use crate::settings::{self, MAX_SITES};
+use crate::wire::{Bundle, LiveBundle, Payload, Range, Report, RetransmitRequest, Subscribe};
+use crate::{Counts, EventError, Unacked};
 use kelpcart::{Span, Time};
 use prost::Message;
 use ring::signature::Ed25519KeyPair;
@@ -18,101 +18,101 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Who has not said for so long that it follows is sent nothing more.
-const FOLLOWS_FOR: Span = Span::from_millis(3_200);
+const SUBSCRIPTION_TTL: Span = Span::from_millis(3_200);
 /// One that was heard so long ago gives way to another of its site.
-const GIVES_WAY: Span = Span::from_millis(1_500);
-const AT_A_SITE: usize = 6;
+const REPLACEABLE_AFTER: Span = Span::from_millis(1_500);
+const MAX_SUBSCRIBERS_PER_SITE: usize = 6;
 /// Followers of before stay for as long as there is room: what they said must not come again.
-const MOST_FOLLOWERS: usize = 2 * MOST_SITES;
+const MAX_SUBSCRIBERS: usize = 2 * MAX_SITES;
 /// Bundles in answer to one site: so many at once, then so many a second.
-const FOUND: f64 = 4.0;
+const RETRANSMITS_PER_S: f64 = 4.0;
 /// Bundles of one period are so far apart.
-const SPACED: Span = Span::from_millis(20);
+const BUNDLE_SPACING: Span = Span::from_millis(20);
 /// A list service that told nothing for so long: another hub may know more.
-const STALE: Span = Span::from_millis(2_000);
+const LIST_STALE_AFTER: Span = Span::from_millis(2_000);
 /// Sites have reported by then on a bundle that asks: what they confirmed is told to the other hubs.
-const GATHER_AFTER: Span = Span::from_millis(550);
-const GATHER_EVERY: Span = Span::from_millis(1_000);
+const SUMMARY_DELAY: Span = Span::from_millis(550);
+const SUMMARY_INTERVAL: Span = Span::from_millis(1_000);
 
-struct Follower {
+struct Subscriber {
     site: String,
-    run: u32,
-    number: u64,
-    at: Time,
-    ends: bool,
+    run_id: u32,
+    seq: u64,
+    renewed_at: Time,
+    ended: bool,
 }
 
-impl Follower {
+impl Subscriber {
     fn is_live(&self, now: Time) -> bool {
-        !self.ends && now - self.at < FOLLOWS_FOR
+        !self.ended && now - self.renewed_at < SUBSCRIPTION_TTL
     }
 }
 
 pub struct Hub {
-    set: Arc<Set>,
-    me: usize,
-    id: u32,
-    run: u32,
+    config: Arc<Config>,
+    index: usize,
+    hub_id: u32,
+    run_id: u32,
     signer: Ed25519KeyPair,
     composer: Composer,
-    followers: BTreeMap<SocketAddr, Follower>,
-    secret: u64,
-    pub sites: Sites,
+    subscribers: BTreeMap<SocketAddr, Subscriber>,
+    token_secret: u64,
+    pub sites: SiteTracker,
     log: Log,
     seen: Seen,
     /// By hub, when it was heard.
-    others: Vec<Option<Time>>,
+    last_heard: Vec<Option<Time>>,
     /// By stream, the hub whose bundles are handed on while this one lacks it.
-    via: Vec<Option<usize>>,
-    budgets: BTreeMap<String, Bucket>,
-    period: Time,
+    relayed_hub: Vec<Option<usize>>,
+    budgets: BTreeMap<String, TokenBucket>,
+    next_period: Time,
     /// The next bundle of a period that does not fit one.
-    spaced: Option<Time>,
-    asks: bool,
-    gather: Time,
-    gathered: u64,
+    next_bundle: Option<Time>,
+    wants_reports: bool,
+    next_summary: Time,
+    summary_seq: u64,
     /// For who begins to follow.
-    latest: Option<Vec<u8>>,
-    pub said: VecDeque<(SocketAddr, Said)>,
+    latest_bundle: Option<Vec<u8>>,
+    pub outbox: VecDeque<(SocketAddr, Payload)>,
 }
 
 impl Hub {
     /// `None`: its secret is not that of its public key.
     pub fn new(
-        set: Arc<Set>,
-        me: usize,
+        config: Arc<Config>,
+        index: usize,
         control: &settings::Control,
-        run: u64,
+        run_id: u64,
         seed: u64,
         now: Time,
     ) -> Option<Hub> {
-        let signer = set.hubs[me].signer(&control.secret)?;
-        let known: Vec<u64> = set.streams.iter().map(|s| s.known).collect();
-        let id = set.hubs[me].id;
+        let signer = config.hubs[index].signer(&control.secret)?;
+        let known: Vec<u64> = config.streams.iter().map(|s| s.known).collect();
+        let hub_id = config.hubs[index].id;
         // Hubs don't all send at the same time.
-        let first = now + set.period * (me as f64 / set.hubs.len() as f64);
+        let first = now + config.period * (index as f64 / config.hubs.len() as f64);
         Some(Hub {
-            me,
-            id,
-            run: short(run),
+            index,
+            hub_id,
+            run_id: fold_to_u32(run_id),
             signer,
-            composer: Composer::new(id, short(run), &known, control.most_kept),
-            followers: BTreeMap::new(),
-            secret: seed ^ run.rotate_left(32),
-            sites: Sites::new(&control.sites, known.len(), set.silent, now),
+            composer: Composer::new(hub_id, fold_to_u32(run_id), &known, control.most_kept),
+            subscribers: BTreeMap::new(),
+            token_secret: seed ^ run_id.rotate_left(32),
+            sites: SiteTracker::new(&control.sites, known.len(), config.silence_timeout, now),
             log: Log::default(),
             seen: Seen::default(),
-            others: vec![None; set.hubs.len()],
-            via: vec![None; known.len()],
+            last_heard: vec![None; config.hubs.len()],
+            relayed_hub: vec![None; known.len()],
             budgets: BTreeMap::new(),
-            period: first,
-            spaced: None,
-            asks: false,
-            gather: first,
-            gathered: 0,
-            latest: None,
-            said: VecDeque::new(),
-            set,
+            next_period: first,
+            next_bundle: None,
+            wants_reports: false,
+            next_summary: first,
+            summary_seq: 0,
+            latest_bundle: None,
+            outbox: VecDeque::new(),
+            config,
         })
     }
 
@@ -120,61 +120,61 @@
         self.composer.sources.get(stream).map_or(0, |s| s.position)
     }
 
-    pub fn line(&mut self, now: Time, stream: usize, line: &[u8]) -> Result<(), Unusable> {
-        self.composer.line(now, stream, line)
+    pub fn handle_line(&mut self, now: Time, stream: usize, line: &[u8]) -> Result<(), EventError> {
+        self.composer.add_line(now, stream, line)
     }
 
-    pub fn last(&mut self, now: Time, stream: usize, no: u64) -> bool {
-        self.composer.last(now, stream, no)
+    pub fn handle_last(&mut self, now: Time, stream: usize, no: u64) -> bool {
+        self.composer.set_last(now, stream, no)
     }
 
     // What goes out.
 
-    fn lacks(&self, now: Time, stream: usize) -> bool {
+    fn is_lagging(&self, now: Time, stream: usize) -> bool {
         let source = &self.composer.sources[stream];
-        !source.caught || source.fresh.is_none_or(|at| now - at > STALE)
+        !source.caught_up || source.fresh_at.is_none_or(|at| now - at > LIST_STALE_AFTER)
     }
 
-    fn send_followers(&mut self, now: Time, bytes: &[u8]) {
-        for (address, _) in self.followers.iter().filter(|(_, f)| f.is_live(now)) {
-            let passed = Passed { bundle: bytes.to_vec(), via: 0 };
-            self.said.push_back((*address, Said::Live(passed)));
+    fn send_to_subscribers(&mut self, now: Time, bytes: &[u8]) {
+        for (address, _) in self.subscribers.iter().filter(|(_, f)| f.is_live(now)) {
+            let passed = LiveBundle { bundle: bytes.to_vec(), contact_rank: 0 };
+            self.outbox.push_back((*address, Payload::Live(passed)));
         }
     }
 
     fn sign(&self, body: &Bundle) -> Vec<u8> {
-        self.set.sign(&self.signer, Signs::Bundle, body.encode_to_vec())
+        self.config.sign(&self.signer, SignedKind::Bundle, body.encode_to_vec())
     }
 
-    fn tell(&mut self, now: Time, counts: &mut Counts) {
-        let streams = self.set.streams.len();
-        self.sites.weigh(now);
-        let done = (0..streams).map(|s| self.sites.done(s)).collect();
-        let head = Head { now, done, sites: self.sites.listed() as u32 };
-        let mut body = self.composer.live(&head);
+    fn send_live_bundle(&mut self, now: Time, counts: &mut Counts) {
+        let streams = self.config.streams.len();
+        self.sites.update_watermarks(now);
+        let watermarks = (0..streams).map(|s| self.sites.watermarks(s)).collect();
+        let head = LiveHeader { now, watermarks, site_count: self.sites.listed() as u32 };
+        let mut body = self.composer.live_bundle(&head);
         let more = self.composer.has_more();
         // Every second period, with all that it has.
-        body.asks = !more && self.asks;
-        if body.asks {
+        body.wants_report = !more && self.wants_reports;
+        if body.wants_report {
             let ends = body.ranges().map(|(s, _, last)| (s, last)).collect();
-            self.sites.asked(body.number, ends);
+            self.sites.expect_reports(body.seq, ends);
         }
-        self.spaced = more.then_some(now + SPACED);
+        self.next_bundle = more.then_some(now + BUNDLE_SPACING);
         counts.bundles_made += 1;
         let bytes = self.sign(&body);
-        self.send_followers(now, &bytes);
-        for (_, hub) in self.set.hubs.iter().enumerate().filter(|(i, _)| *i != self.me) {
-            let passed = Passed { bundle: bytes.clone(), via: 0 };
-            self.said.push_back((hub.address, Said::Live(passed)));
+        self.send_to_subscribers(now, &bytes);
+        for (_, hub) in self.config.hubs.iter().enumerate().filter(|(i, _)| *i != self.index) {
+            let passed = LiveBundle { bundle: bytes.clone(), contact_rank: 0 };
+            self.outbox.push_back((hub.address, Payload::Live(passed)));
         }
-        self.latest = Some(bytes);
+        self.latest_bundle = Some(bytes);
     }
 
-    fn tell_hubs(&mut self, now: Time) {
-        for told in self.sites.gathered(now, self.id, self.run, &mut self.gathered) {
-            let bytes = self.set.sign(&self.signer, Signs::Gathered, told.encode_to_vec());
-            for (_, hub) in self.set.hubs.iter().enumerate().filter(|(i, _)| *i != self.me) {
-                self.said.push_back((hub.address, Said::Gathered(bytes.clone())));
+    fn send_summaries(&mut self, now: Time) {
+        for summary in self.sites.summaries(now, self.hub_id, self.run_id, &mut self.summary_seq) {
+            let bytes = self.config.sign(&self.signer, SignedKind::HubSummary, summary.encode_to_vec());
+            for (_, hub) in self.config.hubs.iter().enumerate().filter(|(i, _)| *i != self.index) {
+                self.outbox.push_back((hub.address, Payload::HubSummary(bytes.clone())));
             }
         }
     }
@@ -183,85 +183,97 @@
 
     /// Of an address, so that nobody can have answers sent elsewhere by saying again what another one said.
     fn token(&self, from: SocketAddr) -> u64 {
-        xxh3_64_with_seed(from.to_string().as_bytes(), self.secret).max(1)
+        xxh3_64_with_seed(from.to_string().as_bytes(), self.token_secret).max(1)
     }
 
-    fn follow(&mut self, now: Time, from: SocketAddr, follow: &Follow, counts: &mut Counts) {
-        if follow.token != self.token(from) {
-            self.said.push_back((from, Said::Challenge(self.token(from))));
+    fn handle_subscribe(&mut self, now: Time, from: SocketAddr, subscribe: &Subscribe, counts: &mut Counts) {
+        if subscribe.token != self.token(from) {
+            self.outbox.push_back((from, Payload::Challenge(self.token(from))));
             return;
         }
-        let old = |f: &Follower| f.run == follow.run && f.number >= follow.number;
-        if self.followers.get(&from).is_some_and(old) {
+        let old = |f: &Subscriber| f.run_id == subscribe.run_id && f.seq >= subscribe.seq;
+        if self.subscribers.get(&from).is_some_and(old) {
             counts.refused_requests += 1;
             return;
         }
-        let begins = !self.followers.get(&from).is_some_and(|f| f.is_live(now));
-        if begins && !follow.ends && !self.make_room(now, &follow.site) {
+        let is_new = !self.subscribers.get(&from).is_some_and(|f| f.is_live(now));
+        if is_new && !subscribe.unsubscribe && !self.make_room(now, &subscribe.site) {
             counts.refused_requests += 1;
             return;
         }
-        let (site, run, number, ends) = (follow.site.clone(), follow.run, follow.number, follow.ends);
-        self.followers.insert(from, Follower { site, run, number, at: now, ends });
-        if !follow.ends {
-            self.sites.touched(now, &follow.site);
+        let (site, run_id, seq, ended) =
+            (subscribe.site.clone(), subscribe.run_id, subscribe.seq, subscribe.unsubscribe);
+        self.subscribers.insert(from, Subscriber { site, run_id, seq, renewed_at: now, ended });
+        if !subscribe.unsubscribe {
+            self.sites.note_direct_contact(now, &subscribe.site);
         }
-        if let Some(bytes) = self.latest.clone().filter(|_| begins && !follow.ends) {
-            self.said.push_back((from, Said::Live(Passed { bundle: bytes, via: 0 })));
+        if let Some(bytes) = self.latest_bundle.clone().filter(|_| is_new && !subscribe.unsubscribe) {
+            self.outbox.push_back((from, Payload::Live(LiveBundle { bundle: bytes, contact_rank: 0 })));
         }
     }
 
     fn make_room(&mut self, now: Time, site: &str) -> bool {
-        let live = self.followers.iter().filter(|(_, f)| f.site == site && f.is_live(now));
-        let live: Vec<(Time, SocketAddr)> = live.map(|(a, f)| (f.at, *a)).collect();
-        if live.len() >= AT_A_SITE {
-            let Some((_, oldest)) = live.iter().min().filter(|(at, _)| now - *at > GIVES_WAY) else {
+        let live = self.subscribers.iter().filter(|(_, f)| f.site == site && f.is_live(now));
+        let live: Vec<(Time, SocketAddr)> = live.map(|(a, f)| (f.renewed_at, *a)).collect();
+        if live.len() >= MAX_SUBSCRIBERS_PER_SITE {
+            let Some((_, oldest)) = live.iter().min().filter(|(at, _)| now - *at > REPLACEABLE_AFTER) else {
                 return false;
             };
-            if let Some(f) = self.followers.get_mut(oldest) {
-                f.ends = true;
+            if let Some(f) = self.subscribers.get_mut(oldest) {
+                f.ended = true;
             }
         }
-        if self.followers.len() >= MOST_FOLLOWERS {
-            let past = self.followers.iter().filter(|(_, f)| !f.is_live(now)).min_by_key(|(_, f)| f.at);
-            let Some(past) = past.map(|(a, _)| *a) else { return false };
-            self.followers.remove(&past);
+        if self.subscribers.len() >= MAX_SUBSCRIBERS {
+            let oldest_ended =
+                self.subscribers.iter().filter(|(_, f)| !f.is_live(now)).min_by_key(|(_, f)| f.renewed_at);
+            let Some(oldest_ended) = oldest_ended.map(|(a, _)| *a) else { return false };
+            self.subscribers.remove(&oldest_ended);
         }
         true
     }
 
-    fn fetch(&mut self, now: Time, from: SocketAddr, fetch: &Fetch, counts: &mut Counts) {
-        if fetch.token != self.token(from) {
-            self.said.push_back((from, Said::Challenge(self.token(from))));
+    fn handle_retransmit_request(
+        &mut self,
+        now: Time,
+        from: SocketAddr,
+        request: &RetransmitRequest,
+        counts: &mut Counts,
+    ) {
+        if request.token != self.token(from) {
+            self.outbox.push_back((from, Payload::Challenge(self.token(from))));
             return;
         }
-        if fetch.site.is_empty()
-            || self.budgets.len() >= MOST_SITES && !self.budgets.contains_key(&fetch.site)
+        if request.site.is_empty()
+            || self.budgets.len() >= MAX_SITES && !self.budgets.contains_key(&request.site)
         {
             counts.refused_requests += 1;
             return;
         }
-        let budget = self.budgets.entry(fetch.site.clone()).or_insert_with(|| Bucket::new(now, FOUND));
-        if !budget.take(now, FOUND, FOUND) {
+        let budget = self
+            .budgets
+            .entry(request.site.clone())
+            .or_insert_with(|| TokenBucket::new(now, RETRANSMITS_PER_S));
+        if !budget.take(now, RETRANSMITS_PER_S, RETRANSMITS_PER_S) {
             counts.refused_requests += 1;
             return;
         }
         // Guards against one that has begun anew and takes for nothing what it has not read yet.
-        let reads = |r: &Range| self.composer.sources.get(r.stream as usize).is_some_and(|s| !s.caught);
-        let reads = fetch.late && fetch.ranges.iter().any(reads);
-        let said = match self.found(now, &fetch.ranges, fetch.late) {
-            Some(bytes) => Said::Found(bytes),
-            None if reads => return,
+        let still_reading =
+            |r: &Range| self.composer.sources.get(r.stream as usize).is_some_and(|s| !s.caught_up);
+        let still_reading = request.recent_only && request.ranges.iter().any(still_reading);
+        let payload = match self.build_retransmission(now, &request.ranges, request.recent_only) {
+            Some(bytes) => Payload::Retransmission(bytes),
+            None if still_reading => return,
             None => {
-                counts.lacked += 1;
-                Said::Lacks(true)
+                counts.requests_unserved += 1;
+                Payload::Unavailable(true)
             }
         };
-        self.said.push_back((from, said));
+        self.outbox.push_back((from, payload));
     }
 
-    fn found(&mut self, now: Time, ranges: &[Range], late: bool) -> Option<Vec<u8>> {
-        if let Some(body) = self.composer.old(now, ranges, late) {
+    fn build_retransmission(&mut self, now: Time, ranges: &[Range], recent_only: bool) -> Option<Vec<u8>> {
+        if let Some(body) = self.composer.retransmission(now, ranges, recent_only) {
             return Some(self.sign(&body));
         }
         // What this one lacks another hub may have told.
@@ -269,136 +281,138 @@
     }
 
     /// Another hub's bundle: kept, and handed on where it tells of a stream that is lacking here.
-    fn bundle(&mut self, now: Time, bytes: &[u8], counts: &mut Counts) {
-        let Some(body) = common::bundle(bytes) else {
+    fn handle_bundle(&mut self, now: Time, bytes: &[u8], counts: &mut Counts) {
+        let Some(body) = config::decode_bundle(bytes) else {
             counts.refused_forms += 1;
             return;
         };
-        if self.seen.has(&body.named()) {
-            counts.copies += 1;
+        if self.seen.contains(&body.id()) {
+            counts.duplicates += 1;
             return;
         }
-        if !self.set.is_signed(body.hub, Signs::Bundle, bytes) {
+        if !self.config.is_signed_by(body.hub, SignedKind::Bundle, bytes) {
             counts.refused_signatures += 1;
             return;
         }
-        let Some(hub) = self.set.hub_of(body.hub).filter(|h| body.is_sound() && *h != self.me) else {
+        let Some(hub) = self.config.hub_index_by_id(body.hub).filter(|h| body.is_valid() && *h != self.index)
+        else {
             counts.refused_forms += 1;
             return;
         };
-        self.seen.insert(body.named());
+        self.seen.insert(body.id());
         counts.bundles += 1;
-        self.others[hub] = Some(now);
+        self.last_heard[hub] = Some(now);
         self.log.push(now, &body, bytes);
-        self.composer.heard.insert(body.hub, body.latest());
-        let mut hands_on = false;
-        for (s, first, last) in body.ranges().filter(|r| r.0 < self.set.streams.len()) {
-            if !self.lacks(now, s) {
-                self.via[s] = None;
+        self.composer.latest_by_hub.insert(body.hub, body.latest_issued_ms());
+        let mut forwards = false;
+        for (s, first, last) in body.ranges().filter(|r| r.0 < self.config.streams.len()) {
+            if !self.is_lagging(now, s) {
+                self.relayed_hub[s] = None;
                 continue;
             }
-            let silent = |h: usize| self.others[h].is_none_or(|at| now - at > self.set.silent);
-            let fresh = body.ages.get(s).is_some_and(|age| *age < 200);
-            if self.via[s].is_none_or(silent) && fresh {
-                self.via[s] = Some(hub);
+            let silent =
+                |h: usize| self.last_heard[h].is_none_or(|at| now - at > self.config.silence_timeout);
+            let fresh = body.ages_10ms.get(s).is_some_and(|age| *age < 200);
+            if self.relayed_hub[s].is_none_or(silent) && fresh {
+                self.relayed_hub[s] = Some(hub);
             }
             let source = &mut self.composer.sources[s];
-            if self.via[s] == Some(hub) && source.told.is_none_or(|t| last > t) {
+            if self.relayed_hub[s] == Some(hub) && source.published.is_none_or(|t| last > t) {
                 // Between what was told and the first number there may be a gap, which followers see.
-                hands_on |= first <= last || source.told.is_none();
-                source.told = Some(last);
+                forwards |= first <= last || source.published.is_none();
+                source.published = Some(last);
             }
         }
-        if hands_on {
-            self.send_followers(now, bytes);
+        if forwards {
+            self.send_to_subscribers(now, bytes);
         }
     }
 
-    fn gathered(&mut self, now: Time, bytes: &[u8], counts: &mut Counts) {
-        let Some(told) = common::gathered(bytes) else {
+    fn handle_summary(&mut self, now: Time, bytes: &[u8], counts: &mut Counts) {
+        let Some(summary) = config::decode_hub_summary(bytes) else {
             counts.refused_forms += 1;
             return;
         };
-        if !self.set.is_signed(told.hub, Signs::Gathered, bytes) {
+        if !self.config.is_signed_by(summary.hub, SignedKind::HubSummary, bytes) {
             counts.refused_signatures += 1;
             return;
         }
-        self.sites.told(now, &told);
-        self.sites.weigh(now);
+        self.sites.handle_summary(now, &summary);
+        self.sites.update_watermarks(now);
     }
 
-    fn report(&mut self, now: Time, report: &Report, counts: &mut Counts) {
-        if report.of.is_none_or(|of| (of.hub, of.run) != (self.id, self.run)) {
+    fn handle_report(&mut self, now: Time, report: &Report, counts: &mut Counts) {
+        if report.bundle.is_none_or(|bundle| (bundle.hub, bundle.run_id) != (self.hub_id, self.run_id)) {
             return;
         }
-        match self.sites.report(now, report) {
-            Taken::Good => self.sites.weigh(now),
-            Taken::Passed => {}
-            Taken::Refused => counts.refused_reports += 1,
+        match self.sites.handle_report(now, report) {
+            Outcome::Accepted => self.sites.update_watermarks(now),
+            Outcome::Ignored => {}
+            Outcome::Rejected => counts.refused_reports += 1,
         }
     }
 
-    pub fn said(&mut self, now: Time, from: SocketAddr, said: &Said, counts: &mut Counts) {
-        match said {
-            Said::Live(p) => self.bundle(now, &p.bundle, counts),
-            Said::Follow(follow) => self.follow(now, from, follow, counts),
-            Said::Fetch(fetch) => self.fetch(now, from, fetch, counts),
-            Said::Report(report) => self.report(now, report, counts),
-            Said::Gathered(bytes) => self.gathered(now, bytes, counts),
+    pub fn handle_payload(&mut self, now: Time, from: SocketAddr, payload: &Payload, counts: &mut Counts) {
+        match payload {
+            Payload::Live(p) => self.handle_bundle(now, &p.bundle, counts),
+            Payload::Subscribe(subscribe) => self.handle_subscribe(now, from, subscribe, counts),
+            Payload::RetransmitRequest(request) => self.handle_retransmit_request(now, from, request, counts),
+            Payload::Report(report) => self.handle_report(now, report, counts),
+            Payload::HubSummary(bytes) => self.handle_summary(now, bytes, counts),
             _ => counts.refused_forms += 1,
         }
     }
 
-    pub fn missing(&self, now: Time) -> Vec<Missing> {
-        self.sites.missing(now)
+    pub fn unacked(&self, now: Time) -> Vec<Unacked> {
+        self.sites.unacked(now)
     }
 
     pub fn next_wake(&self, now: Time) -> Time {
-        let at = self.period.min(self.gather);
-        self.spaced.map_or(at, |s| s.min(at)).max(now)
+        let at = self.next_period.min(self.next_summary);
+        self.next_bundle.map_or(at, |s| s.min(at)).max(now)
     }
 
     pub fn tick(&mut self, now: Time, counts: &mut Counts) {
-        if now >= self.gather {
-            self.gather = now + GATHER_EVERY;
-            self.tell_hubs(now);
+        if now >= self.next_summary {
+            self.next_summary = now + SUMMARY_INTERVAL;
+            self.send_summaries(now);
         }
-        if now >= self.period {
+        if now >= self.next_period {
             // A host that was held up leaves periods out, and keeps its place among the hubs.
-            while self.period <= now {
-                self.period += self.set.period.max(Span::from_millis(1));
+            while self.next_period <= now {
+                self.next_period += self.config.period.max(Span::from_millis(1));
             }
-            self.asks = !self.asks;
-            if self.asks {
-                self.gather = self.gather.min(now + GATHER_AFTER);
+            self.wants_reports = !self.wants_reports;
+            if self.wants_reports {
+                self.next_summary = self.next_summary.min(now + SUMMARY_DELAY);
             }
             self.composer.begin_period();
-            self.tell(now, counts);
-        } else if self.spaced.is_some_and(|at| now >= at) {
-            self.tell(now, counts);
+            self.send_live_bundle(now, counts);
+        } else if self.next_bundle.is_some_and(|at| now >= at) {
+            self.send_live_bundle(now, counts);
         }
         counts.dropped = self.composer.dropped;
     }
 
     pub fn sizes(&self) -> Vec<(&'static str, usize)> {
         vec![
-            ("feed followers", self.followers.len()),
-            ("feed sites", self.sites.held()),
-            ("feed events kept", self.composer.kept()),
-            ("feed lines kept", self.composer.lines()),
-            ("feed pieces queued", self.composer.queued()),
-            ("feed bundles kept", self.log.held()),
-            ("feed bundles seen", self.seen.held()),
+            ("feed followers", self.subscribers.len()),
+            ("feed sites", self.sites.len()),
+            ("feed events kept", self.composer.event_count()),
+            ("feed lines kept", self.composer.line_count()),
+            ("feed pieces queued", self.composer.queued_pieces()),
+            ("feed bundles kept", self.log.len()),
+            ("feed bundles seen", self.seen.len()),
             ("feed budgets", self.budgets.len()),
         ]
     }
 
-    pub fn check_rules(&self) -> Result<(), String> {
-        self.composer.check_rules()?;
-        self.sites.check_rules()?;
-        self.log.check_rules()?;
-        if self.followers.len() > MOST_FOLLOWERS || self.budgets.len() > MOST_SITES {
-            return Err(format!("{} followers, {} budgets", self.followers.len(), self.budgets.len()));
+    pub fn check_invariants(&self) -> Result<(), String> {
+        self.composer.check_invariants()?;
+        self.sites.check_invariants()?;
+        self.log.check_invariants()?;
+        if self.subscribers.len() > MAX_SUBSCRIBERS || self.budgets.len() > MAX_SITES {
+            return Err(format!("{} followers, {} budgets", self.subscribers.len(), self.budgets.len()));
         }
         Ok(())
     }
--- a/feed/src/log.rs
+++ b/feed/src/log.rs
@@ -1,17 +1,17 @@
 //! Bundles of late, as they came, so that neighbours can have them again. Must never grow beyond its bounds, nor give out
 //! anything but what a hub has signed.
 
-use crate::wire::{Bundle, Named, Range};
+use crate::wire::{Bundle, BundleId, Range};
 use kelpcart::Time;
 use std::collections::{BTreeSet, VecDeque};
 
-pub const MOST_BYTES: usize = 96 * 1024;
-pub const MOST_BUNDLES: usize = 512;
-pub const MOST_SEEN: usize = 2_048;
+pub const MAX_BYTES: usize = 96 * 1024;
+pub const MAX_BUNDLES: usize = 512;
+pub const MAX_SEEN: usize = 2_048;
 
 struct Entry {
-    at: Time,
-    named: Named,
+    received_at: Time,
+    id: BundleId,
     ranges: Vec<(usize, u64, u64)>,
     /// Stream, number and offset.
     pieces: Vec<(usize, u64, u32)>,
@@ -27,20 +27,20 @@
 impl Log {
     pub fn push(&mut self, now: Time, body: &Bundle, bytes: &[u8]) {
         let ranges = body.ranges().filter(|(_, first, last)| first <= last).collect();
-        let pieces = body.pieces.iter().map(|p| (p.stream as usize, p.no, p.offset)).collect();
+        let pieces = body.pieces.iter().map(|p| (p.stream as usize, p.seq, p.offset)).collect();
         self.bytes += bytes.len();
-        self.all.push_back(Entry { at: now, named: body.named(), ranges, pieces, bytes: bytes.to_vec() });
-        while self.bytes > MOST_BYTES || self.all.len() > MOST_BUNDLES {
+        self.all.push_back(Entry { received_at: now, id: body.id(), ranges, pieces, bytes: bytes.to_vec() });
+        while self.bytes > MAX_BYTES || self.all.len() > MAX_BUNDLES {
             self.bytes -= self.all.pop_front().map_or(0, |e| e.bytes.len());
         }
     }
 
-    pub fn one(&self, named: Named) -> Option<&[u8]> {
-        self.all.iter().rev().find(|e| e.named == named).map(|e| e.bytes.as_slice())
+    pub fn get(&self, id: BundleId) -> Option<&[u8]> {
+        self.all.iter().rev().find(|e| e.id == id).map(|e| e.bytes.as_slice())
     }
 
     /// The newest that hold something of the ranges and came at `since` or later.
-    pub fn find(&self, ranges: &[Range], since: Time, most: usize) -> Vec<&[u8]> {
+    pub fn find(&self, ranges: &[Range], since: Time, max: usize) -> Vec<&[u8]> {
         let holds = |e: &Entry, r: &Range| {
             let s = r.stream as usize;
             let numbers =
@@ -48,17 +48,17 @@
             numbers
                 || e.pieces.iter().any(|p| p.0 == s && (r.first..=r.last).contains(&p.1) && p.2 >= r.offset)
         };
-        let late = self.all.iter().rev().take_while(|e| e.at >= since);
-        late.filter(|e| ranges.iter().any(|r| holds(e, r))).take(most).map(|e| e.bytes.as_slice()).collect()
+        let late = self.all.iter().rev().take_while(|e| e.received_at >= since);
+        late.filter(|e| ranges.iter().any(|r| holds(e, r))).take(max).map(|e| e.bytes.as_slice()).collect()
     }
 
-    pub fn held(&self) -> usize {
+    pub fn len(&self) -> usize {
         self.all.len()
     }
 
-    pub fn check_rules(&self) -> Result<(), String> {
+    pub fn check_invariants(&self) -> Result<(), String> {
         let sum: usize = self.all.iter().map(|e| e.bytes.len()).sum();
-        let is = sum == self.bytes && sum <= MOST_BYTES && self.all.len() <= MOST_BUNDLES;
+        let is = sum == self.bytes && sum <= MAX_BYTES && self.all.len() <= MAX_BUNDLES;
         if is { Ok(()) } else { Err(format!("{} bundles of {sum} bytes in the log", self.all.len())) }
     }
 }
@@ -66,19 +66,19 @@
 /// Names of bundles that were taken, the latest ones.
 #[derive(Default)]
 pub struct Seen {
-    all: BTreeSet<Named>,
-    order: VecDeque<Named>,
+    all: BTreeSet<BundleId>,
+    order: VecDeque<BundleId>,
 }
 
 impl Seen {
-    pub fn has(&self, named: &Named) -> bool {
-        self.all.contains(named)
+    pub fn contains(&self, id: &BundleId) -> bool {
+        self.all.contains(id)
     }
 
-    pub fn insert(&mut self, named: Named) {
-        if self.all.insert(named) {
-            self.order.push_back(named);
-            if self.order.len() > MOST_SEEN
+    pub fn insert(&mut self, id: BundleId) {
+        if self.all.insert(id) {
+            self.order.push_back(id);
+            if self.order.len() > MAX_SEEN
                 && let Some(old) = self.order.pop_front()
             {
                 self.all.remove(&old);
@@ -86,7 +86,7 @@
         }
     }
 
-    pub fn held(&self) -> usize {
+    pub fn len(&self) -> usize {
         self.order.len()
     }
 }
--- a/feed/src/code.rs
+++ b/feed/src/name_codec.rs
@@ -6,42 +6,42 @@
 use prost::encoding::{decode_varint, encode_varint, encoded_len_varint};
 
 /// Names are cut to so many bits; with the least ones every set takes 520 bytes at the most.
-pub const MOST_BITS: u8 = 40;
-pub const LEAST_BITS: u8 = 12;
+pub const MAX_BITS: u8 = 40;
+pub const MIN_BITS: u8 = 12;
 
 /// What lies between sorted names: the first one itself, and the others' differences less one.
-fn gaps(names: &[u64]) -> impl Iterator<Item = u64> {
+fn deltas(names: &[u64]) -> impl Iterator<Item = u64> {
     let before = std::iter::once(None).chain(names.iter().copied().map(Some));
     names.iter().zip(before).map(|(&name, before)| before.map_or(name, |b| name - b - 1))
 }
 
 /// The parameter that makes the fewest bits, and how many.
-fn parameter(names: &[u64]) -> (u8, u64) {
+fn rice_parameter(names: &[u64]) -> (u8, u64) {
     if names.is_empty() {
         return (0, 0);
     }
     let n = names.len() as u64;
     let mean = names.last().copied().unwrap_or(0) / n;
     let near = 63 - mean.saturating_add(1).leading_zeros().min(63);
-    let cost = |k: u32| gaps(names).map(|d| (d >> k) + 1 + u64::from(k)).fold(0, u64::saturating_add);
+    let cost = |k: u32| deltas(names).map(|d| (d >> k) + 1 + u64::from(k)).fold(0, u64::saturating_add);
     let best = (near.saturating_sub(2)..=(near + 1).min(63)).map(|k| (cost(k), k)).min();
     best.map_or((0, 0), |(bits, k)| (k as u8, bits))
 }
 
-fn length(names: &[u64], coded_bits: u64) -> usize {
+fn code_len(names: &[u64], coded_bits: u64) -> usize {
     2 + encoded_len_varint(names.len() as u64) + coded_bits.div_ceil(8) as usize
 }
 
 /// Bytes that a set takes.
-pub fn size(names: &PrefixSet) -> usize {
-    length(names.prefixes(), parameter(names.prefixes()).1)
+pub fn encoded_len(names: &PrefixSet) -> usize {
+    code_len(names.prefixes(), rice_parameter(names.prefixes()).1)
 }
 
 /// Bits, parameter, count and then the differences.
 pub fn encode(names: &PrefixSet) -> Vec<u8> {
     let all = names.prefixes();
-    let (k, coded_bits) = parameter(all);
-    let mut out = Vec::with_capacity(length(all, coded_bits));
+    let (k, coded_bits) = rice_parameter(all);
+    let mut out = Vec::with_capacity(code_len(all, coded_bits));
     out.extend([names.bits(), k]);
     encode_varint(all.len() as u64, &mut out);
     let (mut held, mut free) = (0u8, 8u32);
@@ -53,13 +53,13 @@
             (held, free) = (0, 8);
         }
     };
-    for gap in gaps(all) {
-        for _ in 0..gap >> k {
+    for delta in deltas(all) {
+        for _ in 0..delta >> k {
             bit(true);
         }
         bit(false);
         for i in (0..k).rev() {
-            bit(gap >> i & 1 == 1);
+            bit(delta >> i & 1 == 1);
         }
     }
     if free < 8 {
@@ -75,9 +75,9 @@
         return None;
     }
     let count = decode_varint(&mut rest).ok()?;
-    let there = rest.len() as u64 * 8;
+    let bits_available = rest.len() as u64 * 8;
     // Guards against a count that claims more memory than its bytes can stand for.
-    if count.checked_mul(1 + u64::from(k))? > there || count == 0 && k != 0 {
+    if count.checked_mul(1 + u64::from(k))? > bits_available || count == 0 && k != 0 {
         return None;
     }
     let mut at = 0u64;
@@ -86,7 +86,7 @@
         at += 1;
         Some(byte >> (7 - (at - 1) % 8) & 1 == 1)
     };
-    let most = u64::MAX.checked_shr(64 - u32::from(bits)).unwrap_or(0);
+    let max_name = u64::MAX.checked_shr(64 - u32::from(bits)).unwrap_or(0);
     let mut names = Vec::with_capacity(count as usize);
     let mut next = 0u64;
     for _ in 0..count {
@@ -102,7 +102,7 @@
             low = low << 1 | u64::from(bit()?);
         }
         let name = next.checked_add(high << k | low)?;
-        if name > most {
+        if name > max_name {
             return None;
         }
         names.push(name);
@@ -114,19 +114,19 @@
         }
         at += 1;
     }
-    (at == there).then(|| PrefixSet::from_prefixes(bits, names))
+    (at == bits_available).then(|| PrefixSet::from_prefixes(bits, names))
 }
 
 /// Names at full length with the most bits at which they fit, as bytes.
-pub fn fit(names: &[u64], most_bytes: usize) -> (u8, Vec<u8>) {
+pub fn encode_within(names: &[u64], max_bytes: usize) -> (u8, Vec<u8>) {
     let mut sorted = names.to_vec();
     sorted.sort_unstable();
-    let mut bits = MOST_BITS;
+    let mut bits = MAX_BITS;
     loop {
-        let mut cut: Vec<u64> = sorted.iter().map(|n| n >> (64 - bits)).collect();
-        cut.dedup();
-        if bits == LEAST_BITS || length(&cut, parameter(&cut).1) <= most_bytes {
-            return (bits, encode(&PrefixSet::from_prefixes(bits, cut)));
+        let mut truncated: Vec<u64> = sorted.iter().map(|n| n >> (64 - bits)).collect();
+        truncated.dedup();
+        if bits == MIN_BITS || code_len(&truncated, rice_parameter(&truncated).1) <= max_bytes {
+            return (bits, encode(&PrefixSet::from_prefixes(bits, truncated)));
         }
         bits -= 1;
     }
--- a/feed/src/positions.rs
+++ b/feed/src/positions.rs
@@ -4,67 +4,67 @@
 use std::collections::BTreeMap;
 
 /// Numbers stay far below where sums would overflow.
-pub const MOST_NO: u64 = 1 << 60;
-pub const MOST_RANGES: usize = 64;
+pub const MAX_SEQ: u64 = 1 << 60;
+pub const MAX_RANGES: usize = 64;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Positions {
     position: u64,
     /// The highest number that is known to exist.
-    seen: u64,
+    highest_seen: u64,
     /// Known ranges, first and last number; neither touches another nor the position.
-    beyond: BTreeMap<u64, u64>,
+    ranges: BTreeMap<u64, u64>,
     pub forgotten: u64,
 }
 
 impl Positions {
     pub fn new(position: u64) -> Positions {
-        Positions { position, seen: position, ..Positions::default() }
+        Positions { position, highest_seen: position, ..Positions::default() }
     }
 
     pub fn position(&self) -> u64 {
         self.position
     }
 
-    pub fn seen(&self) -> u64 {
-        self.seen
+    pub fn highest_seen(&self) -> u64 {
+        self.highest_seen
     }
 
-    pub fn ranges(&self) -> usize {
-        self.beyond.len()
+    pub fn range_count(&self) -> usize {
+        self.ranges.len()
     }
 
     /// This number exists.
-    pub fn see(&mut self, no: u64) {
-        self.seen = self.seen.max(no);
+    pub fn observe(&mut self, seq: u64) {
+        self.highest_seen = self.highest_seen.max(seq);
     }
 
     /// These are known; nothing where `last` is before `first`.
     pub fn add(&mut self, first: u64, last: u64) {
-        self.see(last);
+        self.observe(last);
         let (mut first, mut last) = (first.max(self.position + 1), last);
         if last < first {
             return;
         }
         while let Some((&a, &b)) =
-            self.beyond.range(..=last + 1).next_back().filter(|(_, b)| **b + 1 >= first)
+            self.ranges.range(..=last + 1).next_back().filter(|(_, b)| **b + 1 >= first)
         {
             (first, last) = (first.min(a), last.max(b));
-            self.beyond.remove(&a);
+            self.ranges.remove(&a);
         }
         if first == self.position + 1 {
             self.position = last;
             return;
         }
-        self.beyond.insert(first, last);
-        if self.beyond.len() > MOST_RANGES {
-            self.beyond.pop_first();
+        self.ranges.insert(first, last);
+        if self.ranges.len() > MAX_RANGES {
+            self.ranges.pop_first();
             self.forgotten += 1;
         }
     }
 
     /// All up to this number counts as known, without having been told.
-    pub fn start(&mut self, position: u64) {
+    pub fn start_at(&mut self, position: u64) {
         if position > self.position {
             self.add(self.position + 1, position);
         }
@@ -72,37 +72,41 @@
 
     /// Nothing beyond this number is known any more.
     pub fn truncate(&mut self, to: u64) {
-        self.seen = self.seen.min(to);
+        self.highest_seen = self.highest_seen.min(to);
         self.position = self.position.min(to);
-        self.beyond.retain(|first, _| *first <= to);
-        if let Some(mut last) = self.beyond.last_entry() {
+        self.ranges.retain(|first, _| *first <= to);
+        if let Some(mut last) = self.ranges.last_entry() {
             let cut = to.min(*last.get());
             last.insert(cut);
         }
     }
 
-    pub fn holds(&self, no: u64) -> bool {
-        no <= self.position || self.beyond.range(..=no).next_back().is_some_and(|(_, last)| no <= *last)
+    pub fn contains(&self, seq: u64) -> bool {
+        seq <= self.position || self.ranges.range(..=seq).next_back().is_some_and(|(_, last)| seq <= *last)
     }
 
     /// What is missing, the newest first.
     pub fn gaps(&self) -> impl Iterator<Item = (u64, u64)> {
-        let tops = std::iter::once(self.seen + 1).chain(self.beyond.keys().rev().copied());
-        let bottoms = self.beyond.values().rev().copied().chain(std::iter::once(self.position));
+        let tops = std::iter::once(self.highest_seen + 1).chain(self.ranges.keys().rev().copied());
+        let bottoms = self.ranges.values().rev().copied().chain(std::iter::once(self.position));
         tops.zip(bottoms).map(|(top, bottom)| (bottom + 1, top - 1)).filter(|(first, last)| first <= last)
     }
 
-    pub fn check_rules(&self) -> Result<(), String> {
-        if self.beyond.len() > MOST_RANGES {
-            return Err(format!("{} ranges beyond a position", self.beyond.len()));
+    pub fn check_invariants(&self) -> Result<(), String> {
+        if self.ranges.len() > MAX_RANGES {
+            return Err(format!("{} ranges beyond a position", self.ranges.len()));
         }
         let mut before = self.position;
-        for (&first, &last) in &self.beyond {
+        for (&first, &last) in &self.ranges {
             if first <= before + 1 || last < first {
                 return Err(format!("range {first} to {last} behind {before}"));
             }
             before = last;
         }
-        if self.seen < before { Err(format!("{before} known and {} seen", self.seen)) } else { Ok(()) }
+        if self.highest_seen < before {
+            Err(format!("{before} known and {} seen", self.highest_seen))
+        } else {
+            Ok(())
+        }
     }
 }
--- a/feed/src/rank.rs
+++ b/feed/src/rank.rs
@@ -13,7 +13,7 @@
 }
 
 /// The place of each name in the common order, which asks the bulletin from the front.
-pub const ORDER: u64 = 0x006f_7264_6572;
+pub const CONTACT_ORDER: u64 = 0x006f_7264_6572;
 
 /// The first of those named for a purpose.
 pub fn first<'a>(names: impl Iterator<Item = &'a str>, purpose: u64) -> Option<&'a str> {
@@ -21,7 +21,7 @@
 }
 
 /// How many of the names come before this one for a purpose.
-pub fn place<'a>(names: impl Iterator<Item = &'a str>, own: &str, purpose: u64) -> usize {
+pub fn rank_of<'a>(names: impl Iterator<Item = &'a str>, own: &str, purpose: u64) -> usize {
     let mine = (score(own, purpose), own);
     names.filter(|name| (score(name, purpose), *name) > mine).count()
 }
--- a/feed/src/report.rs
+++ b/feed/src/report.rs
@@ -1,55 +1,64 @@
 //! What sites have confirmed: gathered from live members at a tree's root, and from all sites at a hub. Must never tell a
 //! number for done that one of those who count has not confirmed, nor go back.
 
-use crate::Missing;
-use crate::common::Set;
+use crate::Unacked;
+use crate::config::Config;
 use crate::rank;
-use crate::settings::MOST_SITES;
-use crate::wire::{Confirm, Gathered, Laggard, MOST_LAGGARDS, MOST_SITES as SITES_AT_ONCE, Named, Report};
+use crate::settings::MAX_SITES;
+use crate::wire::{
+    Ack, BundleId, HubSummary, Laggard, MAX_LAGGARDS_PER_REPORT, MAX_SITES_PER_SUMMARY, Report,
+};
 use kelpcart::{Span, Time};
 use std::collections::BTreeMap;
 
 /// Bundles whose ends are kept for reports on them.
-const MOST_ENDS: usize = 64;
-pub const MOST_LIARS: usize = 64;
-const MOST_MISSING: usize = 256;
+const MAX_PENDING_BUNDLES: usize = 64;
+pub const MAX_FALSE_ACKERS: usize = 64;
+const MAX_UNACKED: usize = 256;
 /// A site that is not heard for so many times `silent_ms` is out of touch.
-const OUT_OF_TOUCH: f64 = 3.0;
+const OUT_OF_TOUCH_FACTOR: f64 = 3.0;
 
 /// The last number of each stream of which a bundle says something.
-pub type Ends = Vec<(usize, u64)>;
+pub type BundleEnds = Vec<(usize, u64)>;
 
 /// The positions here as a confirmation.
-pub fn confirm(of: Named, ends: &Ends, position: impl Fn(usize) -> u64) -> Confirm {
+pub fn make_ack(bundle: BundleId, ends: &BundleEnds, position: impl Fn(usize) -> u64) -> Ack {
     let lacking =
         ends.iter().map(|(s, last)| (*s as u32, *last, position(*s))).filter(|(_, last, p)| p < last);
     let (streams, positions) = lacking.map(|(s, _, p)| (s, p)).unzip();
-    Confirm { of: Some(of), streams, positions }
+    Ack { bundle: Some(bundle), streams, positions }
 }
 
 /// Confirmations of one bundle, at the root of its tree.
-pub struct Gather {
-    pub due: Time,
+pub struct AckAggregate {
+    pub due_at: Time,
     /// A first report was made of it.
-    pub told: bool,
-    pub got: BTreeMap<String, Confirm>,
+    pub reported: bool,
+    pub acks: BTreeMap<String, Ack>,
 }
 
-impl Gather {
-    pub fn report(&self, set: &Set, own: &str, of: Named, ends: &Ends, live: &[String]) -> Report {
+impl AckAggregate {
+    pub fn report(
+        &self,
+        config: &Config,
+        own: &str,
+        bundle: BundleId,
+        ends: &BundleEnds,
+        live: &[String],
+    ) -> Report {
         let mut least: BTreeMap<u32, u64> = BTreeMap::new();
         let mut laggards: Vec<Laggard> = Vec::new();
         let mut silent = 0;
         for name in live.iter().map(String::as_str).chain(std::iter::once(own)) {
-            let Some(confirm) = self.got.get(name) else {
+            let Some(ack) = self.acks.get(name) else {
                 silent += 1;
-                if silent <= MOST_LAGGARDS {
+                if silent <= MAX_LAGGARDS_PER_REPORT {
                     let name = name.to_owned();
                     laggards.push(Laggard { name, silent: true, ..Laggard::default() });
                 }
                 continue;
             };
-            for (s, p) in confirm.streams.iter().zip(&confirm.positions) {
+            for (s, p) in ack.streams.iter().zip(&ack.positions) {
                 let Some((_, last)) = ends.iter().find(|(e, _)| *e as u32 == *s) else { continue };
                 let p = (*p).min(*last);
                 least.entry(*s).and_modify(|l| *l = (*l).min(p)).or_insert(p);
@@ -58,41 +67,39 @@
                 let last = ends.iter().find(|(e, _)| *e as u32 == *s).map_or(0, |(_, last)| *last);
                 (last.saturating_sub(*p), *s, *p)
             };
-            if let Some((_, stream, position)) =
-                confirm.streams.iter().zip(&confirm.positions).map(behind).max()
-            {
+            if let Some((_, stream, position)) = ack.streams.iter().zip(&ack.positions).map(behind).max() {
                 laggards.push(Laggard { name: name.to_owned(), silent: false, stream, position });
             }
         }
         // The silent ones have to be known to the hub by name, the others are in the least positions.
         laggards.sort_by_key(|l| !l.silent);
-        laggards.truncate(MOST_LAGGARDS);
+        laggards.truncate(MAX_LAGGARDS_PER_REPORT);
         let (streams, positions) = least.into_iter().unzip();
         Report {
-            site: set.site.clone(),
+            site: config.site.clone(),
             gateway: own.to_owned(),
-            of: Some(of),
+            bundle: Some(bundle),
             members: live.len() as u32 + 1,
             streams,
             positions,
             laggards,
-            more: silent.saturating_sub(MOST_LAGGARDS) as u32,
+            silent_omitted: silent.saturating_sub(MAX_LAGGARDS_PER_REPORT) as u32,
         }
     }
 }
 
 #[derive(Default)]
-struct Site {
+struct SiteState {
     name: String,
     /// It is one of the hub's file.
     listed: bool,
-    heard: Option<Time>,
+    last_heard: Option<Time>,
     /// Heard by this hub itself.
-    direct: Option<Time>,
+    last_heard_directly: Option<Time>,
     /// Of the last report taken: run of this hub never changes.
-    number: u64,
+    report_seq: u64,
     /// What those had who confirmed in the last report; `None`: there was none.
-    confirmed: Option<Vec<u64>>,
+    acked: Option<Vec<u64>>,
     /// Silent ones, and what they had confirmed before.
     silent: BTreeMap<String, Vec<u64>>,
     /// Those who confirmed less than all: stream and position.
@@ -101,8 +108,8 @@
     positions: Option<Vec<u64>>,
 }
 
-impl Site {
-    fn raise(&mut self, to: &[u64]) {
+impl SiteState {
+    fn raise_positions(&mut self, to: &[u64]) {
         match &mut self.positions {
             Some(all) => all.iter_mut().zip(to).for_each(|(a, b)| *a = (*a).max(*b)),
             None => self.positions = Some(to.to_vec()),
@@ -110,7 +117,7 @@
     }
 }
 
-fn least(all: &mut Option<Vec<u64>>, one: &[u64]) {
+fn take_minimum(all: &mut Option<Vec<u64>>, one: &[u64]) {
     match all {
         Some(all) => all.iter_mut().zip(one).for_each(|(a, b)| *a = (*a).min(*b)),
         None => *all = Some(one.to_vec()),
@@ -118,121 +125,122 @@
 }
 
 /// What all sites have confirmed, at a hub.
-pub struct Sites {
-    all: BTreeMap<u64, Site>,
-    streams: usize,
-    listed: usize,
-    start: Time,
-    touch: Span,
+pub struct SiteTracker {
+    sites: BTreeMap<u64, SiteState>,
+    stream_count: usize,
+    listed_count: usize,
+    started_at: Time,
+    touch_timeout: Span,
     in_touch: Vec<u64>,
     everywhere: Vec<u64>,
     /// Of bundles that ask for reports, by number.
-    ends: BTreeMap<u64, Ends>,
-    number: u64,
+    pending_ends: BTreeMap<u64, BundleEnds>,
+    latest_seq: u64,
     /// By hub: run and number of the last word.
-    told: BTreeMap<u32, (u32, u64)>,
+    last_summaries: BTreeMap<u32, (u32, u64)>,
     /// Who told what can't be, by site and gateway.
-    pub liars: BTreeMap<(String, String), u64>,
+    pub false_acks: BTreeMap<(String, String), u64>,
 }
 
 #[derive(Debug, PartialEq, Eq)]
-pub enum Taken {
-    Good,
+pub enum Outcome {
+    Accepted,
     /// Too old, or of a site for which there is no room.
-    Passed,
-    Refused,
+    Ignored,
+    Rejected,
 }
 
-impl Sites {
-    pub fn new(listed: &[String], streams: usize, silent: Span, now: Time) -> Sites {
-        let one =
-            |name: &String| (rank::key(name), Site { name: name.clone(), listed: true, ..Site::default() });
-        let all: BTreeMap<u64, Site> = listed.iter().map(one).collect();
-        Sites {
-            listed: all.len(),
-            all,
-            streams,
-            start: now,
-            touch: silent * OUT_OF_TOUCH,
+impl SiteTracker {
+    pub fn new(listed: &[String], streams: usize, silent: Span, now: Time) -> SiteTracker {
+        let one = |name: &String| {
+            (rank::key(name), SiteState { name: name.clone(), listed: true, ..SiteState::default() })
+        };
+        let sites: BTreeMap<u64, SiteState> = listed.iter().map(one).collect();
+        SiteTracker {
+            listed_count: sites.len(),
+            sites,
+            stream_count: streams,
+            started_at: now,
+            touch_timeout: silent * OUT_OF_TOUCH_FACTOR,
             in_touch: vec![0; streams],
             everywhere: vec![0; streams],
-            ends: BTreeMap::new(),
-            number: 0,
-            told: BTreeMap::new(),
-            liars: BTreeMap::new(),
+            pending_ends: BTreeMap::new(),
+            latest_seq: 0,
+            last_summaries: BTreeMap::new(),
+            false_acks: BTreeMap::new(),
         }
     }
 
     pub fn listed(&self) -> usize {
-        self.listed
+        self.listed_count
     }
 
     /// A bundle asks for reports.
-    pub fn asked(&mut self, number: u64, ends: Ends) {
-        self.number = self.number.max(number);
-        self.ends.insert(number, ends);
-        if self.ends.len() > MOST_ENDS {
-            self.ends.pop_first();
+    pub fn expect_reports(&mut self, seq: u64, ends: BundleEnds) {
+        self.latest_seq = self.latest_seq.max(seq);
+        self.pending_ends.insert(seq, ends);
+        if self.pending_ends.len() > MAX_PENDING_BUNDLES {
+            self.pending_ends.pop_first();
         }
     }
 
-    fn site(&mut self, name: &str) -> Option<&mut Site> {
+    fn site_mut(&mut self, name: &str) -> Option<&mut SiteState> {
         let key = rank::key(name);
-        if !self.all.contains_key(&key) {
-            if self.all.len() >= MOST_SITES {
+        if !self.sites.contains_key(&key) {
+            if self.sites.len() >= MAX_SITES {
                 return None;
             }
-            self.all.insert(key, Site { name: name.to_owned(), ..Site::default() });
+            self.sites.insert(key, SiteState { name: name.to_owned(), ..SiteState::default() });
         }
-        self.all.get_mut(&key)
+        self.sites.get_mut(&key)
     }
 
     /// A site's contact is heard.
-    pub fn touched(&mut self, now: Time, name: &str) {
-        if let Some(site) = self.site(name) {
-            (site.heard, site.direct) = (Some(now), Some(now));
+    pub fn note_direct_contact(&mut self, now: Time, name: &str) {
+        if let Some(site) = self.site_mut(name) {
+            (site.last_heard, site.last_heard_directly) = (Some(now), Some(now));
         }
     }
 
-    pub fn report(&mut self, now: Time, report: &Report) -> Taken {
-        let Some(of) = report.of else { return Taken::Passed };
-        if of.number > self.number {
-            return self.refuse(report);
+    pub fn handle_report(&mut self, now: Time, report: &Report) -> Outcome {
+        let Some(bundle) = report.bundle else { return Outcome::Ignored };
+        if bundle.seq > self.latest_seq {
+            return self.reject(report);
         }
-        let Some(ends) = self.ends.get(&of.number).cloned() else { return Taken::Passed };
-        let mut now_confirmed = vec![None; self.streams];
-        ends.iter().for_each(|(s, last)| now_confirmed[*s] = Some(*last));
+        let Some(ends) = self.pending_ends.get(&bundle.seq).cloned() else { return Outcome::Ignored };
+        let mut acked_now = vec![None; self.stream_count];
+        ends.iter().for_each(|(s, last)| acked_now[*s] = Some(*last));
         for (s, p) in report.streams.iter().zip(&report.positions) {
-            match now_confirmed.get_mut(*s as usize) {
+            match acked_now.get_mut(*s as usize) {
                 Some(Some(last)) if *p <= *last => *last = *p,
                 // More than this hub itself has told, or of a stream of which it told nothing.
-                _ => return self.refuse(report),
+                _ => return self.reject(report),
             }
         }
-        let Some(site) = self.site(&report.site) else { return Taken::Passed };
+        let Some(site) = self.site_mut(&report.site) else { return Outcome::Ignored };
         // Guards against old reports that come again, late or on purpose.
-        if of.number < site.number {
-            return Taken::Passed;
+        if bundle.seq < site.report_seq {
+            return Outcome::Ignored;
         }
         // The last one again is no sign of life either.
-        if of.number > site.number {
-            (site.heard, site.direct, site.number) = (Some(now), Some(now), of.number);
+        if bundle.seq > site.report_seq {
+            (site.last_heard, site.last_heard_directly, site.report_seq) = (Some(now), Some(now), bundle.seq);
         }
-        if report.more > 0 {
-            return Taken::Good;
+        if report.silent_omitted > 0 {
+            return Outcome::Accepted;
         }
-        let before = site.confirmed.take();
-        let streams = now_confirmed.len();
+        let before = site.acked.take();
+        let streams = acked_now.len();
         // A stream of which the bundle said nothing stays where it was.
-        let fresh: Vec<u64> = now_confirmed
+        let fresh: Vec<u64> = acked_now
             .into_iter()
             .enumerate()
             .map(|(s, p)| p.unwrap_or_else(|| before.as_ref().map_or(0, |b| b[s])))
             .collect();
         let known = before.unwrap_or_else(|| vec![0; streams]);
-        let quiet = |l: &&Laggard| l.silent;
+        let is_silent = |l: &&Laggard| l.silent;
         let mut silent = BTreeMap::new();
-        for laggard in report.laggards.iter().filter(quiet) {
+        for laggard in report.laggards.iter().filter(is_silent) {
             let had = site.silent.remove(&laggard.name).unwrap_or_else(|| known.clone());
             silent.insert(laggard.name.clone(), had);
         }
@@ -240,85 +248,85 @@
         let behind = report.laggards.iter().filter(|l| !l.silent);
         site.behind = behind.map(|l| (l.name.clone(), (l.stream as usize, l.position))).collect();
         let mut all = Some(fresh.clone());
-        site.silent.values().for_each(|had| least(&mut all, had));
-        site.confirmed = Some(fresh);
+        site.silent.values().for_each(|had| take_minimum(&mut all, had));
+        site.acked = Some(fresh);
         if let Some(all) = all {
-            site.raise(&all);
+            site.raise_positions(&all);
         }
-        Taken::Good
+        Outcome::Accepted
     }
 
-    fn refuse(&mut self, report: &Report) -> Taken {
+    fn reject(&mut self, report: &Report) -> Outcome {
         let key = (report.site.clone(), report.gateway.clone());
-        if self.liars.len() < MOST_LIARS || self.liars.contains_key(&key) {
-            *self.liars.entry(key).or_default() += 1;
+        if self.false_acks.len() < MAX_FALSE_ACKERS || self.false_acks.contains_key(&key) {
+            *self.false_acks.entry(key).or_default() += 1;
         }
-        Taken::Refused
+        Outcome::Rejected
     }
 
     /// What this hub hears itself, for the others.
-    pub fn gathered(&self, now: Time, hub: u32, run: u32, number: &mut u64) -> Vec<Gathered> {
-        let near = |at: Option<Time>| at.is_some_and(|at| now - at < self.touch);
+    pub fn summaries(&self, now: Time, hub: u32, run_id: u32, seq: &mut u64) -> Vec<HubSummary> {
+        let in_touch_at = |at: Option<Time>| at.is_some_and(|at| now - at < self.touch_timeout);
         let mut known: Option<Vec<u64>> = None;
         let (mut with, mut without) = (Vec::new(), Vec::new());
-        for (key, site) in self.all.iter().filter(|(_, site)| near(site.direct)) {
+        for (key, site) in self.sites.iter().filter(|(_, site)| in_touch_at(site.last_heard_directly)) {
             match &site.positions {
                 Some(positions) => {
-                    least(&mut known, positions);
+                    take_minimum(&mut known, positions);
                     with.push(*key);
                 }
                 None => without.push(*key),
             }
         }
         let mut all = Vec::new();
-        for (sites, unknown) in [(with, false), (without, true)] {
-            for sites in sites.chunks(SITES_AT_ONCE) {
-                *number += 1;
-                let positions = known.clone().filter(|_| !unknown).unwrap_or_default();
-                all.push(Gathered { hub, run, number: *number, positions, sites: sites.to_vec(), unknown });
+        for (sites, unreported) in [(with, false), (without, true)] {
+            for sites in sites.chunks(MAX_SITES_PER_SUMMARY) {
+                *seq += 1;
+                let positions = known.clone().filter(|_| !unreported).unwrap_or_default();
+                all.push(HubSummary { hub, run_id, seq: *seq, positions, sites: sites.to_vec(), unreported });
             }
         }
         all
     }
 
     /// Another hub's word, whose signature is good.
-    pub fn told(&mut self, now: Time, told: &Gathered) -> Taken {
-        let before = self.told.get(&told.hub);
+    pub fn handle_summary(&mut self, now: Time, summary: &HubSummary) -> Outcome {
+        let before = self.last_summaries.get(&summary.hub);
         // Guards against old words that come again.
-        if before.is_some_and(|(run, number)| *run == told.run && *number >= told.number) {
-            return Taken::Passed;
+        if before.is_some_and(|(run_id, seq)| *run_id == summary.run_id && *seq >= summary.seq) {
+            return Outcome::Ignored;
         }
-        self.told.insert(told.hub, (told.run, told.number));
-        let fits = told.unknown || told.positions.len() == self.streams;
-        for key in told.sites.iter().take(SITES_AT_ONCE) {
+        self.last_summaries.insert(summary.hub, (summary.run_id, summary.seq));
+        let fits = summary.unreported || summary.positions.len() == self.stream_count;
+        for key in summary.sites.iter().take(MAX_SITES_PER_SUMMARY) {
             // Sites that only another hub knows are its own to wait for.
-            if let Some(site) = self.all.get_mut(key) {
-                site.heard = Some(now);
-                if !told.unknown && fits {
-                    site.raise(&told.positions);
+            if let Some(site) = self.sites.get_mut(key) {
+                site.last_heard = Some(now);
+                if !summary.unreported && fits {
+                    site.raise_positions(&summary.positions);
                 }
             }
         }
-        Taken::Good
+        Outcome::Accepted
     }
 
     /// The watermarks as of now.
-    pub fn weigh(&mut self, now: Time) {
-        let near = |site: &&Site| site.heard.is_some_and(|at| now - at < self.touch);
-        let none = vec![0; self.streams];
+    pub fn update_watermarks(&mut self, now: Time) {
+        let in_touch_at = |site: &&SiteState| site.last_heard.is_some_and(|at| now - at < self.touch_timeout);
+        let none = vec![0; self.stream_count];
         let mut in_touch: Option<Vec<u64>> = None;
-        for site in self.all.values().filter(near) {
-            least(&mut in_touch, site.positions.as_ref().unwrap_or(&none));
+        for site in self.sites.values().filter(in_touch_at) {
+            take_minimum(&mut in_touch, site.positions.as_ref().unwrap_or(&none));
         }
         let mut everywhere: Option<Vec<u64>> = None;
-        for site in self.all.values().filter(|s| s.listed) {
-            least(&mut everywhere, site.positions.as_ref().unwrap_or(&none));
+        for site in self.sites.values().filter(|s| s.listed) {
+            take_minimum(&mut everywhere, site.positions.as_ref().unwrap_or(&none));
         }
         let raise = |to: &mut Vec<u64>, by: Option<Vec<u64>>| {
             to.iter_mut().zip(by.unwrap_or_default()).for_each(|(a, b)| *a = (*a).max(b));
         };
         // Those that were in touch with a hub before this one began show within this time.
-        if now - self.start >= self.touch {
+        if now - self.started_at >= self.touch_timeout {
             raise(&mut self.in_touch, in_touch);
         }
         raise(&mut self.everywhere, everywhere);
@@ -326,32 +334,33 @@
         both.for_each(|(t, e)| *t = (*t).max(*e));
     }
 
-    pub fn done(&self, stream: usize) -> (u64, u64) {
+    pub fn watermarks(&self, stream: usize) -> (u64, u64) {
         let at = |of: &Vec<u64>| of.get(stream).copied().unwrap_or(0);
         (at(&self.in_touch), at(&self.everywhere))
     }
 
     /// Sites of the file that are out of touch, and members that lag at those heard by this hub.
-    pub fn missing(&self, now: Time) -> Vec<Missing> {
+    pub fn unacked(&self, now: Time) -> Vec<Unacked> {
         let mut all = Vec::new();
-        for site in self.all.values() {
-            let named = |member: Option<&String>, (stream, position): (usize, u64)| Missing {
+        for site in self.sites.values() {
+            let named = |member: Option<&String>, (stream, position): (usize, u64)| Unacked {
                 site: site.name.clone(),
                 member: member.cloned(),
                 stream,
                 position,
             };
             let lowest = |of: &Vec<u64>| {
-                let far = self.ends.values().next_back();
-                let last = |s: usize| far.and_then(|e| e.iter().find(|e| e.0 == s)).map_or(0, |e| e.1);
+                let latest_ends = self.pending_ends.values().next_back();
+                let last =
+                    |s: usize| latest_ends.and_then(|e| e.iter().find(|e| e.0 == s)).map_or(0, |e| e.1);
                 of.iter()
                     .enumerate()
                     .max_by_key(|(s, p)| last(*s).saturating_sub(**p))
                     .map_or((0, 0), |(s, p)| (s, *p))
             };
-            let near = site.heard.is_some_and(|at| now - at < self.touch);
-            if !near || site.positions.is_none() {
-                if site.listed || near {
+            let in_touch_at = site.last_heard.is_some_and(|at| now - at < self.touch_timeout);
+            if !in_touch_at || site.positions.is_none() {
+                if site.listed || in_touch_at {
                     all.push(named(None, site.positions.as_ref().map_or((0, 0), lowest)));
                 }
                 continue;
@@ -363,29 +372,36 @@
             {
                 all.push(named(None, (s, *p)));
             }
-            if site.direct.is_some_and(|at| now - at < self.touch) {
+            if site.last_heard_directly.is_some_and(|at| now - at < self.touch_timeout) {
                 all.extend(site.silent.iter().map(|(m, had)| named(Some(m), lowest(had))));
                 all.extend(site.behind.iter().map(|(m, at)| named(Some(m), *at)));
             }
         }
-        all.truncate(MOST_MISSING);
+        all.truncate(MAX_UNACKED);
         all
     }
 
-    pub fn held(&self) -> usize {
-        self.all.len()
+    pub fn len(&self) -> usize {
+        self.sites.len()
     }
 
-    pub fn check_rules(&self) -> Result<(), String> {
-        if self.all.len() > MOST_SITES || self.ends.len() > MOST_ENDS || self.liars.len() > MOST_LIARS {
+    pub fn check_invariants(&self) -> Result<(), String> {
+        if self.sites.len() > MAX_SITES
+            || self.pending_ends.len() > MAX_PENDING_BUNDLES
+            || self.false_acks.len() > MAX_FALSE_ACKERS
+        {
             return Err(format!(
                 "{} sites, {} ends, {} liars",
-                self.all.len(),
-                self.ends.len(),
-                self.liars.len()
+                self.sites.len(),
+                self.pending_ends.len(),
+                self.false_acks.len()
             ));
         }
-        if self.all.values().any(|s| s.silent.len() > MOST_LAGGARDS || s.behind.len() > MOST_LAGGARDS) {
+        if self
+            .sites
+            .values()
+            .any(|s| s.silent.len() > MAX_LAGGARDS_PER_REPORT || s.behind.len() > MAX_LAGGARDS_PER_REPORT)
+        {
             return Err("more laggards than reports name".to_owned());
         }
         if self.in_touch.iter().zip(&self.everywhere).any(|(t, e)| t < e) {
--- a/feed/src/settings.rs
+++ b/feed/src/settings.rs
@@ -6,10 +6,10 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-pub const MOST_NAME: usize = 64;
-pub const MOST_STREAMS: usize = 32;
-pub const MOST_HUBS: usize = 16;
-pub const MOST_SITES: usize = 4_096;
+pub const MAX_NAME_BYTES: usize = 64;
+pub const MAX_STREAMS: usize = 32;
+pub const MAX_HUBS: usize = 16;
+pub const MAX_SITES: usize = 4_096;
 
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq)]
 #[serde(deny_unknown_fields)]
@@ -38,16 +38,16 @@
     #[serde(default)]
     pub control: Option<Control>,
     /// Changes are gathered for so long.
-    #[serde(default = "period")]
+    #[serde(default = "default_period_ms")]
     pub period_ms: u64,
     /// Nothing heard for so long: another way is taken.
-    #[serde(default = "silent")]
+    #[serde(default = "default_silent_ms")]
     pub silent_ms: u64,
     /// A gap that stands for so long is a purge of all that is older than its end. Below the settings' purge grace.
-    #[serde(default = "grace")]
+    #[serde(default = "default_grace_ms")]
     pub grace_ms: u64,
     /// Connections to each list service a second, of all gateways together, while no hub is heard.
-    #[serde(default = "connections")]
+    #[serde(default = "default_connections_per_s")]
     pub connections_per_s: f64,
 }
 
@@ -81,44 +81,44 @@
     /// All sites that there are: what has not reached one of them is not done.
     pub sites: Vec<String>,
     /// Events of each stream that are kept for those who were away: two hours of 150 a second.
-    #[serde(default = "kept")]
+    #[serde(default = "default_most_kept")]
     pub most_kept: usize,
 }
 
-fn period() -> u64 {
+fn default_period_ms() -> u64 {
     500
 }
 
-fn silent() -> u64 {
+fn default_silent_ms() -> u64 {
     1_200
 }
 
-fn grace() -> u64 {
+fn default_grace_ms() -> u64 {
     400
 }
 
-fn connections() -> f64 {
+fn default_connections_per_s() -> f64 {
     10.0
 }
 
-fn kept() -> usize {
+fn default_most_kept() -> usize {
     1_100_000
 }
 
 /// A row of hex digits as bytes.
-pub fn hex(digits: &str) -> Option<Vec<u8>> {
+pub fn decode_hex(digits: &str) -> Option<Vec<u8>> {
     let pair = |p: &[u8]| u8::from_str_radix(std::str::from_utf8(p).ok()?, 16).ok();
     let digits = digits.as_bytes();
     digits.len().is_multiple_of(2).then(|| digits.chunks(2).map(pair).collect::<Option<Vec<u8>>>())?
 }
 
-pub fn is_name(text: &str) -> bool {
-    !text.is_empty() && text.len() <= MOST_NAME && text.bytes().all(|b| b.is_ascii_graphic())
+pub fn is_valid_name(text: &str) -> bool {
+    !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.bytes().all(|b| b.is_ascii_graphic())
 }
 
 impl Key {
-    pub fn bytes(&self) -> Option<Vec<u8>> {
-        hex(&self.secret)
+    pub fn secret_bytes(&self) -> Option<Vec<u8>> {
+        decode_hex(&self.secret)
     }
 }
 
@@ -129,35 +129,35 @@
             if is { Ok(()) } else { Err((field.to_owned(), what)) }
         };
         let visible = "a name has 1 to 64 visible characters";
-        need(is_name(&self.name), "name", visible)?;
-        need(is_name(&self.site), "site", visible)?;
-        need((1..=MOST_STREAMS).contains(&self.streams.len()), "streams", "1 to 32 are wanted")?;
+        need(is_valid_name(&self.name), "name", visible)?;
+        need(is_valid_name(&self.site), "site", visible)?;
+        need((1..=MAX_STREAMS).contains(&self.streams.len()), "streams", "1 to 32 are wanted")?;
         need(self.own < self.streams.len(), "own", "the place of a stream, counted from 0")?;
-        need((1..=MOST_HUBS).contains(&self.hubs.len()), "hubs", "1 to 16 are wanted")?;
+        need((1..=MAX_HUBS).contains(&self.hubs.len()), "hubs", "1 to 16 are wanted")?;
         let mut seen = BTreeSet::new();
         for (i, stream) in self.streams.iter().enumerate() {
-            need(is_name(&stream.name), &format!("streams[{i}].name"), visible)?;
+            need(is_valid_name(&stream.name), &format!("streams[{i}].name"), visible)?;
             need(seen.insert(&stream.name), &format!("streams[{i}].name"), "another stream has it")?;
         }
-        let (mut names, mut places) = (BTreeSet::new(), BTreeSet::new());
+        let (mut names, mut addresses) = (BTreeSet::new(), BTreeSet::new());
         for (i, hub) in self.hubs.iter().enumerate() {
-            need(is_name(&hub.name), &format!("hubs[{i}].name"), visible)?;
+            need(is_valid_name(&hub.name), &format!("hubs[{i}].name"), visible)?;
             need(names.insert(&hub.name), &format!("hubs[{i}].name"), "another hub has it")?;
             need(
                 hub.address.is_ipv4() && hub.address.port() != 0,
                 &format!("hubs[{i}].address"),
                 "an IPv4 address with its port",
             )?;
-            need(places.insert(hub.address), &format!("hubs[{i}].address"), "another hub has it")?;
-            let key = hex(&hub.public).is_some_and(|k| k.len() == 32);
+            need(addresses.insert(hub.address), &format!("hubs[{i}].address"), "another hub has it")?;
+            let key = decode_hex(&hub.public).is_some_and(|k| k.len() == 32);
             need(key, &format!("hubs[{i}].public"), "32 bytes in hex digits are wanted")?;
         }
         if let Some(control) = &self.control {
             need(names.contains(&control.name), "control.name", "no hub has it")?;
-            let key = hex(&control.secret).is_some_and(|k| k.len() == 32);
+            let key = decode_hex(&control.secret).is_some_and(|k| k.len() == 32);
             need(key, "control.secret", "32 bytes in hex digits are wanted")?;
-            need(control.sites.len() <= MOST_SITES, "control.sites", "4,096 at the most")?;
-            need(control.sites.iter().all(|s| is_name(s)), "control.sites", visible)?;
+            need(control.sites.len() <= MAX_SITES, "control.sites", "4,096 at the most")?;
+            need(control.sites.iter().all(|s| is_valid_name(s)), "control.sites", visible)?;
             need(
                 (1_024..=20_000_000).contains(&control.most_kept),
                 "control.most_kept",
@@ -172,7 +172,7 @@
     }
 
     /// The place of the hub that this process is.
-    pub fn hub(&self) -> Option<usize> {
+    pub fn control_hub_index(&self) -> Option<usize> {
         let control = self.control.as_ref()?;
         self.hubs.iter().position(|h| h.name == control.name)
     }
--- a/feed/src/streams.rs
+++ b/feed/src/streams.rs
@@ -1,10 +1,10 @@
 //! What a gateway knows of each stream: by hubs' bundles, and with what its site's contact gathered itself. Must never
 //! move a position by anything but a hub's bundle, nor give out an event before those in front of it.
 
-use crate::Out;
-use crate::lines::Lines;
+use crate::Output;
 use crate::log::Seen;
 use crate::positions::Positions;
+use crate::reassembly::Reassembler;
 use crate::wire::{Bundle, Range};
 use kelpcart::hash_prefix::PrefixSet;
 use kelpcart::{Span, Time};
@@ -12,41 +12,41 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Events given out by a provisional bundle before a hub told them.
-const MOST_EARLY: usize = 4_096;
+const MAX_EARLY: usize = 4_096;
 /// An event of which pieces come is not asked for.
-const PIECES_COME: Span = Span::from_millis(300);
+const PIECE_WAIT: Span = Span::from_millis(300);
 
 pub struct Stream {
     /// A position is known: by the file or by a first bundle.
     pub started: bool,
-    pub hard: Positions,
+    pub signed: Positions,
     /// The same and what is provisional.
-    pub soft: Positions,
+    pub provisional: Positions,
     /// Where the latter began, before a position was known.
-    soft_from: u64,
+    provisional_base: u64,
     /// The latest stamp of a bundle that reaches beyond the position.
-    stamp: u64,
+    latest_issued_ms: u64,
     /// Gaps up to here were told as a purge of everything.
-    covered: u64,
+    purged_through: u64,
     /// A gap that stands: since when, and its last number.
-    stands: Option<(Time, u64)>,
+    open_gap: Option<(Time, u64)>,
     pub in_touch: u64,
     pub everywhere: u64,
     /// The list service had no more than is known at that time, less what the word took on its way.
-    fresh: Option<Time>,
+    fresh_at: Option<Time>,
 }
 
 pub struct Streams {
     pub all: Vec<Stream>,
-    pub hard: Lines,
-    soft: Lines,
+    pub signed_lines: Reassembler,
+    provisional_lines: Reassembler,
     /// By stream and number what was given out of soft ones, as a hash.
-    early: BTreeMap<(usize, u64), u64>,
+    delivered_early: BTreeMap<(usize, u64), u64>,
     pub seen: Seen,
     /// Provisional bundles were taken since a hub was heard last.
-    provisional: bool,
-    pub out: Vec<Out>,
-    pub purged_all: u64,
+    has_provisional: bool,
+    pub outputs: Vec<Output>,
+    pub gaps_purged: u64,
     pub purges: u64,
     pub lines: u64,
 }
@@ -55,51 +55,62 @@
     pub fn new(known: impl Iterator<Item = u64>) -> Streams {
         let one = |known: u64| Stream {
             started: known > 0,
-            hard: Positions::new(known),
-            soft: Positions::new(known),
-            soft_from: 0,
-            stamp: 0,
-            covered: known,
-            stands: None,
+            signed: Positions::new(known),
+            provisional: Positions::new(known),
+            provisional_base: 0,
+            latest_issued_ms: 0,
+            purged_through: known,
+            open_gap: None,
             in_touch: 0,
             everywhere: 0,
-            fresh: None,
+            fresh_at: None,
         };
         Streams {
             all: known.map(one).collect(),
-            hard: Lines::default(),
-            soft: Lines::default(),
-            early: BTreeMap::new(),
+            signed_lines: Reassembler::default(),
+            provisional_lines: Reassembler::default(),
+            delivered_early: BTreeMap::new(),
             seen: Seen::default(),
-            provisional: false,
-            out: Vec::new(),
-            purged_all: 0,
+            has_provisional: false,
+            outputs: Vec::new(),
+            gaps_purged: 0,
             purges: 0,
             lines: 0,
         }
     }
 
-    pub fn age(&self, now: Time, stream: usize) -> Option<Span> {
-        self.all.get(stream)?.fresh.map(|at| now - at)
+    pub fn staleness(&self, now: Time, stream: usize) -> Option<Span> {
+        self.all.get(stream)?.fresh_at.map(|at| now - at)
     }
 
-    fn purge(&mut self, body: &Bundle, names: Option<PrefixSet>) {
+    fn emit_purge(&mut self, body: &Bundle, names: Option<PrefixSet>) {
         if let Some(names) = names {
             let stream = body.ranges().find(|(_, first, last)| first <= last).map_or(0, |(s, _, _)| s);
             self.purges += 1;
-            self.out.push(Out::Purge { stream, names, issued_ms: body.issued });
+            self.outputs.push(Output::Purge { stream, names, issued_ms: body.issued_ms });
         }
     }
 
     /// Numbers of the range but those of events that are not whole here.
-    fn parts(body: &Bundle, lines: &Lines, s: usize, first: u64, last: u64) -> Vec<(u64, u64)> {
-        let here = |p: &&crate::wire::Piece| p.stream as usize == s && (first..=last).contains(&p.no);
-        let open: BTreeSet<u64> =
-            body.pieces.iter().filter(here).map(|p| p.no).filter(|no| !lines.is_whole(s, *no)).collect();
+    fn complete_ranges(
+        body: &Bundle,
+        lines: &Reassembler,
+        s: usize,
+        first: u64,
+        last: u64,
+    ) -> Vec<(u64, u64)> {
+        let in_range = |p: &&crate::wire::Piece| p.stream as usize == s && (first..=last).contains(&p.seq);
+        let open: BTreeSet<u64> = body
+            .pieces
+            .iter()
+            .filter(in_range)
+            .map(|p| p.seq)
+            .filter(|seq| !lines.is_complete(s, *seq))
+            .collect();
         let (mut from, mut all) = (first, Vec::new());
-        for no in open {
-            all.push((from, no - 1));
-            from = no + 1;
+        for seq in open {
+            all.push((from, seq - 1));
+            from = seq + 1;
         }
         all.push((from, last));
         all.retain(|(a, b)| a <= b);
@@ -107,7 +118,7 @@
     }
 
     /// A hub's bundle; streams that it started, each with its position then.
-    pub fn take(
+    pub fn apply_signed(
         &mut self,
         now: Time,
         body: &Bundle,
@@ -115,137 +126,146 @@
         live: bool,
     ) -> Vec<(usize, u64)> {
         let mut started = Vec::new();
-        self.purge(body, names);
+        self.emit_purge(body, names);
         for (s, first, _) in body.ranges() {
             let Some(stream) = self.all.get_mut(s).filter(|t| live && !t.started) else { continue };
             stream.started = true;
-            stream.covered = stream.covered.max(first - 1);
-            stream.hard.start(first - 1);
-            if stream.soft_from > first - 1 {
+            stream.purged_through = stream.purged_through.max(first - 1);
+            stream.signed.start_at(first - 1);
+            if stream.provisional_base > first - 1 {
                 // What was provisional began further on, and stands for nothing in front of that.
-                stream.soft = Positions::new(first - 1);
+                stream.provisional = Positions::new(first - 1);
             }
-            stream.soft.start(first - 1);
+            stream.provisional.start_at(first - 1);
             started.push((s, first - 1));
         }
         for p in &body.pieces {
             let s = p.stream as usize;
-            let Some(stream) = self.all.get(s).filter(|t| t.started && p.no > t.hard.position()) else {
+            let Some(stream) = self.all.get(s).filter(|t| t.started && p.seq > t.signed.position()) else {
                 continue;
             };
-            let needed = p.no == stream.hard.position() + 1;
-            self.hard.piece(now, p, needed);
-            if self.hard.is_whole(s, p.no) {
-                self.all[s].hard.add(p.no, p.no);
-                self.all[s].soft.add(p.no, p.no);
+            let needed = p.seq == stream.signed.position() + 1;
+            self.signed_lines.add_piece(now, p, needed);
+            if self.signed_lines.is_complete(s, p.seq) {
+                self.all[s].signed.add(p.seq, p.seq);
+                self.all[s].provisional.add(p.seq, p.seq);
             } else {
                 // It exists, whatever becomes of it.
-                self.all[s].hard.see(p.no);
-                self.all[s].soft.see(p.no);
+                self.all[s].signed.observe(p.seq);
+                self.all[s].provisional.observe(p.seq);
             }
         }
         for (s, first, last) in body.ranges() {
             let Some(stream) = self.all.get_mut(s).filter(|t| t.started) else { continue };
-            if last > stream.hard.position() {
-                stream.stamp = stream.stamp.max(body.latest());
+            if last > stream.signed.position() {
+                stream.latest_issued_ms = stream.latest_issued_ms.max(body.latest_issued_ms());
             }
-            for (a, b) in Self::parts(body, &self.hard, s, first, last) {
-                stream.hard.add(a, b);
-                stream.soft.add(a, b);
+            for (a, b) in Self::complete_ranges(body, &self.signed_lines, s, first, last) {
+                stream.signed.add(a, b);
+                stream.provisional.add(a, b);
             }
-            stream.hard.see(last);
-            stream.soft.see(last);
-            if let Some(age) = body.ages.get(s).filter(|_| live) {
+            stream.signed.observe(last);
+            stream.provisional.observe(last);
+            if let Some(age) = body.ages_10ms.get(s).filter(|_| live) {
                 let at = now.back(Span::from_millis(u64::from(*age) * 10));
-                stream.fresh = Some(stream.fresh.map_or(at, |f| f.max(at)));
+                stream.fresh_at = Some(stream.fresh_at.map_or(at, |f| f.max(at)));
             }
-            if let Some(behind) = body.behind.get(s) {
+            if let Some(behind) = body.in_touch_lag.get(s) {
                 let in_touch = last.saturating_sub(*behind);
-                let everywhere = in_touch.saturating_sub(body.apart.get(s).copied().unwrap_or(0));
+                let everywhere = in_touch.saturating_sub(body.everywhere_lag.get(s).copied().unwrap_or(0));
                 stream.in_touch = stream.in_touch.max(in_touch);
                 stream.everywhere = stream.everywhere.max(everywhere);
             }
-            if live && self.provisional {
+            if live && self.has_provisional {
                 // What is provisional can't stand for anything that hubs tell from now on.
-                stream.soft.truncate(last.max(stream.hard.seen()));
+                stream.provisional.truncate(last.max(stream.signed.highest_seen()));
             }
         }
         if live {
-            self.provisional = false;
+            self.has_provisional = false;
         }
         self.deliver();
         started
     }
 
     /// What the site's contact gathered: acted on, but no position moves.
-    pub fn take_provisional(&mut self, now: Time, body: &Bundle, names: Option<PrefixSet>) {
-        self.provisional = true;
-        self.purge(body, names);
+    pub fn apply_provisional(&mut self, now: Time, body: &Bundle, names: Option<PrefixSet>) {
+        self.has_provisional = true;
+        self.emit_purge(body, names);
         for p in &body.pieces {
             let s = p.stream as usize;
-            let Some(stream) = self.all.get_mut(s).filter(|t| p.no > t.soft.position()) else { continue };
-            self.soft.piece(now, p, false);
-            if self.soft.is_whole(s, p.no) {
-                stream.soft.add(p.no, p.no);
+            let Some(stream) = self.all.get_mut(s).filter(|t| p.seq > t.provisional.position()) else {
+                continue;
+            };
+            self.provisional_lines.add_piece(now, p, false);
+            if self.provisional_lines.is_complete(s, p.seq) {
+                stream.provisional.add(p.seq, p.seq);
             }
         }
         for (s, first, last) in body.ranges() {
             let Some(stream) = self.all.get_mut(s) else { continue };
-            if !stream.started && stream.soft.position() == 0 {
-                stream.soft.start(first - 1);
-                stream.soft_from = first - 1;
-                stream.covered = stream.covered.max(first - 1);
+            if !stream.started && stream.provisional.position() == 0 {
+                stream.provisional.start_at(first - 1);
+                stream.provisional_base = first - 1;
+                stream.purged_through = stream.purged_through.max(first - 1);
             }
-            stream.stamp = stream.stamp.max(body.latest());
-            for (a, b) in Self::parts(body, &self.soft, s, first, last) {
-                stream.soft.add(a, b);
+            stream.latest_issued_ms = stream.latest_issued_ms.max(body.latest_issued_ms());
+            for (a, b) in Self::complete_ranges(body, &self.provisional_lines, s, first, last) {
+                stream.provisional.add(a, b);
             }
-            stream.soft.see(last);
+            stream.provisional.observe(last);
         }
         self.deliver();
     }
 
-    fn give(&mut self, stream: usize, no: u64, line: Vec<u8>) {
+    fn emit_line(&mut self, stream: usize, seq: u64, line: Vec<u8>) {
         self.lines += 1;
-        self.out.push(Out::Line { stream, no, line });
+        self.outputs.push(Output::Line { stream, seq, line });
     }
 
     fn deliver(&mut self) {
         for s in 0..self.all.len() {
-            let (hard, soft) = (self.all[s].hard.position(), self.all[s].soft.position());
-            for (no, line) in self.hard.take(s, hard) {
+            let (signed, provisional) = (self.all[s].signed.position(), self.all[s].provisional.position());
+            for (seq, line) in self.signed_lines.take_through(s, signed) {
                 // What was given out early is not again, unless a hub tells it otherwise.
-                if self.early.get(&(s, no)) != Some(&xxh3_64(&line)) {
-                    self.give(s, no, line);
+                if self.delivered_early.get(&(s, seq)) != Some(&xxh3_64(&line)) {
+                    self.emit_line(s, seq, line);
                 }
             }
-            let done: Vec<(usize, u64)> = self.early.range((s, 0)..=(s, hard)).map(|(key, _)| *key).collect();
-            done.iter().for_each(|key| _ = self.early.remove(key));
-            if !self.all[s].started && self.all[s].soft_from > 0 {
+            let done: Vec<(usize, u64)> =
+                self.delivered_early.range((s, 0)..=(s, signed)).map(|(key, _)| *key).collect();
+            done.iter().for_each(|key| _ = self.delivered_early.remove(key));
+            if !self.all[s].started && self.all[s].provisional_base > 0 {
                 // A hub may begin further back: events of before would come after these.
                 continue;
             }
-            let soft_lines = self.soft.take(s, soft);
-            if soft <= hard {
+            let provisional_lines = self.provisional_lines.take_through(s, provisional);
+            if provisional <= signed {
                 continue;
             }
             let mut due: BTreeMap<u64, Vec<u8>> =
-                soft_lines.into_iter().filter(|(no, _)| *no > hard).collect();
-            let told = self.hard.between(s, hard, soft).filter(|(no, _)| !self.early.contains_key(&(s, *no)));
-            due.extend(told.map(|(no, line)| (no, line.clone())));
-            for (no, line) in due {
-                if self.early.len() < MOST_EARLY && !self.early.contains_key(&(s, no)) {
-                    self.early.insert((s, no), xxh3_64(&line));
-                    self.give(s, no, line);
+                provisional_lines.into_iter().filter(|(seq, _)| *seq > signed).collect();
+            let signed_later = self
+                .signed_lines
+                .complete_between(s, signed, provisional)
+                .filter(|(seq, _)| !self.delivered_early.contains_key(&(s, *seq)));
+            due.extend(signed_later.map(|(seq, line)| (seq, line.clone())));
+            for (seq, line) in due {
+                if self.delivered_early.len() < MAX_EARLY && !self.delivered_early.contains_key(&(s, seq)) {
+                    self.delivered_early.insert((s, seq), xxh3_64(&line));
+                    self.emit_line(s, seq, line);
                 }
             }
         }
     }
 
     /// The last number of a range that is neither known nor an event whose pieces come.
-    fn unknown(&self, s: usize, after: u64, to: u64) -> Option<u64> {
-        let open = |no: u64| self.hard.lacks(s, no).is_some() || self.soft.lacks(s, no).is_some();
-        for (first, last) in self.all[s].soft.gaps() {
+    fn last_unknown(&self, s: usize, after: u64, to: u64) -> Option<u64> {
+        let open = |seq: u64| {
+            self.signed_lines.first_missing(s, seq).is_some()
+                || self.provisional_lines.first_missing(s, seq).is_some()
+        };
+        for (first, last) in self.all[s].provisional.gaps() {
             let (first, mut last) = (first.max(after + 1), last.min(to));
             while last >= first {
                 if !open(last) {
@@ -258,29 +278,29 @@
     }
 
     /// Gaps that stand too long are told as a purge of everything, each once; when to look again.
-    pub fn grace(&mut self, now: Time, grace: Span) -> Option<Time> {
+    pub fn purge_expired_gaps(&mut self, now: Time, grace: Span) -> Option<Time> {
         let mut next = None;
         for s in 0..self.all.len() {
-            let covered = self.all[s].covered;
-            if let Some((since, to)) = self.all[s].stands {
-                if self.unknown(s, covered, to).is_none() {
-                    self.all[s].stands = None;
+            let purged_through = self.all[s].purged_through;
+            if let Some((since, to)) = self.all[s].open_gap {
+                if self.last_unknown(s, purged_through, to).is_none() {
+                    self.all[s].open_gap = None;
                 } else if now >= since + grace {
-                    let own = self.all[s].stamp;
-                    let any = || self.all.iter().map(|t| t.stamp).max().unwrap_or(0);
+                    let own = self.all[s].latest_issued_ms;
+                    let any = || self.all.iter().map(|t| t.latest_issued_ms).max().unwrap_or(0);
                     let issued_ms = if own > 0 { own } else { any() };
                     if issued_ms > 0 {
-                        self.purged_all += 1;
-                        self.out.push(Out::Purge { stream: s, names: PrefixSet::all(), issued_ms });
-                        (self.all[s].covered, self.all[s].stands) = (to, None);
+                        self.gaps_purged += 1;
+                        self.outputs.push(Output::Purge { stream: s, names: PrefixSet::all(), issued_ms });
+                        (self.all[s].purged_through, self.all[s].open_gap) = (to, None);
                     }
                 }
             }
-            if self.all[s].stands.is_none() {
-                let to = self.unknown(s, self.all[s].covered, u64::MAX);
-                self.all[s].stands = to.map(|to| (now, to));
+            if self.all[s].open_gap.is_none() {
+                let to = self.last_unknown(s, self.all[s].purged_through, u64::MAX);
+                self.all[s].open_gap = to.map(|to| (now, to));
             }
-            if let Some((since, _)) = self.all[s].stands {
+            if let Some((since, _)) = self.all[s].open_gap {
                 let at = (since + grace).max(now + Span::from_millis(10));
                 next = Some(next.map_or(at, |n: Time| n.min(at)));
             }
@@ -289,17 +309,17 @@
     }
 
     /// A gap as it is asked for, the newest first: an event that has begun by itself, from the byte on that it lacks.
-    fn wanted(&self, now: Time, s: usize, first: u64, mut last: u64) -> Vec<Range> {
+    fn requests_for_gap(&self, now: Time, s: usize, first: u64, mut last: u64) -> Vec<Range> {
         let stream = s as u32;
         let mut all = Vec::new();
-        for (no, offset, at) in self.hard.begun(s, first, last) {
-            if no < last {
-                all.push(Range { stream, first: no + 1, last, offset: 0 });
+        for (seq, offset, at) in self.signed_lines.partials(s, first, last) {
+            if seq < last {
+                all.push(Range { stream, first: seq + 1, last, offset: 0 });
             }
-            if now - at >= PIECES_COME {
-                all.push(Range { stream, first: no, last: no, offset });
+            if now - at >= PIECE_WAIT {
+                all.push(Range { stream, first: seq, last: seq, offset });
             }
-            last = no - 1;
+            last = seq - 1;
         }
         if first <= last {
             all.push(Range { stream, first, last, offset: 0 });
@@ -308,66 +328,69 @@
     }
 
     /// What is missing of hubs' bundles, the newest of each stream first.
-    pub fn gaps(&self, now: Time, most: usize) -> Vec<Range> {
+    pub fn missing_ranges(&self, now: Time, max: usize) -> Vec<Range> {
         let mut all: Vec<Vec<Range>> = Vec::new();
         for (s, stream) in self.all.iter().enumerate().filter(|(_, t)| t.started) {
             let mine: Vec<Range> = stream
-                .hard
+                .signed
                 .gaps()
-                .flat_map(|(first, last)| self.wanted(now, s, first, last))
-                .take(most)
+                .flat_map(|(first, last)| self.requests_for_gap(now, s, first, last))
+                .take(max)
                 .collect();
             if !mine.is_empty() {
                 all.push(mine);
             }
         }
         // The newest gap of every stream before the second of any.
-        let mut out = Vec::new();
-        for i in 0..most {
-            out.extend(all.iter().filter_map(|mine| mine.get(i)));
+        let mut outputs = Vec::new();
+        for i in 0..max {
+            outputs.extend(all.iter().filter_map(|mine| mine.get(i)));
         }
-        out.truncate(most);
-        out
+        outputs.truncate(max);
+        outputs
     }
 
-    pub fn is_whole(&self) -> bool {
-        self.all.iter().all(|t| !t.started || t.hard.gaps().next().is_none())
+    pub fn has_no_gaps(&self) -> bool {
+        self.all.iter().all(|t| !t.started || t.signed.gaps().next().is_none())
     }
 
-    pub fn missing(&self) -> u64 {
-        self.all.iter().filter(|t| t.started).flat_map(|t| t.hard.gaps()).map(|(a, b)| b - a + 1).sum()
+    pub fn missing_count(&self) -> u64 {
+        self.all.iter().filter(|t| t.started).flat_map(|t| t.signed.gaps()).map(|(a, b)| b - a + 1).sum()
     }
 
     /// Pieces and ranges that found no room, and are gaps therefore.
     pub fn dropped(&self) -> u64 {
-        let ranges = self.all.iter().map(|t| t.hard.forgotten).sum::<u64>();
-        ranges + self.hard.dropped + self.soft.dropped
+        let ranges = self.all.iter().map(|t| t.signed.forgotten).sum::<u64>();
+        ranges + self.signed_lines.dropped + self.provisional_lines.dropped
     }
 
     pub fn sizes(&self) -> [(&'static str, usize); 4] {
         [
-            ("feed ranges", self.all.iter().map(|t| t.hard.ranges() + t.soft.ranges()).sum()),
-            ("feed lines", self.hard.held() + self.soft.held()),
-            ("feed early lines", self.early.len()),
-            ("feed bundles seen", self.seen.held()),
+            (
+                "feed ranges",
+                self.all.iter().map(|t| t.signed.range_count() + t.provisional.range_count()).sum(),
+            ),
+            ("feed lines", self.signed_lines.len() + self.provisional_lines.len()),
+            ("feed early lines", self.delivered_early.len()),
+            ("feed bundles seen", self.seen.len()),
         ]
     }
 
-    pub fn check_rules(&self) -> Result<(), String> {
+    pub fn check_invariants(&self) -> Result<(), String> {
         for (s, stream) in self.all.iter().enumerate() {
-            stream.hard.check_rules().map_err(|e| format!("stream {s}: {e}"))?;
-            stream.soft.check_rules().map_err(|e| format!("stream {s}, provisional: {e}"))?;
-            if stream.soft.position() < stream.hard.position() {
+            stream.signed.check_invariants().map_err(|e| format!("stream {s}: {e}"))?;
+            stream.provisional.check_invariants().map_err(|e| format!("stream {s}, provisional: {e}"))?;
+            if stream.provisional.position() < stream.signed.position() {
                 return Err(format!("stream {s}: provisional knowledge ends before a hub's"));
             }
             if stream.everywhere > stream.in_touch {
                 return Err(format!("stream {s}: more is done everywhere than in touch"));
             }
         }
-        self.hard.check_rules()?;
-        self.soft.check_rules()?;
-        if self.early.len() > MOST_EARLY {
-            return Err(format!("{} events given out early", self.early.len()));
+        self.signed_lines.check_invariants()?;
+        self.provisional_lines.check_invariants()?;
+        if self.delivered_early.len() > MAX_EARLY {
+            return Err(format!("{} events given out early", self.delivered_early.len()));
         }
         Ok(())
     }
--- a/feed/src/wire.rs
+++ b/feed/src/wire.rs
@@ -1,66 +1,66 @@
 //! What gateways and hubs say to each other on the feed (protobuf by prost), and what may stand in it. Must never be
 //! trusted before `seal` has checked its code; what is not sound is thrown away whole.
 
-use crate::positions::MOST_NO;
-use crate::settings::{MOST_STREAMS, is_name};
+use crate::positions::MAX_SEQ;
+use crate::settings::{MAX_STREAMS, is_valid_name};
 
 /// A bundle with its signature.
-pub const MOST_BUNDLE: usize = 1_150;
+pub const MAX_BUNDLE_BYTES: usize = 1_150;
 /// Bytes of an event that is no purge.
-pub const PIECE: usize = 800;
-pub const MOST_LINE: usize = 1024 * 1024;
+pub const MAX_PIECE_BYTES: usize = 800;
+pub const MAX_LINE_BYTES: usize = 1024 * 1024;
 /// Ranges that one request names, and members that one report does.
-pub const MOST_RANGES: usize = 16;
-pub const MOST_LAGGARDS: usize = 8;
+pub const MAX_RANGES_PER_REQUEST: usize = 16;
+pub const MAX_LAGGARDS_PER_REPORT: usize = 8;
 /// Sites that one hub tells another of in a datagram.
-pub const MOST_SITES: usize = 100;
+pub const MAX_SITES_PER_SUMMARY: usize = 100;
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Packet {
-    #[prost(oneof = "Said", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11")]
-    pub said: Option<Said>,
+    #[prost(oneof = "Payload", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11")]
+    pub payload: Option<Payload>,
 }
 
 #[derive(Clone, PartialEq, prost::Oneof)]
-pub enum Said {
+pub enum Payload {
     #[prost(message, tag = "1")]
-    Live(Passed),
+    Live(LiveBundle),
     /// A bundle that was asked for.
     #[prost(bytes = "vec", tag = "2")]
-    Found(Vec<u8>),
+    Retransmission(Vec<u8>),
     /// What a contact gathered itself, without a signature.
     #[prost(bytes = "vec", tag = "3")]
     Provisional(Vec<u8>),
     #[prost(message, tag = "4")]
-    Follow(Follow),
+    Subscribe(Subscribe),
     /// Who asks or follows has to show this number, so that what it said is not another's from elsewhere.
     #[prost(fixed64, tag = "5")]
     Challenge(u64),
     #[prost(message, tag = "6")]
-    Fetch(Fetch),
+    RetransmitRequest(RetransmitRequest),
     /// Nothing of what was asked for is here.
     #[prost(bool, tag = "7")]
-    Lacks(bool),
+    Unavailable(bool),
     #[prost(message, tag = "8")]
-    Confirm(Confirm),
+    Ack(Ack),
     #[prost(message, tag = "9")]
     Report(Report),
     /// A `Gathered` with its hub's signature behind it.
     #[prost(bytes = "vec", tag = "10")]
-    Gathered(Vec<u8>),
+    HubSummary(Vec<u8>),
     /// The sender hears a hub itself and stands at this place: one behind it need not be a contact.
     #[prost(uint32, tag = "11")]
-    Hears(u32),
+    ContactClaim(u32),
 }
 
 /// A hub's bundle on its way through a site.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Passed {
+pub struct LiveBundle {
     #[prost(bytes = "vec", tag = "1")]
     pub bundle: Vec<u8>,
     /// The place of the contact in the common order.
     #[prost(uint32, tag = "2")]
-    pub via: u32,
+    pub contact_rank: u32,
 }
 
 /// What a hub has gathered in a period. Streams are named by their place in the file.
@@ -70,9 +70,9 @@
     #[prost(fixed32, tag = "1")]
     pub hub: u32,
     #[prost(fixed32, tag = "2")]
-    pub run: u32,
+    pub run_id: u32,
     #[prost(uint64, tag = "3")]
-    pub number: u64,
+    pub seq: u64,
     /// The first number of each stream; 0: nothing is said of it.
     #[prost(uint64, repeated, tag = "4")]
     pub firsts: Vec<u64>,
@@ -81,16 +81,16 @@
     pub counts: Vec<u64>,
     /// Since the list service was known to have no more than that, in units of 10 ms, rounded up; empty: not told.
     #[prost(uint32, repeated, tag = "6")]
-    pub ages: Vec<u32>,
+    pub ages_10ms: Vec<u32>,
     /// From the watermark of sites in touch to the last number; empty: not told.
     #[prost(uint64, repeated, tag = "7")]
-    pub behind: Vec<u64>,
+    pub in_touch_lag: Vec<u64>,
     /// From the watermark of all sites to that of those in touch; empty: they are one.
     #[prost(uint64, repeated, tag = "8")]
-    pub apart: Vec<u64>,
+    pub everywhere_lag: Vec<u64>,
     /// The latest stamp of the purges in it, or of late where there are none; Unix ms.
     #[prost(uint64, tag = "9")]
-    pub issued: u64,
+    pub issued_ms: u64,
     /// As `code` writes them; empty: no purges.
     #[prost(bytes = "vec", tag = "10")]
     pub names: Vec<u8>,
@@ -98,13 +98,13 @@
     pub pieces: Vec<Piece>,
     /// Sites are to report who has everything up to here.
     #[prost(bool, tag = "12")]
-    pub asks: bool,
+    pub wants_report: bool,
     /// How many there are, so that they share a pace when no hub is there.
     #[prost(uint32, tag = "13")]
-    pub sites: u32,
+    pub site_count: u32,
     /// From `issued` to the latest stamp that the hub knows of: nothing up to the last numbers was issued after it.
     #[prost(uint64, tag = "14")]
-    pub later: u64,
+    pub latest_delta_ms: u64,
 }
 
 /// Of an event that is no purge.
@@ -113,47 +113,47 @@
     #[prost(uint32, tag = "1")]
     pub stream: u32,
     #[prost(uint64, tag = "2")]
-    pub no: u64,
+    pub seq: u64,
     /// Where its bytes stand in the event, and how many the event has.
     #[prost(uint32, tag = "3")]
     pub offset: u32,
     #[prost(uint32, tag = "4")]
-    pub of: u32,
+    pub total_len: u32,
     #[prost(bytes = "vec", tag = "5")]
     pub bytes: Vec<u8>,
 }
 
 /// A contact wants what a hub sends, for the next seconds.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Follow {
+pub struct Subscribe {
     #[prost(string, tag = "1")]
     pub site: String,
     #[prost(string, tag = "2")]
     pub gateway: String,
     /// Of the contact; the number counts up with each one that it sends.
     #[prost(fixed32, tag = "3")]
-    pub run: u32,
+    pub run_id: u32,
     #[prost(uint64, tag = "4")]
-    pub number: u64,
+    pub seq: u64,
     #[prost(fixed64, tag = "5")]
     pub token: u64,
     #[prost(bool, tag = "6")]
-    pub ends: bool,
+    pub unsubscribe: bool,
     /// By stream.
     #[prost(uint64, repeated, tag = "7")]
     pub positions: Vec<u64>,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Fetch {
+pub struct RetransmitRequest {
     #[prost(message, repeated, tag = "1")]
     pub ranges: Vec<Range>,
     /// Only what is of late.
     #[prost(bool, tag = "2")]
-    pub late: bool,
+    pub recent_only: bool,
     /// One bundle by its name.
     #[prost(message, optional, tag = "3")]
-    pub one: Option<Named>,
+    pub bundle: Option<BundleId>,
     /// To a hub: who asks.
     #[prost(string, tag = "4")]
     pub site: String,
@@ -176,20 +176,20 @@
 
 /// The name of a bundle.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Message)]
-pub struct Named {
+pub struct BundleId {
     #[prost(fixed32, tag = "1")]
     pub hub: u32,
     #[prost(fixed32, tag = "2")]
-    pub run: u32,
+    pub run_id: u32,
     #[prost(uint64, tag = "3")]
-    pub number: u64,
+    pub seq: u64,
 }
 
 /// To a tree's root: all numbers up to the ends of this bundle are known here, except in some streams.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Confirm {
+pub struct Ack {
     #[prost(message, optional, tag = "1")]
-    pub of: Option<Named>,
+    pub bundle: Option<BundleId>,
     #[prost(uint32, repeated, tag = "2")]
     pub streams: Vec<u32>,
     /// The positions in these.
@@ -205,7 +205,7 @@
     #[prost(string, tag = "2")]
     pub gateway: String,
     #[prost(message, optional, tag = "3")]
-    pub of: Option<Named>,
+    pub bundle: Option<BundleId>,
     /// Live ones, the sender included.
     #[prost(uint32, tag = "4")]
     pub members: u32,
@@ -218,7 +218,7 @@
     pub laggards: Vec<Laggard>,
     /// Members from whom nothing came, beyond those among the laggards.
     #[prost(uint32, tag = "8")]
-    pub more: u32,
+    pub silent_omitted: u32,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -236,13 +236,13 @@
 
 /// From hub to hub: sites that it hears, and what all of them have.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Gathered {
+pub struct HubSummary {
     #[prost(fixed32, tag = "1")]
     pub hub: u32,
     #[prost(fixed32, tag = "2")]
-    pub run: u32,
+    pub run_id: u32,
     #[prost(uint64, tag = "3")]
-    pub number: u64,
+    pub seq: u64,
     #[prost(uint64, repeated, tag = "4")]
     pub positions: Vec<u64>,
     /// By the hash of their names.
@@ -250,17 +250,17 @@
     pub sites: Vec<u64>,
     /// They are heard, but have not reported.
     #[prost(bool, tag = "6")]
-    pub unknown: bool,
+    pub unreported: bool,
 }
 
 impl Bundle {
     /// No purge up to its last numbers has a later stamp.
-    pub fn latest(&self) -> u64 {
-        self.issued.saturating_add(self.later)
+    pub fn latest_issued_ms(&self) -> u64 {
+        self.issued_ms.saturating_add(self.latest_delta_ms)
     }
 
-    pub fn named(&self) -> Named {
-        Named { hub: self.hub, run: self.run, number: self.number }
+    pub fn id(&self) -> BundleId {
+        BundleId { hub: self.hub, run_id: self.run_id, seq: self.seq }
     }
 
     /// By stream, first and last number; last is before first where it holds none.
@@ -269,63 +269,65 @@
         all.filter(|(_, (first, _))| **first != 0).map(|(s, (first, count))| (s, *first, first + count - 1))
     }
 
-    pub fn is_sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         let n = self.firsts.len();
         let part = |len: usize| len == 0 || len == n;
         let numbers = |(first, count): (&u64, &u64)| {
-            *first <= MOST_NO && *count <= MOST_NO && (*first != 0 || *count == 0)
+            *first <= MAX_SEQ && *count <= MAX_SEQ && (*first != 0 || *count == 0)
         };
         let piece = |p: &Piece| {
-            (p.stream as usize) < MOST_STREAMS
-                && (1..=MOST_NO).contains(&p.no)
-                && p.of as usize <= MOST_LINE
-                && (1..=PIECE).contains(&p.bytes.len())
-                && u64::from(p.offset) + p.bytes.len() as u64 <= p.of.into()
+            (p.stream as usize) < MAX_STREAMS
+                && (1..=MAX_SEQ).contains(&p.seq)
+                && p.total_len as usize <= MAX_LINE_BYTES
+                && (1..=MAX_PIECE_BYTES).contains(&p.bytes.len())
+                && u64::from(p.offset) + p.bytes.len() as u64 <= p.total_len.into()
         };
-        n <= MOST_STREAMS
+        n <= MAX_STREAMS
             && self.counts.len() == n
             && self.firsts.iter().zip(&self.counts).all(numbers)
-            && part(self.ages.len())
-            && part(self.behind.len())
-            && part(self.apart.len())
+            && part(self.ages_10ms.len())
+            && part(self.in_touch_lag.len())
+            && part(self.everywhere_lag.len())
             && self.pieces.iter().all(piece)
     }
 }
 
-fn paired(streams: &[u32], positions: &[u64]) -> bool {
+fn are_valid_positions(streams: &[u32], positions: &[u64]) -> bool {
     streams.len() == positions.len()
         && streams.is_sorted_by(|a, b| a < b)
-        && streams.iter().all(|s| (*s as usize) < MOST_STREAMS)
-        && positions.iter().all(|p| *p <= MOST_NO)
+        && streams.iter().all(|s| (*s as usize) < MAX_STREAMS)
+        && positions.iter().all(|p| *p <= MAX_SEQ)
 }
 
-impl Said {
-    pub fn is_sound(&self) -> bool {
+impl Payload {
+    pub fn is_valid(&self) -> bool {
         match self {
-            Said::Live(p) => p.bundle.len() <= MOST_BUNDLE,
-            Said::Found(b) | Said::Provisional(b) | Said::Gathered(b) => b.len() <= 1_300,
-            Said::Follow(f) => is_name(&f.site) && is_name(&f.gateway) && f.positions.len() <= MOST_STREAMS,
-            Said::Fetch(f) => {
+            Payload::Live(p) => p.bundle.len() <= MAX_BUNDLE_BYTES,
+            Payload::Retransmission(b) | Payload::Provisional(b) | Payload::HubSummary(b) => b.len() <= 1_300,
+            Payload::Subscribe(f) => {
+                is_valid_name(&f.site) && is_valid_name(&f.gateway) && f.positions.len() <= MAX_STREAMS
+            }
+            Payload::RetransmitRequest(f) => {
                 let range = |r: &Range| {
-                    (r.stream as usize) < MOST_STREAMS
-                        && (1..=MOST_NO).contains(&r.first)
-                        && (r.first..=MOST_NO).contains(&r.last)
+                    (r.stream as usize) < MAX_STREAMS
+                        && (1..=MAX_SEQ).contains(&r.first)
+                        && (r.first..=MAX_SEQ).contains(&r.last)
                         && (r.offset == 0 || r.first == r.last)
                 };
-                let site = f.site.is_empty() || is_name(&f.site);
-                f.ranges.len() <= MOST_RANGES && f.ranges.iter().all(range) && site
+                let site = f.site.is_empty() || is_valid_name(&f.site);
+                f.ranges.len() <= MAX_RANGES_PER_REQUEST && f.ranges.iter().all(range) && site
             }
-            Said::Confirm(c) => c.of.is_some() && paired(&c.streams, &c.positions),
-            Said::Report(r) => {
-                let laggard = |l: &Laggard| is_name(&l.name) && (l.stream as usize) < MOST_STREAMS;
-                is_name(&r.site)
-                    && is_name(&r.gateway)
-                    && r.of.is_some()
-                    && paired(&r.streams, &r.positions)
-                    && r.laggards.len() <= MOST_LAGGARDS
+            Payload::Ack(c) => c.bundle.is_some() && are_valid_positions(&c.streams, &c.positions),
+            Payload::Report(r) => {
+                let laggard = |l: &Laggard| is_valid_name(&l.name) && (l.stream as usize) < MAX_STREAMS;
+                is_valid_name(&r.site)
+                    && is_valid_name(&r.gateway)
+                    && r.bundle.is_some()
+                    && are_valid_positions(&r.streams, &r.positions)
+                    && r.laggards.len() <= MAX_LAGGARDS_PER_REPORT
                     && r.laggards.iter().all(laggard)
             }
-            Said::Challenge(_) | Said::Lacks(_) | Said::Hears(_) => true,
+            Payload::Challenge(_) | Payload::Unavailable(_) | Payload::ContactClaim(_) => true,
         }
     }
 }
--- a/feed/tests/code.rs
+++ b/feed/tests/code.rs
@@ -1,8 +1,8 @@
 //! The code of names, ranges of positions, and events as bundles and back: round trips, bounds, and what is damaged.
 
 use kelpcart::hash_prefix::{PrefixSet, object_hash};
-use kelpcart_feed::code::{self, LEAST_BITS, MOST_BITS};
-use kelpcart_feed::positions::{MOST_RANGES, Positions};
+use kelpcart_feed::name_codec::{self, MAX_BITS, MIN_BITS};
+use kelpcart_feed::positions::{MAX_RANGES, Positions};
 use quickcheck::quickcheck;
 use std::collections::BTreeSet;
 
@@ -13,21 +13,21 @@
 quickcheck! {
     fn a_set_comes_back_as_it_was(all: Vec<u64>, bits: u8) -> bool {
         let set = PrefixSet::new(bits % 65, all);
-        let bytes = code::encode(&set);
-        bytes.len() == code::size(&set) && code::decode(&bytes) == Some(set)
+        let bytes = name_codec::encode(&set);
+        bytes.len() == name_codec::encoded_len(&set) && name_codec::decode(&bytes) == Some(set)
     }
 
     fn damage_is_refused_or_another_set(all: Vec<u64>, at: usize, bit: u8) -> bool {
         let set = PrefixSet::new(32, all);
-        let mut bytes = code::encode(&set);
+        let mut bytes = name_codec::encode(&set);
         let at = at % bytes.len();
         bytes[at] ^= 1 << (bit % 8);
-        code::decode(&bytes) != Some(set)
+        name_codec::decode(&bytes) != Some(set)
     }
 
     fn whatever_comes_is_decoded_or_refused(bytes: Vec<u8>) -> bool {
         // What is decoded takes no more memory than its bytes can stand for.
-        code::decode(&bytes).is_none_or(|set| set.prefixes().len() <= bytes.len() * 8)
+        name_codec::decode(&bytes).is_none_or(|set| set.prefixes().len() <= bytes.len() * 8)
     }
 
     fn positions_know_what_was_told_and_no_more(ranges: Vec<(u8, u8)>) -> bool {
@@ -36,12 +36,12 @@
             let (first, last) = (u64::from(first) + 1, u64::from(first) + u64::from(span % 8));
             positions.add(first, last);
             plain.extend(first..=last);
-            assert_eq!(positions.check_rules(), Ok(()));
+            assert_eq!(positions.check_invariants(), Ok(()));
         }
         let known = |no: u64| plain.contains(&no);
         let gaps: u64 = positions.gaps().map(|(a, b)| b - a + 1).sum();
-        let missing = (1..=positions.seen()).filter(|no| !known(*no)).count() as u64;
-        (1..300).all(|no| positions.holds(no) == known(no)) && gaps == missing
+        let missing = (1..=positions.highest_seen()).filter(|no| !known(*no)).count() as u64;
+        (1..300).all(|no| positions.contains(no) == known(no)) && gaps == missing
     }
 }
 
@@ -52,10 +52,10 @@
         [(75, 340, 40, 40), (750, 930, 17, 18), (375, 930, 26, 27), (10, 100, 40, 40)]
     {
         let all = names(n, n as u64);
-        let (bits, bytes) = code::fit(&all, most_bytes);
+        let (bits, bytes) = name_codec::encode_within(&all, most_bytes);
         assert!((least..=most).contains(&bits), "{n} names: {bits} bits");
         assert!(bytes.len() <= most_bytes, "{n} names: {} bytes", bytes.len());
-        let set = code::decode(&bytes).unwrap();
+        let set = name_codec::decode(&bytes).unwrap();
         assert!(all.iter().all(|name| set.contains(*name)));
         assert_eq!((set.bits(), set.prefixes().len() <= n), (bits, true));
     }
@@ -65,34 +65,34 @@
 fn however_many_names_fit_some_seven_hundred_bytes() {
     for n in [1_000, 2_000, 3_000, 5_000, 10_000, 100_000] {
         let all = names(n, 7);
-        let (bits, bytes) = code::fit(&all, 700);
-        assert!(bits >= LEAST_BITS && bytes.len() <= 700, "{n} names: {bits} bits, {} bytes", bytes.len());
-        let set = code::decode(&bytes).unwrap();
+        let (bits, bytes) = name_codec::encode_within(&all, 700);
+        assert!(bits >= MIN_BITS && bytes.len() <= 700, "{n} names: {bits} bits, {} bytes", bytes.len());
+        let set = name_codec::decode(&bytes).unwrap();
         assert!(all.iter().all(|name| set.contains(*name)));
     }
-    assert_eq!(code::fit(&[], 10).0, MOST_BITS);
+    assert_eq!(name_codec::encode_within(&[], 10).0, MAX_BITS);
 }
 
 #[test]
 fn everything_is_one_name_of_no_bits() {
-    let bytes = code::encode(&PrefixSet::all());
+    let bytes = name_codec::encode(&PrefixSet::all());
     assert!(bytes.len() <= 4);
-    let set = code::decode(&bytes).unwrap();
+    let set = name_codec::decode(&bytes).unwrap();
     let ends = PrefixSet::new(64, [u64::MAX, 0]);
-    assert_eq!(code::decode(&code::encode(&ends)), Some(ends));
+    assert_eq!(name_codec::decode(&name_codec::encode(&ends)), Some(ends));
     assert!(names(100, 3).into_iter().all(|name| set.contains(name)));
 }
 
 #[test]
 fn a_count_beyond_its_bytes_is_refused() {
     // 40 bits, no parameter, and four thousand million names in one byte.
-    assert_eq!(code::decode(&[40, 0, 0xff, 0xff, 0xff, 0xff, 0x0f, 0]), None);
-    assert_eq!(code::decode(&[65, 0, 0]), None);
-    assert_eq!(code::decode(&[40]), None);
+    assert_eq!(name_codec::decode(&[40, 0, 0xff, 0xff, 0xff, 0xff, 0x0f, 0]), None);
+    assert_eq!(name_codec::decode(&[65, 0, 0]), None);
+    assert_eq!(name_codec::decode(&[40]), None);
     // Bytes behind the last name.
-    let mut bytes = code::encode(&PrefixSet::object(1));
+    let mut bytes = name_codec::encode(&PrefixSet::object(1));
     bytes.push(0);
-    assert_eq!(code::decode(&bytes), None);
+    assert_eq!(name_codec::decode(&bytes), None);
 }
 
 #[test]
@@ -100,14 +100,14 @@
     let mut positions = Positions::new(10);
     for i in 0..200 {
         positions.add(20 + 10 * i, 20 + 10 * i);
-        assert_eq!(positions.check_rules(), Ok(()));
+        assert_eq!(positions.check_invariants(), Ok(()));
     }
-    assert_eq!((positions.position(), positions.ranges()), (10, MOST_RANGES));
-    assert_eq!(positions.forgotten, 200 - MOST_RANGES as u64);
-    assert!(!positions.holds(20) && positions.holds(20 + 10 * 199));
-    assert_eq!(positions.gaps().last(), Some((11, 20 + 10 * (200 - MOST_RANGES as u64) - 1)));
+    assert_eq!((positions.position(), positions.range_count()), (10, MAX_RANGES));
+    assert_eq!(positions.forgotten, 200 - MAX_RANGES as u64);
+    assert!(!positions.contains(20) && positions.contains(20 + 10 * 199));
+    assert_eq!(positions.gaps().last(), Some((11, 20 + 10 * (200 - MAX_RANGES as u64) - 1)));
     positions.add(11, 5_000);
     assert_eq!((positions.position(), positions.gaps().next()), (5_000, None));
     positions.truncate(4_000);
-    assert_eq!((positions.position(), positions.seen()), (4_000, 4_000));
+    assert_eq!((positions.position(), positions.highest_seen()), (4_000, 4_000));
 }
--- a/feed/tests/common/mod.rs
+++ b/feed/tests/common/mod.rs
@@ -5,10 +5,10 @@
 
 use kelpcart::hash_prefix::{PrefixSet, group_hash, object_hash};
 use kelpcart::{Span, Time};
-use kelpcart_feed::seal::{Keys, MOST_DATAGRAM};
+use kelpcart_feed::seal::{Keys, MAX_DATAGRAM_BYTES};
 use kelpcart_feed::settings::{self, Key};
-use kelpcart_feed::wire::{Packet, Said};
-use kelpcart_feed::{Feed, Out};
+use kelpcart_feed::wire::{Packet, Payload};
+use kelpcart_feed::{Feed, Output};
 use kelpcart_scale::sim::{Actor, Sim};
 use prost::Message;
 use rand::{Rng, SeedableRng};
@@ -79,7 +79,7 @@
 pub struct Host {
     pub feed: Feed,
     datagrams: VecDeque<(SocketAddr, Vec<u8>)>,
-    acts: VecDeque<Out>,
+    acts: VecDeque<Output>,
     tape: Rc<RefCell<Tape>>,
     own: SocketAddr,
     /// What it sends is changed on its way out.
@@ -97,9 +97,9 @@
     fn drain(&mut self) {
         while let Some(out) = self.feed.poll() {
             match out {
-                Out::Datagram(to, bytes) => {
+                Output::Datagram(to, bytes) => {
                     let bytes = if let Some(twist) = self.twist { twist(&bytes) } else { bytes };
-                    assert!(bytes.len() <= MOST_DATAGRAM, "{} bytes", bytes.len());
+                    assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{} bytes", bytes.len());
                     let mut tape = self.tape.borrow_mut();
                     if tape.runs && tape.kept.len() < 20_000 {
                         tape.kept.push((self.own, to, bytes.clone()));
@@ -114,7 +114,7 @@
 
 impl Actor for Host {
     fn datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
-        self.feed.datagram(now, from, bytes);
+        self.feed.handle_datagram(now, from, bytes);
     }
 
     fn tick(&mut self, now: Time) {
@@ -449,7 +449,7 @@
                     seen.iter().map(|&j| (self.places[j].name.clone(), address(j))).collect();
                 self.places[i].view = seen;
                 self.sim.with(i, |host, now| {
-                    host.feed.members(now, named.iter().map(|(n, a)| (n.as_str(), *a)));
+                    host.feed.set_members(now, named.iter().map(|(n, a)| (n.as_str(), *a)));
                 });
                 self.after(i);
             }
@@ -532,8 +532,8 @@
         let lines: Vec<&[u8]> =
             self.services[stream].events[link.told as usize..].iter().map(|e| e.line.as_slice()).collect();
         let whole = self.sim.with(i, |host, _| {
-            lines.iter().for_each(|line| host.feed.line(own, stream, line).unwrap());
-            !pulse || host.feed.last(own, stream, last)
+            lines.iter().for_each(|line| host.feed.handle_line(own, stream, line).unwrap());
+            !pulse || host.feed.handle_last(own, stream, last)
         });
         assert_eq!(whole, Some(true), "{} was told all of {stream}", self.places[i].name);
         let next = if pulse { self.sim.now + ms(1_000) } else { link.pulse };
@@ -547,7 +547,7 @@
                 continue;
             }
             for stream in 0..self.places[i].links.len() {
-                let (asks, reach) = (self.feed(i).asks(stream), self.reaches(i, stream));
+                let (asks, reach) = (self.feed(i).wants_connection(stream), self.reaches(i, stream));
                 let now = self.sim.now;
                 let place = &mut self.places[i];
                 let mut ended = false;
@@ -556,7 +556,7 @@
                         place.attempts += 1;
                         place.again[stream] = now + ms(200);
                         if reach {
-                            let told = self.sim.get(i).map_or(0, |h| h.feed.after(stream));
+                            let told = self.sim.get(i).map_or(0, |h| h.feed.resume_after(stream));
                             place.links[stream] = Some(Link { told, pulse: now });
                         } else {
                             ended = true;
@@ -569,7 +569,7 @@
                     _ => {}
                 }
                 if ended {
-                    self.sim.with(i, |host, now| host.feed.ended(now, stream));
+                    self.sim.with(i, |host, now| host.feed.handle_disconnect(now, stream));
                     self.after(i);
                 }
                 self.lines_to(i, stream);
@@ -626,15 +626,15 @@
         let now = self.sim.now;
         let Some(host) = self.sim.slots[i].actor.as_mut() else { return };
         host.drain();
-        host.feed.check_rules().unwrap_or_else(|why| panic!("{}: {why}", self.places[i].name));
-        let acts: Vec<Out> = host.acts.drain(..).collect();
+        host.feed.check_invariants().unwrap_or_else(|why| panic!("{}: {why}", self.places[i].name));
+        let acts: Vec<Output> = host.acts.drain(..).collect();
         let hub = self.places[i].site.is_none();
         assert!(!hub || acts.is_empty(), "a hub acts");
         for act in acts {
             match act {
-                Out::Purge { names, issued_ms, .. } => self.purged(i, &names, issued_ms),
-                Out::Line { stream, no, line } => self.lined(i, stream, no, &line),
-                Out::Datagram(..) => unreachable!("drained before"),
+                Output::Purge { names, issued_ms, .. } => self.purged(i, &names, issued_ms),
+                Output::Line { stream, seq, line } => self.lined(i, stream, seq, &line),
+                Output::Datagram(..) => unreachable!("drained before"),
             }
         }
         let Some(host) = self.sim.slots[i].actor.as_ref() else { return };
@@ -723,7 +723,7 @@
         let hub = self.places[i].site.is_none();
         let mut named: Option<BTreeSet<String>> = None;
         for stream in 0..self.services.len().min(self.places[i].file.streams.len()) {
-            let done = host.feed.done(stream);
+            let done = host.feed.watermarks(stream);
             assert!(done.everywhere <= done.in_touch || !hub, "{done:?}");
             let most = done.in_touch.max(done.everywhere);
             if most == 0 {
@@ -749,12 +749,12 @@
                     continue;
                 }
                 let named =
-                    named.get_or_insert_with(|| host.feed.missing().into_iter().map(|m| m.site).collect());
+                    named.get_or_insert_with(|| host.feed.unacked().into_iter().map(|m| m.site).collect());
                 let site = &self.places[j].file.site;
                 assert!(
                     no > done.in_touch || named.contains(site),
                     "{tells}: {no} of {stream} is done in touch, but {who} lacks it, {from}: {:?}",
-                    host.feed.missing()
+                    host.feed.unacked()
                 );
             }
         }
@@ -832,11 +832,11 @@
     pub fn all_done(&self) -> Result<(), String> {
         for h in self.hubs().filter(|&h| self.runs(h)) {
             for stream in 0..self.services.len() {
-                let (done, last) = (self.feed(h).done(stream), self.last(stream));
+                let (done, last) = (self.feed(h).watermarks(stream), self.last(stream));
                 if (done.in_touch, done.everywhere) != (last, last) {
                     return Err(format!(
                         "hub{h}: {done:?} of {last} in {stream}; {:?}",
-                        self.feed(h).missing()
+                        self.feed(h).unacked()
                     ));
                 }
             }
@@ -895,22 +895,23 @@
     }
 
     /// One says something under the common key, as if the first had sent it.
-    pub fn say(&mut self, from: usize, to: usize, said: Said) {
+    pub fn say(&mut self, from: usize, to: usize, payload: Payload) {
         if let Some(keys) = Keys::new("sea", &[key(1, "17")]) {
-            let bytes = keys.seal(kelpcart_feed::VERSION, &Packet { said: Some(said) }.encode_to_vec());
+            let bytes = keys.seal(kelpcart_feed::VERSION, &Packet { payload: Some(payload) }.encode_to_vec());
             self.sim.send(from, to, &bytes);
         }
     }
 
     /// What was said on tape, with who said it to whom.
-    pub fn said(&self) -> Vec<(usize, usize, Said)> {
+    pub fn said(&self) -> Vec<(usize, usize, Payload)> {
         let Some(keys) = Keys::new("sea", &[key(1, "17")]) else { return Vec::new() };
-        let said = |bytes: &[u8]| Packet::decode(keys.open(kelpcart_feed::VERSION, bytes).ok()?).ok()?.said;
+        let payload =
+            |bytes: &[u8]| Packet::decode(keys.open(kelpcart_feed::VERSION, bytes).ok()?).ok()?.payload;
         let tape = self.tape.borrow();
         let all = tape
             .kept
             .iter()
-            .filter_map(|(a, b, bytes)| Some((self.place(*a)?, self.place(*b)?, said(bytes)?)));
+            .filter_map(|(a, b, bytes)| Some((self.place(*a)?, self.place(*b)?, payload(bytes)?)));
         all.collect()
     }
 
@@ -932,7 +933,8 @@
 
     /// Which gateways of a site follow list services themselves.
     pub fn askers(&self) -> Vec<usize> {
-        let asks = |i: &usize| (0..self.services.len()).any(|s| self.runs(*i) && self.feed(*i).asks(s));
+        let asks =
+            |i: &usize| (0..self.services.len()).any(|s| self.runs(*i) && self.feed(*i).wants_connection(s));
         self.gateways().filter(asks).collect()
     }
 
--- a/feed/tests/hard.rs
+++ b/feed/tests/hard.rs
@@ -7,8 +7,8 @@
 use kelpcart::Span;
 use kelpcart::hash_prefix::PrefixSet;
 use kelpcart_feed::seal::Keys;
-use kelpcart_feed::wire::{Bundle, Fetch, Follow, Passed, Range, Said};
-use kelpcart_feed::{VERSION, code};
+use kelpcart_feed::wire::{Bundle, LiveBundle, Payload, Range, RetransmitRequest, Subscribe};
+use kelpcart_feed::{VERSION, name_codec};
 use prost::Message;
 use ring::signature::Ed25519KeyPair;
 use std::collections::BTreeSet;
@@ -53,10 +53,10 @@
     assert!(worst <= CALM, "{worst} ms");
     // By chance one stands higher in its site's trees than another in 20 s; all have 3 KB for control.
     assert!(mean < 2_300.0 && most < 3_000.0, "{mean:.0} and {most:.0} bytes a second");
-    assert_eq!(w.sum(|c| c.purged_all), 0);
+    assert_eq!(w.sum(|c| c.gaps_purged), 0);
     let (no, told) = (w.purge(3, 77), w.sim.now);
     w.until(ms(1_800), |w| {
-        let behind: Vec<usize> = w.hubs().filter(|&h| w.feed(h).done(3).everywhere < no).collect();
+        let behind: Vec<usize> = w.hubs().filter(|&h| w.feed(h).watermarks(3).everywhere < no).collect();
         if behind.is_empty() { Ok(()) } else { Err(format!("hubs {behind:?}")) }
     });
     println!("known to be everywhere after {} ms", (w.sim.now - told).as_micros() / 1_000);
@@ -139,7 +139,7 @@
         assert!(w.gateways().all(|i| w.feed(i).position(0) + 30 > w.last(0)), "positions stand still");
         // It knows nothing of what was, and must not say that anything is done.
         w.start(h, false);
-        assert_eq!(w.feed(h).done(0).everywhere, 0);
+        assert_eq!(w.feed(h).watermarks(0).everywhere, 0);
         w.run(ms(5_000));
     }
     w.heal();
@@ -218,9 +218,9 @@
     let behind = w.last(0) - w.feed(w.of_region(2)[0]).position(0);
     assert!(behind > 20_000, "{behind}");
     for h in w.hubs().filter(|&h| w.places[h].region != 2) {
-        let named: BTreeSet<String> = w.feed(h).missing().into_iter().map(|m| m.site).collect();
+        let named: BTreeSet<String> = w.feed(h).unacked().into_iter().map(|m| m.site).collect();
         assert!(named.contains("site4") && named.contains("site5"), "{named:?}");
-        assert!(w.feed(h).done(0).everywhere < w.last(0) - 20_000);
+        assert!(w.feed(h).watermarks(0).everywhere < w.last(0) - 20_000);
     }
     w.cuts.borrow_mut().regions.clear();
     let back = w.sim.now;
@@ -300,7 +300,7 @@
     assert!(w.worst() <= CALM + 100, "{} ms", w.worst());
     assert!(calm >= 36 && (16..30).contains(&bits(&w)), "{calm} then {} bits", bits(&w));
     assert!(most < 6_000.0, "{most:.0} bytes a second");
-    assert_eq!(w.sum(|c| c.purged_all), 0);
+    assert_eq!(w.sum(|c| c.gaps_purged), 0);
     w.rate = 150.0;
     w.run(ms(5_000));
     settles(&mut w, 5_000);
@@ -399,7 +399,7 @@
     w.run(ms(3_000));
     // The others are not kept waiting.
     for h in w.hubs() {
-        let done = w.feed(h).done(0);
+        let done = w.feed(h).watermarks(0);
         assert!(done.in_touch >= told, "hub{h}: {done:?}, {told} were told 3 s ago");
     }
     let mute = w.of_site(0)[2];
@@ -408,20 +408,20 @@
     w.run(ms(8_000));
     let mut in_touch = 0;
     for h in w.hubs() {
-        let (done, missing) = (w.feed(h).done(0), w.feed(h).missing());
+        let (done, missing) = (w.feed(h).watermarks(0), w.feed(h).unacked());
         let whole = missing.iter().any(|m| m.site == "site5" && m.member.is_none());
         assert!(whole, "hub{h} does not name the site: {missing:?}");
         assert!(done.everywhere <= before, "{done:?} {before}");
         in_touch = in_touch.max(done.in_touch);
     }
     let name = &w.places[mute].name;
-    let names_it = |h: usize| w.feed(h).missing().iter().any(|m| m.member.as_ref() == Some(name));
+    let names_it = |h: usize| w.feed(h).unacked().iter().any(|m| m.member.as_ref() == Some(name));
     assert!(w.hubs().any(names_it), "{name} is not named");
     assert!(in_touch <= w.last(0));
     w.heal();
     w.run(ms(9_000));
     settles(&mut w, 5_000);
-    assert!(w.hubs().all(|h| w.feed(h).missing().is_empty()));
+    assert!(w.hubs().all(|h| w.feed(h).unacked().is_empty()));
 }
 
 #[test]
@@ -437,7 +437,7 @@
     w.tape.borrow_mut().runs = false;
     let kept = std::mem::take(&mut w.tape.borrow_mut().kept);
     let state = |w: &World| -> Vec<(u64, u64)> {
-        let of = |i: usize| (w.feed(i).position(1), w.feed(i).done(1).everywhere);
+        let of = |i: usize| (w.feed(i).position(1), w.feed(i).watermarks(1).everywhere);
         (0..w.places.len()).map(of).collect()
     };
     let before = state(&w);
@@ -465,7 +465,7 @@
     w.run(ms(2_000));
     assert_eq!(state(&w), before);
     let refused = w.sum(|c| c.refused_seals + c.refused_forms + c.refused_signatures);
-    println!("{extra} told again, damaged or changed: {refused} refused, {} copies", w.sum(|c| c.copies));
+    println!("{extra} told again, damaged or changed: {refused} refused, {} copies", w.sum(|c| c.duplicates));
     assert!(refused as usize > kept.len(), "{refused} of {extra}");
     assert!(w.sum(|c| c.refused_signatures) > 0);
     // A flood of old requests opens no flood of answers: at most about as much again as was put in.
@@ -492,7 +492,7 @@
     w.run(ms(20_000));
     println!("wrong clocks: worst {} ms", w.worst());
     assert!(w.worst() <= CALM, "{} ms", w.worst());
-    assert_eq!(w.sum(|c| c.purged_all), 0);
+    assert_eq!(w.sum(|c| c.gaps_purged), 0);
     settles(&mut w, 5_000);
 }
 
@@ -520,11 +520,11 @@
     for step in [vec![old.clone(), new.clone()], vec![new.clone(), old], vec![new]] {
         for i in 0..w.places.len() {
             w.places[i].keys = step.clone();
-            assert_eq!(w.sim.with(i, |host, _| host.feed.rekey(&step)), Some(true));
+            assert_eq!(w.sim.with(i, |host, _| host.feed.set_keys(&step)), Some(true));
             w.run(ms(50));
         }
     }
-    assert_eq!(w.sim.with(0, |host, _| host.feed.rekey(&[])), Some(false));
+    assert_eq!(w.sim.with(0, |host, _| host.feed.set_keys(&[])), Some(false));
     assert_eq!(w.sum(|c| c.refused_seals), 0);
     assert!(w.worst() <= CALM, "{} ms", w.worst());
     settles(&mut w, 5_000);
@@ -596,11 +596,11 @@
             lacks,
             0,
             "{name} serves what was purged; gaps {}, {:?}",
-            w.feed(i).gaps(),
+            w.feed(i).missing_count(),
             w.feed(i).counts
         );
     }
-    assert!(w.of_site(5).into_iter().any(|i| w.feed(i).gaps() > 1_000), "still behind, but safe");
+    assert!(w.of_site(5).into_iter().any(|i| w.feed(i).missing_count() > 1_000), "still behind, but safe");
     w.heal();
     w.run(ms(9_000));
     settles(&mut w, 10_000);
@@ -613,8 +613,8 @@
     w.rate = 10.0;
     w.run(ms(4_000));
     w.tape.borrow_mut().runs = false;
-    let last = w.said().into_iter().rev().find_map(|(a, b, said)| match said {
-        Said::Report(r) => Some((a, b, r)),
+    let last = w.said().into_iter().rev().find_map(|(a, b, payload)| match payload {
+        Payload::Report(r) => Some((a, b, r)),
         _ => None,
     });
     let (from, hub, report) = last.unwrap();
@@ -623,24 +623,24 @@
     let mut beyond = report.clone();
     (beyond.streams, beyond.positions) = (vec![1], vec![told + 500]);
     let mut never = report.clone();
-    never.of.as_mut().unwrap().number += 1_000;
+    never.bundle.as_mut().unwrap().seq += 1_000;
     let mut nowhere = report.clone();
     (nowhere.streams, nowhere.positions) = (vec![9], vec![1]);
     for lie in [beyond, never, nowhere] {
-        w.say(from, hub, Said::Report(lie));
+        w.say(from, hub, Payload::Report(lie));
         w.run(ms(200));
     }
     assert_eq!(w.feed(hub).counts.refused_reports, 3);
-    let liars = w.feed(hub).liars();
+    let liars = w.feed(hub).false_acks();
     assert!(
         liars.iter().any(|(site, gateway, n)| *site == report.site && *gateway == report.gateway && *n == 3)
     );
     // An old report again moves nothing, nor does one for a bundle of another run.
     let mut other_run = report.clone();
-    other_run.of.as_mut().unwrap().run ^= 1;
+    other_run.bundle.as_mut().unwrap().run_id ^= 1;
     for _ in 0..20 {
-        w.say(from, hub, Said::Report(report.clone()));
-        w.say(from, hub, Said::Report(other_run.clone()));
+        w.say(from, hub, Payload::Report(report.clone()));
+        w.say(from, hub, Payload::Report(other_run.clone()));
     }
     w.run(ms(2_000));
     settles(&mut w, 5_000);
@@ -665,7 +665,7 @@
     }
     let lacks: usize = w.places[gateway].track.todo.iter().take(2).map(BTreeSet::len).sum();
     assert_eq!(lacks, 0, "{} serves what was purged", w.places[gateway].name);
-    assert!(w.feed(gateway).gaps() > 0, "the gap is known still");
+    assert!(w.feed(gateway).missing_count() > 0, "the gap is known still");
     w.cuts.borrow_mut().pairs.clear();
     w.rate = rate;
 }
@@ -693,13 +693,13 @@
 }
 
 /// A live bundle that a gateway handed to another.
-fn handed(w: &mut World) -> (usize, usize, Passed, Bundle) {
+fn handed(w: &mut World) -> (usize, usize, LiveBundle, Bundle) {
     w.tape.borrow_mut().runs = true;
     w.run(ms(2_000));
     w.tape.borrow_mut().runs = false;
     let hubs = w.hubs();
-    let live = w.said().into_iter().rev().find_map(|(a, b, said)| match said {
-        Said::Live(p) if !hubs.contains(&a) && !hubs.contains(&b) => Some((a, b, p)),
+    let live = w.said().into_iter().rev().find_map(|(a, b, payload)| match payload {
+        Payload::Live(p) if !hubs.contains(&a) && !hubs.contains(&b) => Some((a, b, p)),
         _ => None,
     });
     let (from, to, passed) = live.unwrap();
@@ -716,16 +716,16 @@
     let refused = |w: &World| w.feed(to).counts.refused_signatures;
     let before = (refused(&w), w.feed(to).counts.bundles);
     let mut made_up = body.clone();
-    made_up.number += 1_000_000;
+    made_up.seq += 1_000_000;
     made_up.counts[1] += 500;
-    made_up.names = code::encode(&PrefixSet::object(4_711));
+    made_up.names = name_codec::encode(&PrefixSet::object(4_711));
     // By a key of no hub, by another hub's, by none.
     for seed in [[99; 32], hub_seed(usize::from(signed(&body, hub_seed(0)) == passed.bundle))] {
         let bundle = signed(&made_up, seed);
-        w.say(from, to, Said::Live(Passed { bundle: bundle.clone(), via: 0 }));
-        w.say(from, to, Said::Found(bundle));
+        w.say(from, to, Payload::Live(LiveBundle { bundle: bundle.clone(), contact_rank: 0 }));
+        w.say(from, to, Payload::Retransmission(bundle));
     }
-    w.say(from, to, Said::Provisional(Bundle { hub: 0, ..made_up.clone() }.encode_to_vec()));
+    w.say(from, to, Payload::Provisional(Bundle { hub: 0, ..made_up.clone() }.encode_to_vec()));
     w.run(ms(300));
     assert_eq!(refused(&w) - before.0, 5);
     // What is signed as it should be is taken: the way of signing here is right.
@@ -733,8 +733,8 @@
     let own = seeds.into_iter().find(|seed| signed(&body, *seed) == passed.bundle).unwrap();
     let bundles = w.feed(to).counts.bundles;
     let mut good = body.clone();
-    good.number += 1_000_000;
-    w.say(from, to, Said::Found(signed(&good, own)));
+    good.seq += 1_000_000;
+    w.say(from, to, Payload::Retransmission(signed(&good, own)));
     w.run(ms(20));
     assert!(w.feed(to).counts.bundles > bundles && bundles >= before.1);
     w.run(ms(1_000));
@@ -754,12 +754,12 @@
     let positions: Vec<u64> = w.of_site(site).into_iter().map(|i| w.feed(i).position(1)).collect();
     for n in 0..20 {
         // Events are claimed to be known that will only be told later.
-        let mut made_up = Bundle { hub: 0, run: 7, number: n, ..body.clone() };
-        made_up.names = code::encode(&PrefixSet::object(n));
+        let mut made_up = Bundle { hub: 0, run_id: 7, seq: n, ..body.clone() };
+        made_up.names = name_codec::encode(&PrefixSet::object(n));
         made_up.counts[1] += 2_000;
         made_up.pieces.clear();
         for i in w.of_site(site).into_iter().filter(|i| *i != from) {
-            w.say(from, i, Said::Provisional(made_up.encode_to_vec()));
+            w.say(from, i, Payload::Provisional(made_up.encode_to_vec()));
         }
         w.run(ms(300));
     }
@@ -795,11 +795,11 @@
     assert_eq!(w.sum(|c| c.refused_seals + c.refused_forms), 0);
     let keys = Keys::new("sea", &[key(1, "17")]).unwrap();
     let before = w.feed(5).counts.refused_seals;
-    let said = keys.seal(VERSION + 1, &[0xa0, 0x06, 0x01]);
-    w.sim.send(4, 5, &said);
+    let payload = keys.seal(VERSION + 1, &[0xa0, 0x06, 0x01]);
+    w.sim.send(4, 5, &payload);
     // A kind of message that is not known here.
-    let said = keys.seal(VERSION, &[0xa0, 0x06, 0x01]);
-    w.sim.send(4, 5, &said);
+    let payload = keys.seal(VERSION, &[0xa0, 0x06, 0x01]);
+    w.sim.send(4, 5, &payload);
     w.run(ms(100));
     assert_eq!((w.feed(5).counts.refused_seals - before, w.feed(5).counts.refused_forms), (1, 1));
     settles(&mut w, 5_000);
@@ -880,28 +880,34 @@
     let one = w.of_site(0).into_iter().find(|i| *i != contact).unwrap();
     let range = Range { stream: 1, first: 1, last: w.last(1), offset: 0 };
     let fetch = |token| {
-        Said::Fetch(Fetch { ranges: vec![range], site: "site0".to_owned(), token, ..Fetch::default() })
+        Payload::RetransmitRequest(RetransmitRequest {
+            ranges: vec![range],
+            site: "site0".to_owned(),
+            token,
+            ..RetransmitRequest::default()
+        })
     };
     let follow = |token, number| {
         let (site, gateway) = ("site0".to_owned(), "g0-9".to_owned());
-        Said::Follow(Follow { site, gateway, run: 9, number, token, ..Follow::default() })
+        Payload::Subscribe(Subscribe { site, gateway, run_id: 9, seq: number, token, ..Subscribe::default() })
     };
     let hub = 1;
-    let heard = |w: &mut World, of: &dyn Fn(&Said) -> bool| {
+    let heard = |w: &mut World, of: &dyn Fn(&Payload) -> bool| {
         w.run(ms(1_000));
-        let all = w.said().into_iter().filter(|(a, b, said)| (*a, *b) == (hub, one) && of(said)).count();
+        let all =
+            w.said().into_iter().filter(|(a, b, payload)| (*a, *b) == (hub, one) && of(payload)).count();
         w.tape.borrow_mut().kept.clear();
         all
     };
-    let bundles = |said: &Said| matches!(said, Said::Found(_) | Said::Live(_));
+    let bundles = |payload: &Payload| matches!(payload, Payload::Retransmission(_) | Payload::Live(_));
     w.tape.borrow_mut().runs = true;
     (0..50).for_each(|n| w.say(one, hub, fetch(77 + n)));
     (0..50).for_each(|n| w.say(one, hub, follow(77 + n, n)));
     assert_eq!(heard(&mut w, &bundles), 0, "bundles to an address that never showed the number");
     w.say(one, hub, fetch(0));
     w.run(ms(100));
-    let token = w.said().into_iter().find_map(|(a, b, said)| match said {
-        Said::Challenge(token) if (a, b) == (hub, one) => Some(token),
+    let token = w.said().into_iter().find_map(|(a, b, payload)| match payload {
+        Payload::Challenge(token) if (a, b) == (hub, one) => Some(token),
         _ => None,
     });
     let token = token.unwrap();
@@ -953,28 +959,28 @@
     w.rate = 10.0;
     w.run(ms(4_000));
     w.tape.borrow_mut().runs = false;
-    let reports: Vec<(usize, Said)> = w
+    let reports: Vec<(usize, Payload)> = w
         .said()
         .into_iter()
-        .filter(|(_, _, said)| matches!(said, Said::Report(r) if r.site == "site5"))
-        .map(|(_, hub, said)| (hub, said))
+        .filter(|(_, _, payload)| matches!(payload, Payload::Report(r) if r.site == "site5"))
+        .map(|(_, hub, payload)| (hub, payload))
         .collect();
     // What hubs told one another of it.
-    let words: Vec<(usize, usize, Said)> =
-        w.said().into_iter().filter(|(_, _, said)| matches!(said, Said::Gathered(_))).collect();
+    let words: Vec<(usize, usize, Payload)> =
+        w.said().into_iter().filter(|(_, _, payload)| matches!(payload, Payload::HubSummary(_))).collect();
     assert!(reports.len() >= 2);
     w.wrong(true);
     w.cuts.borrow_mut().sites.insert(5);
     let other = w.of_site(0)[0];
     for n in 0..20 {
         // The last two, in turn.
-        let (hub, said) = reports[reports.len() - 1 - n % 2].clone();
-        w.say(other, hub, said);
+        let (hub, payload) = reports[reports.len() - 1 - n % 2].clone();
+        w.say(other, hub, payload);
         words.iter().rev().take(4).for_each(|(from, to, word)| w.say(*from, *to, word.clone()));
         w.run(ms(500));
     }
     for h in w.hubs() {
-        assert!(w.feed(h).missing().iter().any(|m| m.site == "site5" && m.member.is_none()), "hub{h}");
+        assert!(w.feed(h).unacked().iter().any(|m| m.site == "site5" && m.member.is_none()), "hub{h}");
     }
     w.heal();
     w.run(ms(9_000));
@@ -989,11 +995,11 @@
     w.run(ms(20_000));
     w.tape.borrow_mut().runs = false;
     let site = w.of_site(5);
-    let live: Vec<Said> = w
+    let live: Vec<Payload> = w
         .said()
         .into_iter()
-        .filter(|(_, to, said)| *to == site[0] && matches!(said, Said::Live(_)))
-        .map(|(_, _, said)| said)
+        .filter(|(_, to, payload)| *to == site[0] && matches!(payload, Payload::Live(_)))
+        .map(|(_, _, payload)| payload)
         .collect();
     w.wrong(true);
     w.cuts.borrow_mut().sites.insert(5);
@@ -1006,7 +1012,7 @@
         w.say(site[1], site[0], old.clone());
         w.run(ms(300));
     }
-    assert!(site.iter().any(|i| w.feed(*i).counts.asked > 0), "nobody misses the hubs");
+    assert!(site.iter().any(|i| w.feed(*i).counts.list_connections > 0), "nobody misses the hubs");
     w.heal();
     w.run(ms(9_000));
     settles(&mut w, 10_000);
--- a/fleet/src/lease.rs
+++ b/fleet/src/lease.rs
@@ -134,7 +134,7 @@
     fn fair(&self, key: Key, members: &Members) -> u32 {
         let Some(most) = self.most(key.0) else { return u32::MAX };
         let n = members.names_of_late().count().max(1) as u32;
-        let place = rank::place(members.names_of_late(), &self.own, key.1) as u32;
+        let place = rank::rank_of(members.names_of_late(), &self.own, key.1) as u32;
         most / n + u32::from(place < most % n)
     }
 
--- a/fleet/src/node.rs
+++ b/fleet/src/node.rs
@@ -6,7 +6,7 @@
 use crate::list::{List, Unusable};
 use crate::members::{Members, Name, Taken};
 use crate::relay::{self, Relay};
-use crate::seal::{Keys, Refused};
+use crate::seal::{Keys, OpenError};
 use crate::settings::{self, Fleet};
 use crate::wire::{Packet, Part, Said};
 use kelpcart::{Span, Time};
@@ -54,7 +54,7 @@
     counts_fills: bool,
     listed_at: Option<Time>,
     pub traffic: Traffic,
-    pub refused: BTreeMap<Refused, u64>,
+    pub refused: BTreeMap<OpenError, u64>,
     out: VecDeque<Out>,
 }
 
--- a/fleet/src/relay.rs
+++ b/fleet/src/relay.rs
@@ -637,10 +637,10 @@
     fn rerank(&mut self, members: &Members) {
         self.ranked = members.version;
         let mut all: Vec<(u64, Name)> =
-            members.others().map(|(n, _)| (rank::score(n, rank::ORDER), n.clone())).collect();
+            members.others().map(|(n, _)| (rank::score(n, rank::CONTACT_ORDER), n.clone())).collect();
         all.sort_unstable_by(|a, b| b.cmp(a));
         self.order = all.into_iter().map(|(_, n)| n).collect();
-        self.rank = rank::place(self.order.iter().map(|n| &**n), &members.name, rank::ORDER);
+        self.rank = rank::rank_of(self.order.iter().map(|n| &**n), &members.name, rank::CONTACT_ORDER);
     }
 
     pub fn rank(&self) -> usize {
--- a/fleet/src/settings.rs
+++ b/fleet/src/settings.rs
@@ -1,7 +1,7 @@
 //! Owns what operators write of the fleet, and its checks: a file that can't be used is told by the path of the field
 //! and what is wrong with it. Must never hold a decision; what is not written has the value that stands here.
 
-use kelpcart_feed::settings::{Feed, is_name};
+use kelpcart_feed::settings::{Feed, is_valid_name};
 use schemars::JsonSchema;
 use serde::Deserialize;
 use std::collections::BTreeSet;
@@ -143,8 +143,8 @@
         let need = |is: bool, field: &str, what: &'static str| {
             if is { Ok(()) } else { Err(Unusable::Field(field.to_owned(), what)) }
         };
-        need(is_name(&self.fleet), "fleet", "a name has 1 to 64 visible characters")?;
-        need(is_name(&self.gateway), "gateway", "a name has 1 to 64 visible characters")?;
+        need(is_valid_name(&self.fleet), "fleet", "a name has 1 to 64 visible characters")?;
+        need(is_valid_name(&self.gateway), "gateway", "a name has 1 to 64 visible characters")?;
         need(self.listen.port() != 0, "listen", "the others have to know the port")?;
         need(
             self.reached().is_ipv4() && self.reached().port() != 0,
@@ -163,7 +163,7 @@
         let mut ids = BTreeSet::new();
         for (i, key) in self.keys.iter().enumerate() {
             need(ids.insert(key.id), &format!("keys[{i}].id"), "another key has it")?;
-            let long = key.bytes().is_some_and(|b| b.len() >= 32);
+            let long = key.secret_bytes().is_some_and(|b| b.len() >= 32);
             need(long, &format!("keys[{i}].secret"), "32 bytes or more in hex digits are wanted")?;
         }
         let m = &self.members;
--- a/fleet/src/wire.rs
+++ b/fleet/src/wire.rs
@@ -1,7 +1,7 @@
 //! What gateways of a fleet say to each other (protobuf by prost), and what may stand in it. Must never be trusted
 //! before `seal` has checked its code; a packet that is not sound is thrown away whole.
 
-use kelpcart_feed::settings::is_name;
+use kelpcart_feed::settings::is_valid_name;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
 pub const VERSION: u8 = 1;
@@ -277,7 +277,7 @@
 
 impl Packet {
     pub fn is_sound(&self) -> bool {
-        is_name(&self.from)
+        is_valid_name(&self.from)
             && self.run != 0
             && self.parts.len() <= MOST_PARTS
             && self.parts.iter().all(|p| p.said.as_ref().is_some_and(Said::is_sound))
@@ -287,17 +287,17 @@
 impl Said {
     fn is_sound(&self) -> bool {
         let record = |r: &Record| {
-            is_name(&r.name)
+            is_valid_name(&r.name)
                 && r.address().is_some()
                 && r.run != 0
                 && r.incarnation != 0
                 && Standing::try_from(r.standing).is_ok()
-                && (r.by.is_empty() || is_name(&r.by))
+                && (r.by.is_empty() || is_valid_name(&r.by))
         };
         match self {
             Said::Hello(h) => h.me.as_ref().is_some_and(record),
             Said::News(r) => record(r),
-            Said::PingFor(p) => is_name(&p.name),
+            Said::PingFor(p) => is_valid_name(&p.name),
             Said::Pulse(p) => p.after <= p.no,
             Said::Fetch(f) => f.chunks.len() <= 64 && (f.to == 0 || f.after <= f.to),
             Said::Chunk(c) => c.index < c.of && c.of <= 16_384 && c.after <= c.to,
--- a/fleet/tests/deploy.rs
+++ b/fleet/tests/deploy.rs
@@ -24,7 +24,7 @@
     }
     assert_eq!(gateway.keys, hub.keys);
     let (of_gateway, of_hub) = (gateway.feed.unwrap(), hub.feed.unwrap());
-    assert_eq!((of_gateway.hub(), of_hub.hub()), (None, Some(0)));
+    assert_eq!((of_gateway.control_hub_index(), of_hub.control_hub_index()), (None, Some(0)));
     let same = |f: &kelpcart_feed::settings::Feed| (f.name.clone(), f.streams.clone(), f.hubs.clone());
     assert_eq!(same(&of_gateway), same(&of_hub));
     let sites = of_hub.control.unwrap().sites;
--- a/fleet/tests/wire.rs
+++ b/fleet/tests/wire.rs
@@ -2,7 +2,7 @@
 
 use kelpcart::Time;
 use kelpcart_fleet::list::{List, Unusable};
-use kelpcart_fleet::seal::{Keys, MOST_DATAGRAM, Refused};
+use kelpcart_fleet::seal::{Keys, MAX_DATAGRAM_BYTES, OpenError};
 use kelpcart_fleet::settings::{Fleet, Key};
 use kelpcart_fleet::wire::{Fetch, Packet, Part, Said};
 use quickcheck::quickcheck;
@@ -21,11 +21,11 @@
 fn only_what_the_fleets_key_signed_is_opened() {
     let (ours, sealed) = (keys("east", 1, "ab"), keys("east", 1, "ab").seal(&packet()));
     assert_eq!(ours.open(&sealed), Ok(packet()));
-    assert_eq!(keys("west", 1, "ab").open(&sealed), Err(Refused::Code));
-    assert_eq!(keys("east", 1, "cd").open(&sealed), Err(Refused::Code));
-    assert_eq!(keys("east", 2, "ab").open(&sealed), Err(Refused::UnknownKey));
-    assert_eq!(ours.open(&sealed[..20]), Err(Refused::Length));
-    assert_eq!(ours.open(&vec![1; MOST_DATAGRAM + 1]), Err(Refused::Length));
+    assert_eq!(keys("west", 1, "ab").open(&sealed), Err(OpenError::Mac));
+    assert_eq!(keys("east", 1, "cd").open(&sealed), Err(OpenError::Mac));
+    assert_eq!(keys("east", 2, "ab").open(&sealed), Err(OpenError::UnknownKey));
+    assert_eq!(ours.open(&sealed[..20]), Err(OpenError::Length));
+    assert_eq!(ours.open(&vec![1; MAX_DATAGRAM_BYTES + 1]), Err(OpenError::Length));
     let both = [Key { id: 2, secret: "cd".repeat(32) }, Key { id: 1, secret: "ab".repeat(32) }];
     assert_eq!(Keys::new("east", &both).unwrap().open(&sealed), Ok(packet()));
 }
--- a/gateway/src/feed.rs
+++ b/gateway/src/feed.rs
@@ -16,8 +16,8 @@
 use futures_lite::{StreamExt, future};
 use kelpcart::interface::{Member, MemberId, MemberState};
 use kelpcart::{Span, Time};
-use kelpcart_feed::seal::MOST_DATAGRAM;
-use kelpcart_feed::{Feed as Core, Out, settings};
+use kelpcart_feed::seal::MAX_DATAGRAM_BYTES;
+use kelpcart_feed::{Feed as Core, Output, settings};
 use kelpcart_fleet::settings::Fleet as File;
 use rand::Rng;
 use std::cell::{Cell, RefCell};
@@ -28,22 +28,22 @@
 pub use kelpcart_feed::VERSION;
 
 /// Datagrams that are taken in before others have their turn.
-const AT_ONCE: usize = 64;
-const LEAST_SLEEP: Span = Span::from_millis(1);
+const MAX_DATAGRAMS_PER_TURN: usize = 64;
+const MIN_SLEEP: Span = Span::from_millis(1);
 /// Caches of all streams together that are remembered by the stream that lists them.
-const MOST_LISTED: usize = 16_384;
+const MAX_LISTED_CACHES: usize = 16_384;
 /// Stands for the stream of caches of which that is not known.
-const NOBODY: usize = usize::MAX;
+const UNKNOWN_STREAM: usize = usize::MAX;
 /// Lines of those who have not confirmed that a control machine writes at once.
-const MOST_TOLD: usize = 100;
+const MAX_LOGGED: usize = 100;
 
 /// Which stream lists which cache: a whole list of one stream must not drop the caches of the others.
 #[derive(Default)]
-pub struct Owners(BTreeMap<MemberId, usize>);
+pub struct CacheOwners(BTreeMap<MemberId, usize>);
 
-impl Owners {
+impl CacheOwners {
     /// What a list of one stream changes in the list of all, and how many were left out at the bound.
-    pub fn change(
+    pub fn apply(
         &mut self,
         stream: usize,
         whole: bool,
@@ -60,11 +60,11 @@
             let (id, owner) = (&listed.member.id, self.0.get(&listed.member.id).copied());
             if listed.member.state == MemberState::Gone {
                 // One that another stream lists by now has only moved.
-                if owner.is_some_and(|of| of != stream && of != NOBODY) {
+                if owner.is_some_and(|of| of != stream && of != UNKNOWN_STREAM) {
                     continue;
                 }
                 self.0.remove(id);
-            } else if owner.is_none() && self.0.len() >= MOST_LISTED {
+            } else if owner.is_none() && self.0.len() >= MAX_LISTED_CACHES {
                 left_out += 1;
                 continue;
             } else {
@@ -91,18 +91,18 @@
 }
 
 /// Where events go at a gateway.
-pub struct Serves {
+pub struct GatewayInit {
     pub dispatcher: Sender<Event>,
     pub names: Names,
     /// The events that the configuration holds, of the feed's own stream, and the number of the last.
-    pub known: Vec<DiscoveryEvent>,
-    pub last: u64,
+    pub known_events: Vec<DiscoveryEvent>,
+    pub last_known: u64,
 }
 
-struct Hears {
+struct GatewaySink {
     dispatcher: Sender<Event>,
     names: Names,
-    owners: RefCell<Owners>,
+    owners: RefCell<CacheOwners>,
 }
 
 pub struct Feed {
@@ -111,22 +111,22 @@
     clock: Clock,
     counters: Rc<Counters>,
     /// `None`: a control machine.
-    hears: Option<Hears>,
-    own: usize,
+    gateway: Option<GatewaySink>,
+    own_stream: usize,
     streams: Vec<settings::Stream>,
     /// The core was told something: its next time may have moved.
-    moved: Woken,
+    wake_changed: Woken,
     sleeps_until: Cell<Time>,
     /// Whether a list service is to be asked has changed.
-    asks: Woken,
-    asked: Vec<Cell<bool>>,
+    wanted_changed: Woken,
+    wanted: Vec<Cell<bool>>,
     /// New addresses of the streams that the file alone names.
-    moves: RefCell<Vec<(usize, Sender<SocketAddr>)>>,
-    by_stream: Vec<[&'static str; 3]>,
+    address_updates: RefCell<Vec<(usize, Sender<SocketAddr>)>>,
+    stream_counters: Vec<[&'static str; 3]>,
 }
 
 /// What the rest of the process lends.
-pub struct Means {
+pub struct Resources {
     pub tasks: Tasks,
     pub clock: Clock,
     pub counters: Rc<Counters>,
@@ -135,158 +135,166 @@
 
 impl Feed {
     /// `serves`: none at a control machine.
-    pub fn start(means: Means, file: &File, serves: Option<Serves>) -> Result<Option<Rc<Feed>>, String> {
+    pub fn start(
+        resources: Resources,
+        file: &File,
+        init: Option<GatewayInit>,
+    ) -> Result<Option<Rc<Feed>>, String> {
         let Some(mut of) = file.feed.clone() else { return Ok(None) };
-        let (now, mut rng) = (means.clock.now(), rand::rng());
+        let (now, mut rng) = (resources.clock.now(), rand::rng());
         let (run, seed) = (rng.random_range(1..=u64::MAX), rng.random());
-        if let Some(serves) = &serves {
-            of.streams[of.own].known = serves.last;
+        if let Some(init) = &init {
+            of.streams[of.own].known = init.last_known;
         }
         let core =
             Core::new(&of, &file.keys, &file.gateway, run, seed, now).map_err(|e| format!("feed: {e}"))?;
-        let hears = serves.map(|serves| {
-            let mut owners = Owners::default();
+        let gateway = init.map(|init| {
+            let mut owners = CacheOwners::default();
             // The configuration doesn't say whose the caches are that it holds: where it holds other streams' lists as
             // well, they are nobody's until a stream names them.
             let alone = of.streams.iter().enumerate().all(|(i, s)| i == of.own || s.known == 0);
-            for said in serves.known {
-                if let DiscoveryEvent::Roster { whole, list } = said {
-                    owners.change(if alone { of.own } else { NOBODY }, whole, list);
+            for event in init.known_events {
+                if let DiscoveryEvent::Roster { whole, list } = event {
+                    owners.apply(if alone { of.own } else { UNKNOWN_STREAM }, whole, list);
                 }
             }
-            Hears { dispatcher: serves.dispatcher, names: serves.names, owners: RefCell::new(owners) }
+            GatewaySink { dispatcher: init.dispatcher, names: init.names, owners: RefCell::new(owners) }
         });
         // A handful for the life of the process.
         let name = |what: &str, i: usize| -> &'static str { format!("fleet feed {what} {i}").leak() };
         let names = |i| [name("position", i), name("done in touch", i), name("done everywhere", i)];
         let feed = Rc::new(Feed {
             core: RefCell::new(core),
-            socket: means.socket,
-            clock: means.clock,
-            counters: means.counters,
-            hears,
-            own: of.own,
-            moved: Woken::new(),
+            socket: resources.socket,
+            clock: resources.clock,
+            counters: resources.counters,
+            gateway,
+            own_stream: of.own,
+            wake_changed: Woken::new(),
             sleeps_until: Cell::new(now),
-            asks: Woken::new(),
-            asked: of.streams.iter().map(|_| Cell::new(false)).collect(),
-            moves: RefCell::default(),
-            by_stream: (0..of.streams.len()).map(names).collect(),
+            wanted_changed: Woken::new(),
+            wanted: of.streams.iter().map(|_| Cell::new(false)).collect(),
+            address_updates: RefCell::default(),
+            stream_counters: (0..of.streams.len()).map(names).collect(),
             streams: of.streams,
         });
-        let drives = Rc::clone(&feed);
-        means.tasks.spawn(async move { drives.drive().await }).detach();
+        let driver = Rc::clone(&feed);
+        resources.tasks.spawn(async move { driver.drive().await }).detach();
         log::info!("{} is of the site {} of {}", file.gateway, of.site, of.name);
         Ok(Some(feed))
     }
 
     /// Follows the list services whenever the core wants that. `own`: where that of the own stream is, and its further
     /// addresses, if they come from the configuration.
-    pub fn follow(self: &Rc<Self>, tasks: Tasks, mut own: Option<(SocketAddr, Receiver<SocketAddr>)>) {
+    pub fn subscribe(self: &Rc<Self>, tasks: Tasks, mut own: Option<(SocketAddr, Receiver<SocketAddr>)>) {
         for (i, stream) in self.streams.iter().enumerate() {
-            let configured = if i == self.own { own.take() } else { None };
-            let (address, moves) = configured.unwrap_or_else(|| {
-                let (tell, moves) = async_channel::unbounded();
-                self.moves.borrow_mut().push((i, tell));
-                (stream.address, moves)
+            let configured = if i == self.own_stream { own.take() } else { None };
+            let (address, updates) = configured.unwrap_or_else(|| {
+                let (sender, updates) = async_channel::unbounded();
+                self.address_updates.borrow_mut().push((i, sender));
+                (stream.address, updates)
             });
-            let subscriber = Stream { feed: Rc::clone(self), place: i };
+            let subscriber = ListSubscriber { feed: Rc::clone(self), stream: i };
             let (clock, counters) = (self.clock, Rc::clone(&self.counters));
-            tasks.spawn(DiscoveryClient { address, moves, clock, counters, subscriber }.follow()).detach();
+            tasks
+                .spawn(DiscoveryClient { address, moves: updates, clock, counters, subscriber }.follow())
+                .detach();
         }
     }
 
     /// Other keys and other addresses of list services, as its file has them now; the rest of the file stays as it was.
-    pub fn reread(&self, file: &File) {
-        let usable = self.core.borrow_mut().rekey(&file.keys);
-        if !usable {
+    pub fn reload(&self, file: &File) {
+        let replaced = self.core.borrow_mut().set_keys(&file.keys);
+        if !replaced {
             self.counters.add("fleet feed keys that can't be used");
             log::warn!("the feed's keys can't be used; they stay");
         }
         self.counters.add("fleet feed files read again");
-        let fresh = file.feed.as_ref().map(|f| &f.streams).into_iter().flatten();
-        let fresh: BTreeMap<&str, SocketAddr> = fresh.map(|s| (s.name.as_str(), s.address)).collect();
-        for (i, tell) in self.moves.borrow().iter() {
-            if let Some(address) = fresh.get(self.streams[*i].name.as_str()) {
+        let current = file.feed.as_ref().map(|f| &f.streams).into_iter().flatten();
+        let current: BTreeMap<&str, SocketAddr> = current.map(|s| (s.name.as_str(), s.address)).collect();
+        for (i, sender) in self.address_updates.borrow().iter() {
+            if let Some(address) = current.get(self.streams[*i].name.as_str()) {
                 // It fails only when its follower has ended, and with it the process.
-                _ = tell.try_send(*address);
+                _ = sender.try_send(*address);
             }
         }
     }
 
     /// The live others of the site.
-    pub fn members<'a>(&self, live: impl Iterator<Item = (&'a str, SocketAddr)>) {
-        self.tell(|core, now| core.members(now, live));
+    pub fn set_members<'a>(&self, live: impl Iterator<Item = (&'a str, SocketAddr)>) {
+        self.with_core(|core, now| core.set_members(now, live));
     }
 
-    pub fn datagram(&self, from: SocketAddr, bytes: &[u8]) {
-        self.tell(|core, now| core.datagram(now, from, bytes));
+    pub fn handle_datagram(&self, from: SocketAddr, bytes: &[u8]) {
+        self.with_core(|core, now| core.handle_datagram(now, from, bytes));
     }
 
     async fn drive(&self) {
         loop {
             let now = self.clock.now();
             self.core.borrow_mut().tick(now);
-            self.pull();
-            let moved = self.moved.listen();
+            self.process_outputs();
+            let moved = self.wake_changed.listen();
             // Whatever the core asks for, the others of the process have their turn.
-            let at = self.core.borrow().next_wake(now).max(now + LEAST_SLEEP);
+            let at = self.core.borrow().next_wake(now).max(now + MIN_SLEEP);
             self.sleeps_until.set(at);
             self.clock.by(at, moved).await;
         }
     }
 
     /// Tells the core something, and does what comes of it.
-    fn tell<T>(&self, what: impl FnOnce(&mut Core, Time) -> T) -> T {
+    fn with_core<T>(&self, what: impl FnOnce(&mut Core, Time) -> T) -> T {
         let now = self.clock.now();
         let given = what(&mut self.core.borrow_mut(), now);
-        self.pull();
+        self.process_outputs();
         if self.core.borrow().next_wake(now) < self.sleeps_until.get() {
-            self.moved.notify(1);
+            self.wake_changed.notify(1);
         }
         given
     }
 
     /// Does what the core wants done.
-    fn pull(&self) {
+    fn process_outputs(&self) {
         loop {
             let Some(out) = self.core.borrow_mut().poll() else { break };
             match out {
-                Out::Datagram(to, bytes) => {
+                Output::Datagram(to, bytes) => {
                     // Lost here or on the way is the same to the core.
                     if self.socket.get_ref().send_to(&bytes, to).is_err() {
                         self.counters.add("fleet feed datagrams not sent");
                     }
                 }
-                Out::Purge { names, issued_ms, .. } => self.news(DiscoveryEvent::Purge { names, issued_ms }),
-                Out::Line { stream, line, .. } => self.line(stream, &line),
+                Output::Purge { names, issued_ms, .. } => {
+                    self.dispatch(DiscoveryEvent::Purge { names, issued_ms })
+                }
+                Output::Line { stream, line, .. } => self.handle_line(stream, &line),
             }
         }
         let mut changed = false;
-        for (i, asked) in self.asked.iter().enumerate() {
-            let asks = self.core.borrow().asks(i);
-            changed |= asked.replace(asks) != asks;
+        for (i, flag) in self.wanted.iter().enumerate() {
+            let wanted = self.core.borrow().wants_connection(i);
+            changed |= flag.replace(wanted) != wanted;
         }
         if changed {
-            self.asks.notify(usize::MAX);
+            self.wanted_changed.notify(usize::MAX);
         }
     }
 
-    fn line(&self, stream: usize, line: &[u8]) {
-        let Some(hears) = &self.hears else { return };
+    fn handle_line(&self, stream: usize, line: &[u8]) {
+        let Some(gateway) = &self.gateway else { return };
         let value: Result<serde_json::Value, _> = serde_json::from_slice(line);
-        match value.map_err(|e| e.to_string()).and_then(|v| config::parse_event(&v, &hears.names)) {
+        match value.map_err(|e| e.to_string()).and_then(|v| config::parse_event(&v, &gateway.names)) {
             Ok((_, Some(DiscoveryEvent::Roster { whole, list }))) => {
-                let (list, left_out) = hears.owners.borrow_mut().change(stream, whole, list);
+                let (list, left_out) = gateway.owners.borrow_mut().apply(stream, whole, list);
                 if left_out > 0 {
                     self.counters.add("fleet feed lists beyond the bound");
                     log::warn!(
-                        "{left_out} caches of a list are beyond the bound of {MOST_LISTED} and left out"
+                        "{left_out} caches of a list are beyond the bound of {MAX_LISTED_CACHES} and left out"
                     );
                 }
-                self.news(DiscoveryEvent::Roster { whole: false, list });
+                self.dispatch(DiscoveryEvent::Roster { whole: false, list });
             }
-            Ok((_, Some(said))) => self.news(said),
+            Ok((_, Some(event))) => self.dispatch(event),
             Ok((_, None)) => {}
             Err(why) => {
                 self.counters.add("fleet feed events that can't be used");
@@ -295,18 +303,18 @@
         }
     }
 
-    fn news(&self, said: DiscoveryEvent) {
-        if let Some(hears) = &self.hears {
+    fn dispatch(&self, event: DiscoveryEvent) {
+        if let Some(gateway) = &self.gateway {
             self.counters.add("bulletin events");
             // It fails only when the dispatcher has ended, and with it the process.
-            _ = hears.dispatcher.try_send(Event::Discovery(said));
+            _ = gateway.dispatcher.try_send(Event::Discovery(event));
         }
     }
 
-    async fn until(&self, stream: usize, asks: bool) {
+    async fn wait_for_wanted(&self, stream: usize, wanted: bool) {
         loop {
-            let changed = self.asks.listen();
-            if self.asked[stream].get() == asks {
+            let changed = self.wanted_changed.listen();
+            if self.wanted[stream].get() == wanted {
                 return;
             }
             changed.await;
@@ -317,34 +325,34 @@
         let core = self.core.borrow();
         let (c, t) = (core.counts, core.traffic);
         let mut all = core.sizes();
-        all.extend(self.hears.iter().map(|h| ("fleet feed caches listed", h.owners.borrow().0.len())));
-        let by_stream = self.by_stream.iter().enumerate().flat_map(|(i, names)| {
-            let done = core.done(i);
+        all.extend(self.gateway.iter().map(|h| ("fleet feed caches listed", h.owners.borrow().0.len())));
+        let stream_counters = self.stream_counters.iter().enumerate().flat_map(|(i, names)| {
+            let done = core.watermarks(i);
             names.iter().copied().zip([core.position(i), done.in_touch, done.everywhere])
         });
         let streams = 0..self.streams.len();
-        let asks = streams.clone().filter(|i| core.asks(*i)).count() as u64;
+        let wanted = streams.clone().filter(|i| core.wants_connection(*i)).count() as u64;
         let now = self.clock.now();
-        let ages = streams.filter_map(|i| core.age(now, i)).map(Span::as_micros);
+        let ages = streams.filter_map(|i| core.staleness(now, i)).map(Span::as_micros);
         let counts = [
             ("fleet feed oldest age us", ages.max().unwrap_or(0)),
-            ("fleet feed numbers missing", core.gaps()),
+            ("fleet feed numbers missing", core.missing_count()),
             ("fleet feed is contact", u64::from(core.is_contact())),
-            ("fleet feed list services asked now", asks),
+            ("fleet feed list services asked now", wanted),
             ("fleet feed bundles made", c.bundles_made),
             ("fleet feed provisional made", c.provisional_made),
             ("fleet feed bundles", c.bundles),
             ("fleet feed provisional", c.provisional),
-            ("fleet feed copies", c.copies),
+            ("fleet feed copies", c.duplicates),
             ("fleet feed purges", c.purges),
             ("fleet feed lines", c.lines),
-            ("fleet feed gaps purged", c.purged_all),
-            ("fleet feed fetches", c.fetches),
+            ("fleet feed gaps purged", c.gaps_purged),
+            ("fleet feed fetches", c.retransmit_requests),
             ("fleet feed repaired", c.repaired),
-            ("fleet feed lacked", c.lacked),
-            ("fleet feed contacts", c.contacts),
-            ("fleet feed hubs left", c.hubs_left),
-            ("fleet feed list services asked", c.asked),
+            ("fleet feed lacked", c.requests_unserved),
+            ("fleet feed contacts", c.contact_promotions),
+            ("fleet feed hubs left", c.hub_switches),
+            ("fleet feed list services asked", c.list_connections),
             ("fleet feed refused seals", c.refused_seals),
             ("fleet feed refused forms", c.refused_forms),
             ("fleet feed refused signatures", c.refused_signatures),
@@ -356,22 +364,22 @@
             ("fleet feed datagrams in", t.datagrams_in),
             ("fleet feed datagrams out", t.datagrams_out),
         ];
-        all.extend(by_stream.chain(counts).map(|(name, n)| (name, n as usize)));
+        all.extend(stream_counters.chain(counts).map(|(name, n)| (name, n as usize)));
         all
     }
 
     /// Writes the counters of a control machine, and who has not confirmed what it told.
-    fn write(&self) {
+    fn log_status(&self) {
         *self.counters.sizes.borrow_mut() = self.sizes();
         log::info!("{}", self.counters);
-        let (missing, liars) = {
+        let (unacked, false_acks) = {
             let core = self.core.borrow();
-            (core.missing(), core.liars())
+            (core.unacked(), core.false_acks())
         };
-        for (site, member, times) in liars.iter().take(MOST_TOLD) {
+        for (site, member, times) in false_acks.iter().take(MAX_LOGGED) {
             log::info!("confirmed what it was not told: {member} of {site}, {times} times");
         }
-        for one in missing.iter().take(MOST_TOLD) {
+        for one in unacked.iter().take(MAX_LOGGED) {
             let stream = &self.streams[one.stream].name;
             match &one.member {
                 Some(member) => {
@@ -380,21 +388,21 @@
                 None => log::info!("not confirmed: {}, {stream} to {}", one.site, one.position),
             }
         }
-        if missing.len() > MOST_TOLD {
-            log::info!("not confirmed: {} more", missing.len() - MOST_TOLD);
+        if unacked.len() > MAX_LOGGED {
+            log::info!("not confirmed: {} more", unacked.len() - MAX_LOGGED);
         }
     }
 }
 
 /// One list service; its lines go to the core.
-struct Stream {
+struct ListSubscriber {
     feed: Rc<Feed>,
-    place: usize,
+    stream: usize,
 }
 
-impl Subscriber for Stream {
+impl Subscriber for ListSubscriber {
     fn after(&self) -> u64 {
-        self.feed.core.borrow().after(self.place)
+        self.feed.core.borrow().resume_after(self.stream)
     }
 
     fn line(&mut self, line: &[u8]) -> Result<(), String> {
@@ -402,28 +410,28 @@
         if line.is_empty() {
             return Ok(());
         }
-        if let Some(no) = crate::digits(line) {
-            let fits = self.feed.tell(|core, now| core.last(now, self.place, no));
-            return if fits { Ok(()) } else { Err(format!("number {no} after {}", self.after())) };
+        if let Some(seq) = crate::digits(line) {
+            let fits = self.feed.with_core(|core, now| core.handle_last(now, self.stream, seq));
+            return if fits { Ok(()) } else { Err(format!("number {seq} after {}", self.after())) };
         }
-        self.feed.tell(|core, now| core.line(now, self.place, line)).map_err(|e| e.to_string())
+        self.feed.with_core(|core, now| core.handle_line(now, self.stream, line)).map_err(|e| e.to_string())
     }
 
     fn wanted(&self) -> impl Future<Output = ()> {
-        self.feed.until(self.place, true)
+        self.feed.wait_for_wanted(self.stream, true)
     }
 
     fn unwanted(&self) -> impl Future<Output = ()> {
-        self.feed.until(self.place, false)
+        self.feed.wait_for_wanted(self.stream, false)
     }
 
     fn ended(&mut self) {
-        self.feed.tell(|core, now| core.ended(now, self.place));
+        self.feed.with_core(|core, now| core.handle_disconnect(now, self.stream));
     }
 }
 
 /// Runs a machine set aside for control until SIGTERM. `read` gives its file as it is now.
-pub async fn control(
+pub async fn run_control(
     tasks: Tasks,
     file: File,
     mut signals: Signals,
@@ -433,16 +441,16 @@
         Async::<UdpSocket>::bind(file.listen).map_err(|e| format!("listen: {}: {e}", file.listen))?;
     let socket = Rc::new(socket);
     let (clock, counters) = (Clock::start(), Rc::default());
-    let means = Means { tasks, clock, counters, socket };
-    let Some(feed) = Feed::start(means, &file, None)? else { return Err("feed: none".to_owned()) };
-    feed.follow(tasks, None);
+    let resources = Resources { tasks, clock, counters, socket };
+    let Some(feed) = Feed::start(resources, &file, None)? else { return Err("feed: none".to_owned()) };
+    feed.subscribe(tasks, None);
     log::info!("{} is a hub at {}", file.gateway, file.listen);
-    let hears = async {
-        let mut bytes = [0; MOST_DATAGRAM + 1];
+    let receive = async {
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
-            for _ in 0..AT_ONCE {
+            for _ in 0..MAX_DATAGRAMS_PER_TURN {
                 match feed.socket.recv_from(&mut bytes).await {
-                    Ok((n, from)) => feed.datagram(from, &bytes[..n]),
+                    Ok((n, from)) => feed.handle_datagram(from, &bytes[..n]),
                     // A closed port at the other end is told as a refusal on the next call.
                     Err(e) => log::debug!("the feed's socket: {e}"),
                 }
@@ -450,23 +458,23 @@
             future::yield_now().await;
         }
     };
-    let told = async {
+    let handle_signals = async {
         while let Some(signal) = signals.next().await {
             match signal {
-                Ok(Signal::Usr1) => feed.write(),
+                Ok(Signal::Usr1) => feed.log_status(),
                 Ok(Signal::Hup) => match read() {
-                    Ok(file) => feed.reread(&file),
+                    Ok(file) => feed.reload(&file),
                     Err(why) => {
                         feed.counters.add("fleet keys that can't be used");
                         log::warn!("{why}; keys and addresses stay");
                     }
                 },
-                Ok(_) => return feed.write(),
+                Ok(_) => return feed.log_status(),
                 Err(e) => log::warn!("signals: {e}"),
             }
         }
         future::pending().await
     };
-    future::or(told, hears).await;
+    future::or(handle_signals, receive).await;
     Ok(())
 }
--- a/gateway/src/fleet.rs
+++ b/gateway/src/fleet.rs
@@ -9,7 +9,7 @@
 use crate::counters::Counters;
 use crate::discovery::Subscriber;
 use crate::dispatch_api::{Event, HopRequest, Permit, PermitFuture, Service, SharedLimits};
-use crate::feed::{self, Feed, Serves};
+use crate::feed::{self, Feed, GatewayInit};
 use async_channel::{Receiver, Sender};
 use async_io::Async;
 use event_listener::Event as Woken;
@@ -19,7 +19,7 @@
 use kelpcart_fleet::lease::{Key, Verdict};
 use kelpcart_fleet::node::{Node, Out, Phase};
 use kelpcart_fleet::rank;
-use kelpcart_fleet::seal::MOST_DATAGRAM;
+use kelpcart_fleet::seal::MAX_DATAGRAM_BYTES;
 use kelpcart_fleet::settings::Fleet as File;
 use kelpcart_fleet::wire::Kind;
 use rand::Rng;
@@ -95,17 +95,17 @@
         let socket =
             Async::<UdpSocket>::bind(file.listen).map_err(|e| format!("listen: {}: {e}", file.listen))?;
         let socket = Rc::new(socket);
-        let of_feed = feed::Means {
+        let of_feed = feed::Resources {
             tasks: means.tasks,
             clock: means.clock,
             counters: Rc::clone(&means.counters),
             socket: Rc::clone(&socket),
         };
-        let serves = Serves {
+        let serves = GatewayInit {
             dispatcher: means.dispatcher.clone(),
             names: config.names.clone(),
-            known: config.initial_events.clone(),
-            last: config.last_event,
+            known_events: config.initial_events.clone(),
+            last_known: config.last_event,
         };
         let feed = Feed::start(of_feed, &file, Some(serves))?;
         let counts = file.budgets.connections.is_some()
@@ -146,7 +146,7 @@
         let file = text.and_then(|text| File::read(&text).map_err(|e| e.to_string()));
         match file {
             Ok(file) if self.node.borrow_mut().rekey(&file.keys) => {
-                self.feed.iter().for_each(|feed| feed.reread(&file));
+                self.feed.iter().for_each(|feed| feed.reload(&file));
                 self.counters.add("fleet keys read again");
                 log::info!("the fleet's keys are as they are now in its file");
             }
@@ -159,7 +159,7 @@
     }
 
     async fn hear(&self) {
-        let mut bytes = [0; MOST_DATAGRAM + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             for _ in 0..AT_ONCE {
                 match self.socket.recv_from(&mut bytes).await {
@@ -167,7 +167,7 @@
                         if let Some(feed) = &self.feed
                             && bytes[..n].first() == Some(&feed::VERSION)
                         {
-                            feed.datagram(from, &bytes[..n]);
+                            feed.handle_datagram(from, &bytes[..n]);
                             continue;
                         }
                         let now = self.clock.now();
@@ -257,7 +257,7 @@
             let node = self.node.borrow();
             let version = node.members.version;
             if self.told.replace(version) != version {
-                feed.members(node.members.others().map(|(name, known)| (&**name, known.address)));
+                feed.set_members(node.members.others().map(|(name, known)| (&**name, known.address)));
             }
         }
         if self.asked.replace(asks) != asks {
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -50,7 +50,7 @@
         let first = file()?;
         // Set aside for control: whatever else is configured for this machine, it takes no txns.
         if first.feed.as_ref().is_some_and(|f| f.control.is_some()) {
-            let control = feed::control(tasks, first, signals, file);
+            let control = feed::run_control(tasks, first, signals, file);
             return async_io::block_on(tasks.run(control)).map_err(|why| format!("{path}: {why}"));
         }
     }
@@ -128,7 +128,7 @@
     let fleet = files.fleet.as_ref().map(join).transpose()?;
     let address = config.bulletin;
     match (&fleet, fleet.as_ref().and_then(|f| f.feed.as_ref())) {
-        (_, Some(feed)) => feed.follow(tasks, Some((address, moves))),
+        (_, Some(feed)) => feed.subscribe(tasks, Some((address, moves))),
         (None, None) => {
             let subscriber = Alone {
                 last: config.last_event,
--- a/gateway/tests/common/installation.rs
+++ b/gateway/tests/common/installation.rs
@@ -300,7 +300,7 @@
     pub fn order(&self, site: usize) -> Vec<usize> {
         use kelpcart_feed::rank;
         let mut all: Vec<usize> = self.gateways().into_iter().filter(|i| self.of[*i] == site).collect();
-        all.sort_by_key(|i| std::cmp::Reverse(rank::score(&self.name(*i), rank::ORDER)));
+        all.sort_by_key(|i| std::cmp::Reverse(rank::score(&self.name(*i), rank::CONTACT_ORDER)));
         all
     }
 
--- a/gateway/tests/feed.rs
+++ b/gateway/tests/feed.rs
@@ -10,7 +10,7 @@
 use installation::{Installation, TOLD_MS, alone};
 use kelpcart::interface::MemberState;
 use kelpcart_gateway::config::{self, DiscoveryEvent, Names};
-use kelpcart_gateway::feed::Owners;
+use kelpcart_gateway::feed::CacheOwners;
 use kelpcart_rig::bulletin::Bulletin;
 use kelpcart_rig::fleet::{self, Node, Process, free_udp};
 use serde_json::json;
@@ -239,10 +239,10 @@
             _ => unreachable!("a roster was written"),
         }
     };
-    let mut owners = Owners::default();
+    let mut owners = CacheOwners::default();
     let mut change = |stream, whole, names: &[(&str, &str)]| {
         let (whole, list) = roster(whole, names);
-        let (list, left_out) = owners.change(stream, whole, list);
+        let (list, left_out) = owners.apply(stream, whole, list);
         assert_eq!(left_out, 0);
         let told = |l: &config::ListedMember| {
             format!("{}{}", if l.member.state == MemberState::Gone { "-" } else { "+" }, l.member.id)
@@ -265,11 +265,11 @@
     let many: Vec<String> = (0..20_000).map(|i| format!("m{i}")).collect();
     let many: Vec<(&str, &str)> = many.iter().map(|n| (n.as_str(), "up")).collect();
     let (whole, list) = roster(false, &many);
-    let (list, left_out) = owners.change(0, whole, list);
+    let (list, left_out) = owners.apply(0, whole, list);
     assert!(left_out > 0 && list.len() + left_out == 20_000);
     // Those that are known still change.
     let (whole, list) = roster(false, &[("d", "up")]);
-    assert_eq!(owners.change(1, whole, list).1, 0);
+    assert_eq!(owners.apply(1, whole, list).1, 0);
 }
 
 #[test]
--- a/scale/src/feed_net.rs
+++ b/scale/src/feed_net.rs
@@ -317,10 +317,10 @@
         let Some(hollow) = self.sim.slots[i].actor.as_mut() else { return };
         let place = &mut self.places[i];
         if checks {
-            let sound = hollow.feed.check_rules();
+            let sound = hollow.feed.check_invariants();
             sound.unwrap_or_else(|why| panic!("{}: {why}", place.name));
         }
-        if (0..REGIONS).any(|s| hollow.feed.asks(s) || place.links[s].is_some()) {
+        if (0..REGIONS).any(|s| hollow.feed.wants_connection(s) || place.links[s].is_some()) {
             self.active.insert(i);
         }
         for told in hollow.told.drain(..) {
@@ -352,7 +352,7 @@
         }
         if place.site.is_none() {
             for stream in 0..REGIONS {
-                let done = hollow.feed.done(stream).everywhere;
+                let done = hollow.feed.watermarks(stream).everywhere;
                 for no in place.told[stream]..done {
                     let at = self.services[stream].events[no as usize].at;
                     self.known.saturating_record((now - at).as_micros());
@@ -372,7 +372,7 @@
             if self.sim.slots[i].stopped {
                 continue;
             }
-            let asked: Vec<bool> = (0..REGIONS).map(|s| hollow.feed.asks(s)).collect();
+            let asked: Vec<bool> = (0..REGIONS).map(|s| hollow.feed.wants_connection(s)).collect();
             if !asked.contains(&true) && self.places[i].links.iter().all(Option::is_none) {
                 self.active.remove(&i);
                 continue;
@@ -400,7 +400,7 @@
                 place.again[stream] = now + CONNECT_AGAIN;
                 if reach {
                     self.connections += 1;
-                    let told = self.sim.get(i).map_or(0, |h| h.feed.after(stream)) as usize;
+                    let told = self.sim.get(i).map_or(0, |h| h.feed.resume_after(stream)) as usize;
                     place.links[stream] = Some(Link { told, pulse: now });
                 } else {
                     ended = true;
@@ -413,7 +413,7 @@
             _ => {}
         }
         if ended {
-            self.sim.with(i, |hollow, now| hollow.feeds(now, |feed| feed.ended(now, stream)));
+            self.sim.with(i, |hollow, now| hollow.feeds(now, |feed| feed.handle_disconnect(now, stream)));
         }
     }
 
@@ -430,9 +430,9 @@
         let whole = self.sim.with(i, |hollow, own| {
             hollow.feeds(own, |feed| {
                 for event in lines {
-                    feed.line(own, stream, &event.line).expect("a line that fits");
+                    feed.handle_line(own, stream, &event.line).expect("a line that fits");
                 }
-                now < pulse || feed.last(own, stream, come as u64)
+                now < pulse || feed.handle_last(own, stream, come as u64)
             })
         });
         assert_eq!(whole, Some(true), "{} was told all of {stream}", self.places[i].name);
@@ -494,7 +494,7 @@
         let lasts = self.services.iter().map(|s| s.events.len() as u64).enumerate();
         let known = |h: usize| {
             let feed = self.sim.get(h).map(|hollow| &hollow.feed);
-            feed.is_some_and(|f| lasts.clone().all(|(s, last)| f.done(s).everywhere == last))
+            feed.is_some_and(|f| lasts.clone().all(|(s, last)| f.watermarks(s).everywhere == last))
         };
         self.hubs().any(known)
     }
--- a/scale/src/hollow.rs
+++ b/scale/src/hollow.rs
@@ -67,7 +67,7 @@
         self.version = node.members.version;
         let begun = self.measures.then(ThreadTime::now);
         let live = node.members.others().map(|(name, known)| (&**name, known.address));
-        self.feed.members(now, live);
+        self.feed.set_members(now, live);
         self.feed_wake = self.feed.next_wake(now);
         self.spent.processor += begun.map_or(Duration::ZERO, |b| b.elapsed());
     }
@@ -75,15 +75,17 @@
     fn drain(&mut self) {
         while let Some(out) = self.feed.poll() {
             match out {
-                kelpcart_feed::Out::Datagram(to, bytes) => {
+                kelpcart_feed::Output::Datagram(to, bytes) => {
                     self.spent.datagrams_out += 1;
                     self.spent.bytes_out += bytes.len() as u64;
                     self.datagrams.push_back((to, bytes));
                 }
-                kelpcart_feed::Out::Purge { names, issued_ms, .. } => {
+                kelpcart_feed::Output::Purge { names, issued_ms, .. } => {
                     self.told.push(Told::Purge { names, issued_ms });
                 }
-                kelpcart_feed::Out::Line { stream, no, .. } => self.told.push(Told::Line { stream, no }),
+                kelpcart_feed::Output::Line { stream, seq: no, .. } => {
+                    self.told.push(Told::Line { stream, no })
+                }
             }
         }
         // Nobody relays a list nor lends budgets here.
@@ -100,7 +102,7 @@
         if bytes.first() == Some(&VERSION) {
             self.spent.datagrams_in += 1;
             self.spent.bytes_in += bytes.len() as u64;
-            self.feeds(now, |feed| feed.datagram(now, from, bytes));
+            self.feeds(now, |feed| feed.handle_datagram(now, from, bytes));
         } else if let Some(node) = &mut self.node {
             node.datagram(now, from, bytes);
             self.members(now);
--- a/scale/src/ladders/feed.rs
+++ b/scale/src/ladders/feed.rs
@@ -65,7 +65,7 @@
     }
     let known = if net.all_known() { Ok(()) } else { Err("no hub holds all to be done".to_owned()) };
     let told = net.all_told().and(known);
-    let purges_of_all: u64 = net.sim.live().map(|(_, h)| h.feed.counts.purged_all).sum();
+    let purges_of_all: u64 = net.sim.live().map(|(_, h)| h.feed.counts.gaps_purged).sum();
     // Hubs hold what is kept for all; a gateway's own is what its end gives back.
     let hub_memory = (memory::held() - held) as f64;
     let before = memory::held();
