--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -50,7 +50,7 @@
         let first = read_fleet_file()?;
         // Set aside for control: whatever else is configured for this machine, it takes no txns.
         if first.feed.as_ref().is_some_and(|f| f.control.is_some()) {
-            let control = feed::control(tasks, first, signals, read_fleet_file);
+            let control = feed::run_control(tasks, first, signals, file);
             return async_io::block_on(tasks.run(control)).map_err(|why| format!("{path}: {why}"));
         }
     }
@@ -134,7 +134,7 @@
     let fleet = files.fleet.as_ref().map(start_fleet).transpose()?;
     let address = config.discovery_address;
     match (&fleet, fleet.as_ref().and_then(|f| f.feed.as_ref())) {
-        (_, Some(feed)) => feed.follow(tasks, Some((address, address_changes))),
+        (_, Some(feed)) => feed.subscribe(tasks, Some((address, moves))),
         (None, None) => {
             let subscriber = DispatcherSubscriber {
                 last_event: config.last_event,
