--- a/fleet/src/node.rs
+++ b/fleet/src/node.rs
@@ -2,25 +2,25 @@
 //! by tests. The host hands in datagrams, the bulletin's lines and times, and pulls what is to be done until there is
 //! nothing. Must never do I/O, read a clock, or keep the host from serving: a host that gets no word goes on as alone.
 
-use crate::lease::{self, Key, Leases, Verdict};
-use crate::list::{List, Unusable};
-use crate::members::{Members, Name, Taken};
+use crate::lease::{self, BudgetKey, Decision, Leases};
+use crate::list::{List, ListError};
+use crate::members::{Disposition, Members, Name};
 use crate::relay::{self, Relay};
 use crate::seal::{Keys, Refused};
 use crate::settings::{self, Fleet};
-use crate::wire::{Packet, Part, Said};
+use crate::wire::{Packet, Part, Payload};
 use kelpcart::{Span, Time};
 use serde_json::Value;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
+pub enum Output {
     Datagram(SocketAddr, Vec<u8>),
     /// An event that the host has to hear, a line of JSON.
-    Line(Vec<u8>),
-    Verdict(u64, Verdict),
-    Wanted(Key),
+    Event(Vec<u8>),
+    Decision(u64, Decision),
+    Contended(BudgetKey),
 }
 
 /// How far a start has come.
@@ -48,22 +48,22 @@
     pub leases: Leases,
     keys: Keys,
     fleet: String,
-    number: u64,
-    due: Time,
-    warming: Span,
-    counts_fills: bool,
-    listed_at: Option<Time>,
+    packet_number: u64,
+    next_due: Time,
+    warming_period: Span,
+    limits_fills: bool,
+    list_received_at: Option<Time>,
     pub traffic: Traffic,
     pub refused: BTreeMap<Refused, u64>,
-    out: VecDeque<Out>,
+    outbox: VecDeque<Output>,
 }
 
 #[derive(Debug, thiserror::Error)]
-pub enum Unstartable {
+pub enum StartError {
     #[error("keys: a secret is no row of hex digits")]
     Keys,
     #[error("what is known at the start: {0}")]
-    Known(#[from] Unusable),
+    InitialEvents(#[from] ListError),
 }
 
 impl Node {
@@ -73,29 +73,29 @@
         run: u64,
         seed: u64,
         now: Time,
-        no: u64,
-        known: &[Value],
-    ) -> Result<Node, Unstartable> {
-        let keys = Keys::new(&file.fleet, &file.keys).ok_or(Unstartable::Keys)?;
-        let mut list = List::new(no, file.relays.most_kb * 1024);
-        list.know(known)?;
+        version: u64,
+        initial_events: &[Value],
+    ) -> Result<Node, StartError> {
+        let keys = Keys::new(&file.fleet, &file.keys).ok_or(StartError::Keys)?;
+        let mut list = List::new(version, file.relays.most_kb * 1024);
+        list.load_initial(initial_events)?;
         let members = Members::new(file, run, seed, now);
         let own = members.name.clone();
-        let counts_fills = file.budgets.fills.is_some() || file.budgets.fills_at_cache.is_some();
+        let limits_fills = file.budgets.fills.is_some() || file.budgets.fills_at_cache.is_some();
         Ok(Node {
             members,
             relay: Relay::new(file, list, seed.rotate_left(17), now),
             leases: Leases::new(file.budgets.clone(), own, now),
             keys,
             fleet: file.fleet.clone(),
-            number: 0,
-            due: now,
-            warming: Span::from_millis(file.budgets.warming_ms),
-            counts_fills,
-            listed_at: None,
+            packet_number: 0,
+            next_due: now,
+            warming_period: Span::from_millis(file.budgets.warming_ms),
+            limits_fills,
+            list_received_at: None,
             traffic: Traffic::default(),
             refused: BTreeMap::new(),
-            out: VecDeque::new(),
+            outbox: VecDeque::new(),
         })
     }
 
@@ -110,7 +110,7 @@
     }
 
     pub fn phase(&self) -> Phase {
-        if self.relay.listed() {
+        if self.relay.has_list() {
             if self.relay.warm { Phase::Serving } else { Phase::Warming }
         } else if self.members.joined() {
             Phase::Joined
@@ -120,15 +120,15 @@
     }
 
     /// Whatever comes first after a stop shows it.
-    fn comes(&mut self, now: Time) {
-        self.members.comes(now, self.due);
-        self.due = self.due.max(now);
+    fn detect_pause(&mut self, now: Time) {
+        self.members.detect_pause(now, self.next_due);
+        self.next_due = self.next_due.max(now);
     }
 
     // Inputs.
 
-    pub fn datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
-        self.comes(now);
+    pub fn handle_datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
+        self.detect_pause(now);
         self.traffic.datagrams_in += 1;
         self.traffic.bytes_in += bytes.len() as u64;
         let packet = match self.keys.open(bytes) {
@@ -139,93 +139,99 @@
             }
         };
         match self.members.receive(now, from, &packet) {
-            Taken::Good => self.packet(now, packet),
-            Taken::Stranger => {
+            Disposition::Accepted => self.handle_packet(now, packet),
+            Disposition::Unverified => {
                 for part in &packet.parts {
-                    if let Some(Said::Challenge(nonce)) = part.said {
-                        let joins = self.members.wants_to_join();
-                        self.members.challenged(from, packet.run, nonce, joins);
+                    if let Some(Payload::Challenge(nonce)) = part.payload {
+                        let joining = self.members.wants_to_join();
+                        self.members.answer_challenge(from, packet.run, nonce, joining);
                     }
                 }
             }
-            Taken::Dropped => {}
+            Disposition::Dropped => {}
         }
-        self.collect(now);
+        self.collect_output(now);
     }
 
-    fn packet(&mut self, now: Time, packet: Packet) {
+    fn handle_packet(&mut self, now: Time, packet: Packet) {
         let from = Name::from(packet.from.as_str());
-        for said in packet.parts.iter().filter_map(|p| p.said.as_ref()) {
-            match said {
-                Said::Challenge(nonce) => {
+        for payload in packet.parts.iter().filter_map(|p| p.payload.as_ref()) {
+            match payload {
+                Payload::Challenge(nonce) => {
                     let address = self.members.get(&from).map(|k| k.address);
                     if let Some(to) = address {
-                        self.members.challenged(to, packet.run, *nonce, false);
+                        self.members.answer_challenge(to, packet.run, *nonce, false);
                     }
                 }
-                Said::Follow(_) | Said::Pulse(_) | Said::Fetch(_) | Said::Chunk(_) | Said::Full(_) => {
-                    self.relay.said(now, &from, said);
+                Payload::Subscribe(_)
+                | Payload::Heartbeat(_)
+                | Payload::Fetch(_)
+                | Payload::Chunk(_)
+                | Payload::SubscriptionRefused(_) => {
+                    self.relay.handle(now, &from, payload);
                 }
-                Said::Want(_) | Said::Lease(_) => self.leases.said(now, &from, said, &self.members),
-                Said::Ping(ping) | Said::Ack(ping) => {
-                    self.members.said(now, &from, said);
+                Payload::LeaseRequests(_) | Payload::Grants(_) => {
+                    self.leases.handle(now, &from, payload, &self.members)
+                }
+                Payload::Ping(ping) | Payload::Ack(ping) => {
+                    self.members.handle(now, &from, payload);
                     if let Some(list) = &ping.list {
-                        self.relay.weigh(now, &from, list);
+                        self.relay.evaluate_heartbeat(now, &from, list);
                     }
                 }
-                _ => self.members.said(now, &from, said),
+                _ => self.members.handle(now, &from, payload),
             }
         }
-        self.relay.pass_on(now);
+        self.relay.forward(now);
     }
 
     /// An event of the bulletin as it wrote it.
-    pub fn line(&mut self, now: Time, line: &[u8]) -> Result<(), Unusable> {
-        self.comes(now);
-        self.relay.line(now, line)?;
-        self.relay.pass_on(now);
-        self.collect(now);
+    pub fn discovery_event(&mut self, now: Time, line: &[u8]) -> Result<(), ListError> {
+        self.detect_pause(now);
+        self.relay.discovery_event(now, line)?;
+        self.relay.forward(now);
+        self.collect_output(now);
         Ok(())
     }
 
     /// The bulletin's last number; `false`: it has more than it told.
-    pub fn last(&mut self, now: Time, no: u64) -> bool {
-        self.comes(now);
-        let fits = self.relay.last(now, no);
-        self.collect(now);
+    pub fn discovery_version(&mut self, now: Time, version: u64) -> bool {
+        self.detect_pause(now);
+        let fits = self.relay.discovery_version(now, version);
+        self.collect_output(now);
         fits
     }
 
     /// The connection to the bulletin has ended or did not come up.
-    pub fn ended(&mut self, now: Time) {
-        self.relay.ended(now);
+    pub fn discovery_closed(&mut self, now: Time) {
+        self.relay.discovery_closed(now);
     }
 
     /// The host keeps a connection to the bulletin while this holds.
-    pub fn asks(&self) -> bool {
-        self.relay.asks()
+    pub fn wants_discovery(&self) -> bool {
+        self.relay.wants_discovery()
     }
 
-    pub fn want(&mut self, now: Time, key: Key, ticket: u64, until: Time) {
-        self.comes(now);
-        self.leases.want(now, key, ticket, until, &self.members);
-        self.collect(now);
+    pub fn request(&mut self, now: Time, key: BudgetKey, ticket: u64, until: Time) {
+        self.detect_pause(now);
+        self.leases.request(now, key, ticket, until, &self.members);
+        self.collect_output(now);
     }
 
-    pub fn forget(&mut self, ticket: u64) {
-        self.leases.forget(ticket);
+    pub fn cancel(&mut self, ticket: u64) {
+        self.leases.cancel(ticket);
     }
 
-    pub fn give_back(&mut self, now: Time, key: Key, done: bool) {
-        self.comes(now);
-        self.leases.give_back(now, key, done, &self.members);
-        self.collect(now);
+    pub fn release(&mut self, now: Time, key: BudgetKey, done: bool) {
+        self.detect_pause(now);
+        self.leases.release(now, key, done, &self.members);
+        self.collect_output(now);
     }
 
     /// The process ends: some are told, the others find out.
     pub fn leave(&mut self, now: Time) {
         self.members.leave();
-        self.collect(now);
+        self.collect_output(now);
     }
 
     // Time.
@@ -236,54 +242,56 @@
     }
 
     pub fn tick(&mut self, now: Time) {
-        self.comes(now);
-        self.members.list = (!self.relay.is_off()).then(|| self.relay.pulse(now));
+        self.detect_pause(now);
+        self.members.list = (!self.relay.is_disabled()).then(|| self.relay.heartbeat(now));
         self.members.tick(now);
         self.relay.tick(now, &self.members);
         self.leases.tick(now, &self.members);
-        if self.relay.listed() {
-            let at = *self.listed_at.get_or_insert(now);
-            if !self.counts_fills || now - at >= self.warming {
+        if self.relay.has_list() {
+            let at = *self.list_received_at.get_or_insert(now);
+            if !self.limits_fills || now - at >= self.warming_period {
                 self.relay.warm = true;
             }
         }
-        self.collect(now);
+        self.collect_output(now);
     }
 
-    pub fn poll(&mut self) -> Option<Out> {
-        self.out.pop_front()
+    pub fn poll(&mut self) -> Option<Output> {
+        self.outbox.pop_front()
     }
 
-    fn collect(&mut self, now: Time) {
+    fn collect_output(&mut self, now: Time) {
         // Verdicts of one's own keeper and lines change nothing below, so that one round is enough.
-        while let Some(out) = self.relay.out.pop_front() {
+        while let Some(out) = self.relay.outbox.pop_front() {
             match out {
-                relay::Out::Send(to, parts) => self.members.send(&to, parts),
-                relay::Out::Line(line) => self.out.push_back(Out::Line(line)),
+                relay::Output::Send(to, parts) => self.members.send(&to, parts),
+                relay::Output::Event(line) => self.outbox.push_back(Output::Event(line)),
             }
         }
-        while let Some(out) = self.leases.out.pop_front() {
+        while let Some(out) = self.leases.outbox.pop_front() {
             match out {
-                lease::Out::Send(to, parts) => self.members.send(&to, parts),
-                lease::Out::Verdict(ticket, verdict) => self.out.push_back(Out::Verdict(ticket, verdict)),
-                lease::Out::Wanted(key) => self.out.push_back(Out::Wanted(key)),
+                lease::Output::Send(to, parts) => self.members.send(&to, parts),
+                lease::Output::Decision(ticket, decision) => {
+                    self.outbox.push_back(Output::Decision(ticket, decision))
+                }
+                lease::Output::Contended(key) => self.outbox.push_back(Output::Contended(key)),
             }
         }
-        while let Some(letter) = self.members.out.pop_front() {
-            self.number += 1;
+        while let Some(envelope) = self.members.outbox.pop_front() {
+            self.packet_number += 1;
             let packet = Packet {
                 from: self.members.name.to_string(),
                 run: self.members.run,
-                to_run: letter.to_run,
-                number: self.number,
-                parts: letter.parts.into_iter().map(Part::from).collect(),
+                to_run: envelope.to_run,
+                number: self.packet_number,
+                parts: envelope.parts.into_iter().map(Part::from).collect(),
             };
             let bytes = self.keys.seal(&packet);
             self.traffic.datagrams_out += 1;
             self.traffic.bytes_out += bytes.len() as u64;
-            self.out.push_back(Out::Datagram(letter.to, bytes));
+            self.outbox.push_back(Output::Datagram(envelope.to, bytes));
         }
-        self.due = self.next_wake(now).max(now);
+        self.next_due = self.next_wake(now).max(now);
     }
 
     /// How much is kept, by name.
@@ -295,9 +303,9 @@
     }
 
     /// The rules that have to hold after every step; for tests.
-    pub fn check_rules(&self, now: Time) -> Result<(), String> {
-        self.members.check_rules()?;
-        self.relay.check_rules()?;
-        self.leases.check_rules(now)
+    pub fn check_invariants(&self, now: Time) -> Result<(), String> {
+        self.members.check_invariants()?;
+        self.relay.check_invariants()?;
+        self.leases.check_invariants(now)
     }
 }
--- a/fleet/src/seal.rs
+++ b/fleet/src/seal.rs
@@ -8,7 +8,7 @@
 pub use kelpcart_feed::seal::{MOST_DATAGRAM, Refused};
 
 /// Numbers behind the newest that may still come.
-const WINDOW: u64 = 128;
+const WINDOW_SIZE: u64 = 128;
 
 /// The first signs, all of them are good for what comes.
 pub struct Keys(seal::Keys);
@@ -25,35 +25,35 @@
 
     pub fn open(&self, bytes: &[u8]) -> Result<Packet, Refused> {
         let packet = Packet::decode(self.0.open(VERSION, bytes)?).map_err(|_| Refused::Form)?;
-        if packet.is_sound() { Ok(packet) } else { Err(Refused::Form) }
+        if packet.is_valid() { Ok(packet) } else { Err(Refused::Form) }
     }
 }
 
 /// What has come of one start of one sender.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Window {
-    top: u64,
-    seen: u128,
+pub struct ReplayWindow {
+    highest: u64,
+    received: u128,
 }
 
-impl Window {
+impl ReplayWindow {
     /// Notes a number; `false`: it came before, or is too old to tell.
-    pub fn take(&mut self, number: u64) -> bool {
+    pub fn accept(&mut self, number: u64) -> bool {
         if number == 0 {
             return false;
         }
-        if number > self.top {
-            let by = number - self.top;
-            self.seen = if by >= WINDOW { 0 } else { self.seen << by };
-            self.seen |= 1;
-            self.top = number;
+        if number > self.highest {
+            let by = number - self.highest;
+            self.received = if by >= WINDOW_SIZE { 0 } else { self.received << by };
+            self.received |= 1;
+            self.highest = number;
             return true;
         }
-        let behind = self.top - number;
-        if behind >= WINDOW || self.seen & (1 << behind) != 0 {
+        let behind = self.highest - number;
+        if behind >= WINDOW_SIZE || self.received & (1 << behind) != 0 {
             return false;
         }
-        self.seen |= 1 << behind;
+        self.received |= 1 << behind;
         true
     }
 }
@@ -66,12 +66,12 @@
 
     quickcheck! {
         fn a_number_is_taken_once_and_an_old_one_never(numbers: Vec<u8>) -> bool {
-            let (mut window, mut seen) = (Window::default(), BTreeSet::new());
+            let (mut window, mut seen) = (ReplayWindow::default(), BTreeSet::new());
             numbers.into_iter().all(|n| {
                 let n = u64::from(n) * 3;
-                let top = seen.last().copied().unwrap_or(0);
-                let fresh = n > 0 && !seen.contains(&n) && (n > top || top - n < WINDOW);
-                let taken = window.take(n);
+                let highest = seen.last().copied().unwrap_or(0);
+                let fresh = n > 0 && !seen.contains(&n) && (n > highest || highest - n < WINDOW_SIZE);
+                let taken = window.accept(n);
                 if taken {
                     seen.insert(n);
                 }
--- a/fleet/src/settings.rs
+++ b/fleet/src/settings.rs
@@ -125,83 +125,87 @@
 }
 
 #[derive(Debug, thiserror::Error)]
-pub enum Unusable {
+pub enum SettingsError {
     #[error("{0}")]
-    Form(#[from] serde_json::Error),
+    Json(#[from] serde_json::Error),
     #[error("{0}: {1}")]
     Field(String, &'static str),
 }
 
 impl Fleet {
-    pub fn read(text: &str) -> Result<Fleet, Unusable> {
+    pub fn read(text: &str) -> Result<Fleet, SettingsError> {
         let file: Fleet = serde_json::from_str(text)?;
         file.check()?;
         Ok(file)
     }
 
-    fn check(&self) -> Result<(), Unusable> {
-        let need = |is: bool, field: &str, what: &'static str| {
-            if is { Ok(()) } else { Err(Unusable::Field(field.to_owned(), what)) }
+    fn check(&self) -> Result<(), SettingsError> {
+        let require = |is: bool, field: &str, what: &'static str| {
+            if is { Ok(()) } else { Err(SettingsError::Field(field.to_owned(), what)) }
         };
-        need(is_name(&self.fleet), "fleet", "a name has 1 to 64 visible characters")?;
-        need(is_name(&self.gateway), "gateway", "a name has 1 to 64 visible characters")?;
-        need(self.listen.port() != 0, "listen", "the others have to know the port")?;
-        need(
-            self.reached().is_ipv4() && self.reached().port() != 0,
+        require(is_name(&self.fleet), "fleet", "a name has 1 to 64 visible characters")?;
+        require(is_name(&self.gateway), "gateway", "a name has 1 to 64 visible characters")?;
+        require(self.listen.port() != 0, "listen", "the others have to know the port")?;
+        require(
+            self.advertised_address().is_ipv4() && self.advertised_address().port() != 0,
             "advertise",
             "an IPv4 address with its port",
         )?;
         let control = self.feed.as_ref().and_then(|f| f.control.as_ref());
         match control {
             Some(control) => {
-                need(self.seeds.is_empty(), "seeds", "a control machine has no members: none are wanted")?;
-                need(self.gateway == control.name, "gateway", "a control machine has the name of its hub")?;
+                require(self.seeds.is_empty(), "seeds", "a control machine has no members: none are wanted")?;
+                require(
+                    self.gateway == control.name,
+                    "gateway",
+                    "a control machine has the name of its hub",
+                )?;
             }
-            None => need((1..=16).contains(&self.seeds.len()), "seeds", "1 to 16 are wanted")?,
+            None => require((1..=16).contains(&self.seeds.len()), "seeds", "1 to 16 are wanted")?,
         }
-        need((1..=4).contains(&self.keys.len()), "keys", "1 to 4 are wanted")?;
+        require((1..=4).contains(&self.keys.len()), "keys", "1 to 4 are wanted")?;
         let mut ids = BTreeSet::new();
         for (i, key) in self.keys.iter().enumerate() {
-            need(ids.insert(key.id), &format!("keys[{i}].id"), "another key has it")?;
+            require(ids.insert(key.id), &format!("keys[{i}].id"), "another key has it")?;
             let long = key.bytes().is_some_and(|b| b.len() >= 32);
-            need(long, &format!("keys[{i}].secret"), "32 bytes or more in hex digits are wanted")?;
+            require(long, &format!("keys[{i}].secret"), "32 bytes or more in hex digits are wanted")?;
         }
         let m = &self.members;
-        need((2..=4_096).contains(&m.most), "members.most", "2 to 4,096")?;
-        need((1..=m.most).contains(&m.expected), "members.expected", "1 to members.most")?;
-        need((100..=60_000).contains(&m.probe_ms), "members.probe_ms", "100 to 60,000")?;
-        need(
+        require((2..=4_096).contains(&m.most), "members.most", "2 to 4,096")?;
+        require((1..=m.most).contains(&m.expected), "members.expected", "1 to members.most")?;
+        require((100..=60_000).contains(&m.probe_ms), "members.probe_ms", "100 to 60,000")?;
+        require(
             m.answer_ms >= 20 && m.answer_ms * 2 <= m.probe_ms,
             "members.answer_ms",
             "20 to half of probe_ms",
         )?;
-        need(m.suspect_ms >= m.probe_ms, "members.suspect_ms", "probe_ms at the least")?;
-        need(m.news_bytes >= 1_024, "members.news_bytes", "1,024 at the least")?;
+        require(m.suspect_ms >= m.probe_ms, "members.suspect_ms", "probe_ms at the least")?;
+        require(m.news_bytes >= 1_024, "members.news_bytes", "1,024 at the least")?;
         let r = &self.relays;
-        need((1..=16).contains(&r.askers), "relays.askers", "1 to 16")?;
-        need((2..=64).contains(&r.children), "relays.children", "2 to 64")?;
-        need((1_500..=60_000).contains(&r.stale_ms), "relays.stale_ms", "1,500 to 60,000")?;
-        need(
+        require((1..=16).contains(&r.askers), "relays.askers", "1 to 16")?;
+        require((2..=64).contains(&r.children), "relays.children", "2 to 64")?;
+        require((1_500..=60_000).contains(&r.stale_ms), "relays.stale_ms", "1,500 to 60,000")?;
+        require(
             r.connections_per_s.is_finite() && r.connections_per_s >= 0.1,
             "relays.connections_per_s",
             "0.1 at the least",
         )?;
-        need((16..=16_384).contains(&r.most_kb), "relays.most_kb", "16 to 16,384")?;
+        require((16..=16_384).contains(&r.most_kb), "relays.most_kb", "16 to 16,384")?;
         let b = &self.budgets;
-        need(b.connections != Some(0), "budgets.connections", "1 at the least")?;
-        need(b.fills != Some(0), "budgets.fills", "1 at the least")?;
-        need(b.fills_at_cache != Some(0), "budgets.fills_at_cache", "1 at the least")?;
-        need((200..=60_000).contains(&b.lease_ms), "budgets.lease_ms", "200 to 60,000")?;
-        need((0.0..=0.9).contains(&b.wait_part), "budgets.wait_part", "0 to 0.9")?;
+        require(b.connections != Some(0), "budgets.connections", "1 at the least")?;
+        require(b.fills != Some(0), "budgets.fills", "1 at the least")?;
+        require(b.fills_at_cache != Some(0), "budgets.fills_at_cache", "1 at the least")?;
+        require((200..=60_000).contains(&b.lease_ms), "budgets.lease_ms", "200 to 60,000")?;
+        require((0.0..=0.9).contains(&b.wait_part), "budgets.wait_part", "0 to 0.9")?;
         match &self.feed {
             Some(feed) => {
-                feed.check().map_err(|(field, what)| Unusable::Field(format!("feed.{field}"), what))
+                feed.check().map_err(|(field, what)| SettingsError::Field(format!("feed.{field}"), what))
             }
             None => Ok(()),
         }
     }
 
-    pub fn reached(&self) -> SocketAddr {
+    pub fn advertised_address(&self) -> SocketAddr {
         self.advertise.unwrap_or(self.listen)
     }
 
--- a/fleet/src/wire.rs
+++ b/fleet/src/wire.rs
@@ -6,8 +6,8 @@
 
 pub const VERSION: u8 = 1;
 /// Room for what a packet says, so that it fits a datagram with its head.
-pub const ROOM: usize = 1_200;
-const MOST_PARTS: usize = 64;
+pub const MAX_PAYLOAD_BYTES: usize = 1_200;
+const MAX_PARTS: usize = 64;
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Packet {
@@ -28,12 +28,12 @@
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Part {
-    #[prost(oneof = "Said", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15")]
-    pub said: Option<Said>,
+    #[prost(oneof = "Payload", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15")]
+    pub payload: Option<Payload>,
 }
 
 #[derive(Clone, PartialEq, prost::Oneof)]
-pub enum Said {
+pub enum Payload {
     /// Who the sender is; with the number that it was challenged with.
     #[prost(message, tag = "1")]
     Hello(Hello),
@@ -41,59 +41,59 @@
     Challenge(u64),
     /// What is known of a member.
     #[prost(message, tag = "3")]
-    News(Record),
+    Update(MemberRecord),
     #[prost(message, tag = "4")]
     Ping(Ping),
     #[prost(message, tag = "5")]
     Ack(Ping),
     /// Ask this member for a sign of life in the sender's place.
     #[prost(message, tag = "6")]
-    PingFor(PingFor),
+    PingReq(PingReq),
     /// The helper is alive and has no answer from the member yet.
     #[prost(uint64, tag = "7")]
     Nack(u64),
     /// The sender leaves.
     #[prost(bool, tag = "8")]
-    Leaving(bool),
+    Leave(bool),
     #[prost(message, tag = "9")]
-    Follow(Follow),
+    Subscribe(Subscribe),
     #[prost(message, tag = "10")]
-    Pulse(Pulse),
+    Heartbeat(Heartbeat),
     #[prost(message, tag = "11")]
     Fetch(Fetch),
     #[prost(message, tag = "12")]
     Chunk(Chunk),
     #[prost(message, tag = "13")]
-    Want(Want),
+    LeaseRequests(LeaseRequests),
     #[prost(message, tag = "14")]
-    Lease(Lease),
+    Grants(Grants),
     /// No room for one more that follows.
     #[prost(bool, tag = "15")]
-    Full(bool),
+    SubscriptionRefused(bool),
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Hello {
     #[prost(message, optional, tag = "1")]
-    pub me: Option<Record>,
+    pub record: Option<MemberRecord>,
     #[prost(fixed64, tag = "2")]
-    pub proof: u64,
+    pub nonce: u64,
     /// It wants to know who is there.
     #[prost(bool, tag = "3")]
-    pub joins: bool,
+    pub joining: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
-pub enum Standing {
+pub enum MemberState {
     Alive = 0,
     Suspect = 1,
-    Gone = 2,
+    Dead = 2,
     Left = 3,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Record {
+pub struct MemberRecord {
     #[prost(string, tag = "1")]
     pub name: String,
     #[prost(fixed32, tag = "2")]
@@ -104,11 +104,11 @@
     pub run: u64,
     #[prost(uint64, tag = "5")]
     pub incarnation: u64,
-    #[prost(enumeration = "Standing", tag = "6")]
-    pub standing: i32,
+    #[prost(enumeration = "MemberState", tag = "6")]
+    pub state: i32,
     /// Who says so, where it is no good news.
     #[prost(string, tag = "7")]
-    pub by: String,
+    pub reported_by: String,
 }
 
 /// What a member says of itself with each probe and its answer.
@@ -121,13 +121,13 @@
     pub incarnation: u64,
     /// How much and what it knows of members, as one number.
     #[prost(fixed64, tag = "3")]
-    pub known: u64,
+    pub members_digest: u64,
     #[prost(message, optional, tag = "4")]
-    pub list: Option<Pulse>,
+    pub list: Option<Heartbeat>,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct PingFor {
+pub struct PingReq {
     #[prost(uint64, tag = "1")]
     pub seq: u64,
     #[prost(string, tag = "2")]
@@ -135,20 +135,20 @@
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Follow {
+pub struct Subscribe {
     /// Only numbers are wanted, no events.
     #[prost(bool, tag = "1")]
-    pub second: bool,
+    pub heartbeats_only: bool,
     /// No more of it.
     #[prost(bool, tag = "2")]
-    pub ends: bool,
+    pub unsubscribe: bool,
 }
 
 /// How far the sender's list goes and how old that knowledge is.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Pulse {
+pub struct Heartbeat {
     #[prost(uint64, tag = "1")]
-    pub no: u64,
+    pub version: u64,
     /// Of the list as it is at that number.
     #[prost(fixed64, tag = "2")]
     pub digest: u64,
@@ -174,7 +174,7 @@
     #[prost(uint64, tag = "1")]
     pub after: u64,
     #[prost(bool, tag = "2")]
-    pub whole: bool,
+    pub snapshot: bool,
     /// The last number of an answer that has begun; 0: as far as it goes.
     #[prost(uint64, tag = "3")]
     pub to: u64,
@@ -188,7 +188,7 @@
     pub after: u64,
     /// These are the whole list and the purges of late, not events.
     #[prost(bool, tag = "2")]
-    pub whole: bool,
+    pub snapshot: bool,
     #[prost(uint64, tag = "3")]
     pub to: u64,
     #[prost(fixed64, tag = "4")]
@@ -196,23 +196,23 @@
     #[prost(uint32, tag = "5")]
     pub index: u32,
     #[prost(uint32, tag = "6")]
-    pub of: u32,
+    pub total: u32,
     #[prost(bytes = "vec", tag = "7")]
     pub bytes: Vec<u8>,
 }
 
 /// Asks the keeper of a budget.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Want {
+pub struct LeaseRequests {
     #[prost(message, repeated, tag = "1")]
-    pub all: Vec<Ask>,
+    pub requests: Vec<LeaseRequest>,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Ask {
+pub struct LeaseRequest {
     #[prost(fixed64, tag = "1")]
     pub key: u64,
-    #[prost(enumeration = "Kind", tag = "2")]
+    #[prost(enumeration = "BudgetKind", tag = "2")]
     pub kind: i32,
     /// So many in all, those held already included; 0: all given back.
     #[prost(uint32, tag = "3")]
@@ -224,43 +224,43 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
-pub enum Kind {
+pub enum BudgetKind {
     Connections = 0,
     Fill = 1,
-    FillsAt = 2,
+    FillsAtCache = 2,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Lease {
+pub struct Grants {
     #[prost(message, repeated, tag = "1")]
-    pub all: Vec<Granted>,
+    pub grants: Vec<Grant>,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Granted {
+pub struct Grant {
     #[prost(fixed64, tag = "1")]
     pub key: u64,
-    #[prost(enumeration = "Kind", tag = "2")]
+    #[prost(enumeration = "BudgetKind", tag = "2")]
     pub kind: i32,
     #[prost(uint32, tag = "3")]
     pub units: u32,
     #[prost(uint64, tag = "4")]
-    pub lasts_us: u64,
+    pub duration_us: u64,
     /// It is done, or not counted any more: go on without.
     #[prost(bool, tag = "5")]
-    pub free: bool,
+    pub not_required: bool,
     /// Others wait for some of them.
     #[prost(bool, tag = "6")]
-    pub wanted: bool,
+    pub contended: bool,
 }
 
-impl From<Said> for Part {
-    fn from(said: Said) -> Part {
-        Part { said: Some(said) }
+impl From<Payload> for Part {
+    fn from(payload: Payload) -> Part {
+        Part { payload: Some(payload) }
     }
 }
 
-impl Record {
+impl MemberRecord {
     pub fn address(&self) -> Option<SocketAddr> {
         let port = u16::try_from(self.port).ok().filter(|p| *p != 0)?;
         Some(SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::from(self.ip), port)))
@@ -268,7 +268,7 @@
 }
 
 /// Only IPv4: what is not has no place in a record.
-pub fn place(address: SocketAddr) -> (u32, u32) {
+pub fn ipv4_and_port(address: SocketAddr) -> (u32, u32) {
     match address {
         SocketAddr::V4(a) => (u32::from(*a.ip()), a.port().into()),
         SocketAddr::V6(_) => (0, 0),
@@ -276,35 +276,35 @@
 }
 
 impl Packet {
-    pub fn is_sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         is_name(&self.from)
             && self.run != 0
-            && self.parts.len() <= MOST_PARTS
-            && self.parts.iter().all(|p| p.said.as_ref().is_some_and(Said::is_sound))
+            && self.parts.len() <= MAX_PARTS
+            && self.parts.iter().all(|p| p.payload.as_ref().is_some_and(Payload::is_valid))
     }
 }
 
-impl Said {
-    fn is_sound(&self) -> bool {
-        let record = |r: &Record| {
+impl Payload {
+    fn is_valid(&self) -> bool {
+        let valid_record = |r: &MemberRecord| {
             is_name(&r.name)
                 && r.address().is_some()
                 && r.run != 0
                 && r.incarnation != 0
-                && Standing::try_from(r.standing).is_ok()
-                && (r.by.is_empty() || is_name(&r.by))
+                && MemberState::try_from(r.state).is_ok()
+                && (r.reported_by.is_empty() || is_name(&r.reported_by))
         };
         match self {
-            Said::Hello(h) => h.me.as_ref().is_some_and(record),
-            Said::News(r) => record(r),
-            Said::PingFor(p) => is_name(&p.name),
-            Said::Pulse(p) => p.after <= p.no,
-            Said::Fetch(f) => f.chunks.len() <= 64 && (f.to == 0 || f.after <= f.to),
-            Said::Chunk(c) => c.index < c.of && c.of <= 16_384 && c.after <= c.to,
-            Said::Want(w) => w.all.iter().all(|a| Kind::try_from(a.kind).is_ok()),
-            Said::Lease(l) => l.all.iter().all(|g| Kind::try_from(g.kind).is_ok()),
-            Said::Ping(_) | Said::Ack(_) | Said::Nack(_) | Said::Leaving(_) => true,
-            Said::Follow(_) | Said::Challenge(_) | Said::Full(_) => true,
+            Payload::Hello(h) => h.record.as_ref().is_some_and(valid_record),
+            Payload::Update(r) => valid_record(r),
+            Payload::PingReq(p) => is_name(&p.name),
+            Payload::Heartbeat(p) => p.after <= p.version,
+            Payload::Fetch(f) => f.chunks.len() <= 64 && (f.to == 0 || f.after <= f.to),
+            Payload::Chunk(c) => c.index < c.total && c.total <= 16_384 && c.after <= c.to,
+            Payload::LeaseRequests(w) => w.requests.iter().all(|a| BudgetKind::try_from(a.kind).is_ok()),
+            Payload::Grants(l) => l.grants.iter().all(|g| BudgetKind::try_from(g.kind).is_ok()),
+            Payload::Ping(_) | Payload::Ack(_) | Payload::Nack(_) | Payload::Leave(_) => true,
+            Payload::Subscribe(_) | Payload::Challenge(_) | Payload::SubscriptionRefused(_) => true,
         }
     }
 }
--- a/fleet/tests/model.rs
+++ b/fleet/tests/model.rs
@@ -1,9 +1,9 @@
 //! The core of the fleet in simulated time: hard cases one by one, and random schedules with the rules after every step.
 //! `FLEET_STEPS` seconds of schedule and `FLEET_SEEDS` make the random part longer.
 
-use kelpcart_fleet::lease::Verdict;
+use kelpcart_fleet::lease::Decision;
 use kelpcart_fleet::node::Phase;
-use kelpcart_fleet::wire::Kind;
+use kelpcart_fleet::wire::BudgetKind;
 use kelpcart_scale::fleet_net::{Net, ms};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use rand::Rng;
@@ -21,7 +21,7 @@
     assert!(net.connections <= 9, "{} connections", net.connections);
     net.run(ms(15_000));
     assert_eq!(net.seen(), (60, 60));
-    assert!(net.live().into_iter().filter(|&i| net.node(i).asks()).count() == 3);
+    assert!(net.live().into_iter().filter(|&i| net.node(i).wants_discovery()).count() == 3);
 }
 
 #[test]
@@ -44,7 +44,7 @@
     net.start_all();
     net.run(ms(8_000));
     for _ in 0..2 {
-        let askers: Vec<usize> = net.live().into_iter().filter(|&i| net.node(i).asks()).collect();
+        let askers: Vec<usize> = net.live().into_iter().filter(|&i| net.node(i).wants_discovery()).collect();
         assert!(!askers.is_empty());
         askers.into_iter().for_each(|i| net.kill(i));
         let no = net.purge(7);
@@ -60,7 +60,7 @@
     let mut net = Net::new(120, 4, NO_CHANGE);
     net.start_all();
     net.run(ms(10_000));
-    let depth = |net: &Net, i: usize| net.node(i).relay.pulse(net.sim.now).depth;
+    let depth = |net: &Net, i: usize| net.node(i).relay.heartbeat(net.sim.now).depth;
     let deepest = net.live().into_iter().map(|i| depth(&net, i)).max().unwrap();
     assert!((2..=5).contains(&deepest), "{deepest}");
     for level in 0..deepest {
@@ -77,36 +77,36 @@
 
 #[test]
 fn one_that_declares_all_others_gone_is_not_believed() {
-    use kelpcart_fleet::wire::{Record, Said, Standing, place};
+    use kelpcart_fleet::wire::{MemberRecord, MemberState, Payload, ipv4_and_port};
     let mut net = Net::new(20, 5, NO_CHANGE);
     net.start_all();
     net.run(ms(12_000));
     for _ in 0..20 {
-        let claims: Vec<Record> = (1..20)
+        let claims: Vec<MemberRecord> = (1..20)
             .map(|i| {
                 let k = net.node(0).members.get(&format!("g{i}")).unwrap();
-                let (ip, port) = place(k.address);
-                Record {
+                let (ip, port) = ipv4_and_port(k.address);
+                MemberRecord {
                     name: format!("g{i}"),
                     ip,
                     port,
                     run: k.run,
                     incarnation: k.incarnation + 1,
-                    standing: Standing::Gone as i32,
-                    by: "g0".to_owned(),
+                    state: MemberState::Dead as i32,
+                    reported_by: "g0".to_owned(),
                 }
             })
             .collect();
         net.with(0, |n, now| {
             for to in 1..20 {
-                n.members.send(&format!("g{to}"), claims.iter().cloned().map(Said::News).collect());
+                n.members.send(&format!("g{to}"), claims.iter().cloned().map(Payload::Update).collect());
             }
             n.tick(now);
         });
         net.run(ms(1_000));
         assert_eq!(net.seen(), (20, 20));
     }
-    let unheard: u64 = (1..20).map(|i| net.node(i).members.counts.not_heard).sum();
+    let unheard: u64 = (1..20).map(|i| net.node(i).members.counts.claims_ignored).sum();
     assert!(unheard > 0, "the liar is still heard");
 }
 
@@ -123,7 +123,7 @@
         stopped.iter().for_each(|&i| net.sim.stop(i, false));
         net.run(ms(3_000));
     }
-    let gone: u64 = (0..40).map(|i| net.node(i).members.counts.gone).sum();
+    let gone: u64 = (0..40).map(|i| net.node(i).members.counts.declared_dead).sum();
     assert_eq!(gone, 0);
     net.all_told().unwrap();
 }
@@ -243,11 +243,11 @@
 
 #[test]
 fn a_relayer_that_makes_up_or_keeps_back_events_is_found_out() {
-    use kelpcart_fleet::wire::{Pulse, Said};
+    use kelpcart_fleet::wire::{Heartbeat, Payload};
     let mut net = Net::new(40, 12, NO_CHANGE);
     net.start_all();
     net.run(ms(10_000));
-    let liar = net.live().into_iter().find(|&i| net.node(i).asks()).unwrap();
+    let liar = net.live().into_iter().find(|&i| net.node(i).wants_discovery()).unwrap();
     let no = net.events.len() as u64 + 1;
     // It says that c1 is gone, which the bulletin never said, and that nothing else happened.
     let false_line = format!(
@@ -255,8 +255,8 @@
     );
     let names: Vec<String> = (0..40).map(|i| format!("g{i}")).collect();
     net.with(liar, |n, now| {
-        let pulse = Pulse {
-            no,
+        let pulse = Heartbeat {
+            version: no,
             digest: 77,
             age_us: 0,
             depth: 0,
@@ -264,7 +264,7 @@
             lines: false_line.clone().into_bytes(),
             warm: true,
         };
-        names.iter().for_each(|to| n.members.send(to, vec![Said::Pulse(pulse.clone())]));
+        names.iter().for_each(|to| n.members.send(to, vec![Payload::Heartbeat(pulse.clone())]));
         n.tick(now);
     });
     net.run(ms(50));
@@ -282,7 +282,7 @@
     let mut net = Net::new(40, 13, NO_CHANGE);
     net.start_all();
     net.run(ms(10_000));
-    let stopped: Vec<usize> = net.live().into_iter().filter(|&i| net.node(i).asks()).collect();
+    let stopped: Vec<usize> = net.live().into_iter().filter(|&i| net.node(i).wants_discovery()).collect();
     stopped.iter().for_each(|&i| net.sim.stop(i, true));
     net.run(ms(1_000));
     net.purge(4);
@@ -309,7 +309,7 @@
         net.run(ms(10));
         assert!(net.sim.now - at < ms(600), "{:?}", net.node(49).phase());
     }
-    assert!(net.node(49).relay.listed());
+    assert!(net.node(49).relay.has_list());
 }
 
 #[test]
@@ -318,7 +318,7 @@
         Net::new(30, 15, |_, v| v["budgets"] = serde_json::json!({"connections": 12, "lease_ms": 1_000}));
     net.start_all();
     net.run(ms(10_000));
-    let key = (Kind::Connections, 77);
+    let key = (BudgetKind::Connections, 77);
     let until = net.sim.now + ms(2_000);
     // Two of the thirty want all of it.
     for ticket in 0..12 {
@@ -326,15 +326,15 @@
         net.want(4, key, 100 + ticket, until);
     }
     net.run(ms(500));
-    let used = |net: &Net| -> u32 { net.live().into_iter().map(|i| net.node(i).leases.used(key).0).sum() };
+    let used = |net: &Net| -> u32 { net.live().into_iter().map(|i| net.node(i).leases.usage(key).0).sum() };
     assert_eq!(used(&net), 12);
     net.run(ms(3_000));
     assert_eq!(used(&net), 12, "leases that are renewed go on");
-    let told = |net: &Net, i: usize, v: Verdict| net.verdicts(i).values().filter(|x| x.1 == v).count();
-    let go = told(&net, 3, Verdict::Go) + told(&net, 4, Verdict::Go);
-    assert_eq!((go, told(&net, 3, Verdict::No) + told(&net, 4, Verdict::No)), (12, 12));
+    let told = |net: &Net, i: usize, v: Decision| net.verdicts(i).values().filter(|x| x.1 == v).count();
+    let go = told(&net, 3, Decision::Granted) + told(&net, 4, Decision::Granted);
+    assert_eq!((go, told(&net, 3, Decision::Denied) + told(&net, 4, Decision::Denied)), (12, 12));
     // One is killed with what it held: that ends by itself, and others have it.
-    let held = net.node(3).leases.used(key).0;
+    let held = net.node(3).leases.usage(key).0;
     net.kill(3);
     let until = net.sim.now + ms(2_500);
     for ticket in 200..200 + u64::from(held) {
@@ -349,18 +349,19 @@
     let mut net = Net::new(30, 16, |_, v| v["budgets"] = serde_json::json!({"fills": 1}));
     net.start_all();
     net.run(ms(10_000));
-    let key = (Kind::Fill, 4_711);
+    let key = (BudgetKind::Fill, 4_711);
     let until = net.sim.now + ms(900);
     for i in 0..30 {
         net.want(i, key, 1, until);
     }
     net.run(ms(100));
     let first: Vec<usize> =
-        (0..30).filter(|&i| net.verdicts(i).get(&1).is_some_and(|v| v.1 == Verdict::Go)).collect();
+        (0..30).filter(|&i| net.verdicts(i).get(&1).is_some_and(|v| v.1 == Decision::Granted)).collect();
     assert_eq!(first.len(), 1);
-    net.with(first[0], |n, now| n.give_back(now, key, true));
+    net.with(first[0], |n, now| n.release(now, key, true));
     net.run(ms(100));
-    let free = (0..30).filter(|&i| net.verdicts(i).get(&1).is_some_and(|v| v.1 == Verdict::Free)).count();
+    let free =
+        (0..30).filter(|&i| net.verdicts(i).get(&1).is_some_and(|v| v.1 == Decision::NotRequired)).count();
     assert_eq!(free, 29);
 }
 
@@ -465,14 +466,14 @@
             }
             _ if net.runs(i) && !net.is_stopped(i) => {
                 ticket += 1;
-                let kind = if j % 2 == 0 { Kind::Connections } else { Kind::Fill };
+                let kind = if j % 2 == 0 { BudgetKind::Connections } else { BudgetKind::Fill };
                 let until = net.sim.now + ms(400);
                 net.want(i, (kind, (j % 3) as u64), ticket, until);
                 if j % 5 < 3 {
                     net.run(ms(50));
-                    let went = net.verdicts(i).get(&ticket).is_some_and(|v| v.1 == Verdict::Go);
+                    let went = net.verdicts(i).get(&ticket).is_some_and(|v| v.1 == Decision::Granted);
                     if went && net.runs(i) {
-                        net.with(i, |n, now| n.give_back(now, (kind, (j % 3) as u64), j % 5 == 0));
+                        net.with(i, |n, now| n.release(now, (kind, (j % 3) as u64), j % 5 == 0));
                     }
                 }
             }
--- a/fleet/tests/wire.rs
+++ b/fleet/tests/wire.rs
@@ -1,10 +1,10 @@
 //! Damaged, foreign and overlong input is refused and changes nothing.
 
 use kelpcart::Time;
-use kelpcart_fleet::list::{List, Unusable};
+use kelpcart_fleet::list::{List, ListError};
 use kelpcart_fleet::seal::{Keys, MOST_DATAGRAM, Refused};
 use kelpcart_fleet::settings::{Fleet, Key};
-use kelpcart_fleet::wire::{Fetch, Packet, Part, Said};
+use kelpcart_fleet::wire::{Fetch, Packet, Part, Payload};
 use quickcheck::quickcheck;
 use serde_json::json;
 
@@ -13,7 +13,7 @@
 }
 
 fn packet() -> Packet {
-    let said = Said::Fetch(Fetch { after: 7, whole: false, to: 0, chunks: vec![0, 1] });
+    let said = Payload::Fetch(Fetch { after: 7, snapshot: false, to: 0, chunks: vec![0, 1] });
     Packet { from: "g1".to_owned(), run: 5, to_run: 6, number: 1, parts: vec![Part::from(said)] }
 }
 
@@ -40,10 +40,10 @@
 
     fn damaged_lists_never_panic_and_change_nothing(text: Vec<u8>, to: u64, digest: u64) -> bool {
         let mut list = List::new(0, 65_536);
-        let before = (list.no(), list.digest(), list.len());
+        let before = (list.version(), list.digest(), list.len());
         _ = list.replace(Time::default(), &text, to, digest);
         _ = list.apply(Time::default(), &text);
-        before == (list.no(), list.digest(), list.len())
+        before == (list.version(), list.digest(), list.len())
     }
 
     /// However the events came, the same number has the same list: all of them, or a whole list and the rest.
@@ -60,7 +60,7 @@
         for (i, line) in lines.iter().enumerate() {
             assert!(first.apply(now, line.as_bytes()).unwrap());
             if i == at {
-                let (digest, (to, text)) = (first.digest(), first.whole(now, 0).unwrap());
+                let (digest, (to, text)) = (first.digest(), first.snapshot(now, 0).unwrap());
                 let text = text.to_vec();
                 second.replace(now, &text, to, digest).unwrap();
                 assert!(second.replace(now, &text, to, digest ^ 1).is_err());
@@ -77,12 +77,12 @@
     let mut list = List::new(4, 1_000);
     let line = |no: u64| json!({"no": no, "recall": {"lot": 1, "issued": 5}}).to_string();
     let now = Time::default();
-    assert_eq!(list.apply(now, line(6).as_bytes()), Err(Unusable::Gap(6, 4)));
+    assert_eq!(list.apply(now, line(6).as_bytes()), Err(ListError::Gap(6, 4)));
     assert_eq!(list.apply(now, line(4).as_bytes()), Ok(false));
     assert_eq!(list.apply(now, line(5).as_bytes()), Ok(true));
     assert_eq!(
         list.apply(now, format!("{{\"no\":6,\"x\":\"{}\"}}", "y".repeat(1_000)).as_bytes()),
-        Err(Unusable::Large)
+        Err(ListError::TooLarge)
     );
 }
 
--- a/gateway/src/fleet.rs
+++ b/gateway/src/fleet.rs
@@ -12,16 +12,16 @@
 use crate::feed::{self, Feed, Serves};
 use async_channel::{Receiver, Sender};
 use async_io::Async;
-use event_listener::Event as Woken;
+use event_listener::Event as Notify;
 use futures_lite::future;
 use kelpcart::interface::MemberId;
 use kelpcart::{Span, Time};
-use kelpcart_fleet::lease::{Key, Verdict};
-use kelpcart_fleet::node::{Node, Out, Phase};
+use kelpcart_fleet::lease::{BudgetKey, Decision};
+use kelpcart_fleet::node::{Node, Output, Phase};
 use kelpcart_fleet::rank;
 use kelpcart_fleet::seal::MOST_DATAGRAM;
 use kelpcart_fleet::settings::Fleet as File;
-use kelpcart_fleet::wire::Kind;
+use kelpcart_fleet::wire::BudgetKind;
 use rand::Rng;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -29,49 +29,49 @@
 use std::rc::Rc;
 
 /// Datagrams that are taken in before others have their turn.
-const AT_ONCE: usize = 64;
-const LEAST_SLEEP: Span = Span::from_millis(1);
+const MAX_DATAGRAMS_PER_TURN: usize = 64;
+const MIN_SLEEP: Span = Span::from_millis(1);
 
 pub struct Fleet {
     node: RefCell<Node>,
     /// Where many sites are one installation. It shares the socket, and the list comes by it.
     pub feed: Option<Rc<Feed>>,
     /// The members that the feed was told of.
-    told: Cell<u64>,
+    members_version_sent: Cell<u64>,
     socket: Rc<Async<UdpSocket>>,
     clock: Clock,
     counters: Rc<Counters>,
     dispatcher: Sender<Event>,
     names: Names,
     /// The core was told something: its next time may have moved.
-    moved: Woken,
-    sleeps_until: Cell<Time>,
+    wake: Notify,
+    sleeping_until: Cell<Time>,
     /// Whether the bulletin is to be asked has changed.
-    asks: Woken,
-    asked: Cell<bool>,
-    waiting: RefCell<BTreeMap<u64, (Key, Sender<Verdict>)>>,
+    discovery_changed: Notify,
+    discovery_wanted: Cell<bool>,
+    pending: RefCell<BTreeMap<u64, (BudgetKey, Sender<Decision>)>>,
     /// What has come back. Guards who drops a connection in the middle of its own tables from being called back there.
-    back: RefCell<Vec<Back>>,
+    returned: RefCell<Vec<Returned>>,
     next_ticket: Cell<u64>,
     caches: Rc<Caches>,
     wait_part: f64,
     phase: Cell<Phase>,
 }
 
-enum Back {
+enum Returned {
     /// Nobody waits under this ticket any more; one unit may have been lent for it meanwhile.
     Ticket {
         ticket: u64,
-        lent: Option<Key>,
+        granted: Option<BudgetKey>,
     },
     Unit {
-        key: Key,
+        key: BudgetKey,
         done: bool,
     },
 }
 
 /// What the rest of the gateway lends.
-pub struct Means {
+pub struct Resources {
     pub tasks: Tasks,
     pub clock: Clock,
     pub counters: Rc<Counters>,
@@ -82,61 +82,62 @@
 impl Fleet {
     /// `known`: the configuration's events of the start.
     pub fn start(
-        means: Means,
+        resources: Resources,
         text: &str,
         config: &Config,
-        known: &[serde_json::Value],
+        initial_events: &[serde_json::Value],
     ) -> Result<Rc<Fleet>, String> {
         let file = File::read(text).map_err(|e| e.to_string())?;
-        let now = means.clock.now();
+        let now = resources.clock.now();
         let mut rng = rand::rng();
         let (run, seed) = (rng.random_range(1..=u64::MAX), rng.random());
-        let node = Node::new(&file, run, seed, now, config.last_event, known).map_err(|e| e.to_string())?;
+        let node =
+            Node::new(&file, run, seed, now, config.last_event, initial_events).map_err(|e| e.to_string())?;
         let socket =
             Async::<UdpSocket>::bind(file.listen).map_err(|e| format!("listen: {}: {e}", file.listen))?;
         let socket = Rc::new(socket);
-        let of_feed = feed::Means {
-            tasks: means.tasks,
-            clock: means.clock,
-            counters: Rc::clone(&means.counters),
+        let feed_resources = feed::Means {
+            tasks: resources.tasks,
+            clock: resources.clock,
+            counters: Rc::clone(&resources.counters),
             socket: Rc::clone(&socket),
         };
-        let serves = Serves {
-            dispatcher: means.dispatcher.clone(),
+        let dispatch = Serves {
+            dispatcher: resources.dispatcher.clone(),
             names: config.names.clone(),
             known: config.initial_events.clone(),
             last: config.last_event,
         };
-        let feed = Feed::start(of_feed, &file, Some(serves))?;
-        let counts = file.budgets.connections.is_some()
+        let feed = Feed::start(feed_resources, &file, Some(dispatch))?;
+        let limited = file.budgets.connections.is_some()
             || file.budgets.fills.is_some()
             || file.budgets.fills_at_cache.is_some();
         let fleet = Rc::new(Fleet {
             node: RefCell::new(node),
             feed,
-            told: Cell::new(u64::MAX),
+            members_version_sent: Cell::new(u64::MAX),
             socket,
-            clock: means.clock,
-            counters: means.counters,
-            dispatcher: means.dispatcher,
+            clock: resources.clock,
+            counters: resources.counters,
+            dispatcher: resources.dispatcher,
             names: config.names.clone(),
-            moved: Woken::new(),
-            sleeps_until: Cell::new(now),
-            asks: Woken::new(),
-            asked: Cell::new(false),
-            waiting: RefCell::default(),
-            back: RefCell::default(),
+            wake: Notify::new(),
+            sleeping_until: Cell::new(now),
+            discovery_changed: Notify::new(),
+            discovery_wanted: Cell::new(false),
+            pending: RefCell::default(),
+            returned: RefCell::default(),
             next_ticket: Cell::new(0),
-            caches: Rc::clone(&means.caches),
+            caches: Rc::clone(&resources.caches),
             wait_part: file.budgets.wait_part,
             phase: Cell::new(Phase::Joining),
         });
-        if counts {
-            means.caches.bound_by(Rc::new(Bounds(Rc::clone(&fleet))));
+        if limited {
+            resources.caches.bound_by(Rc::new(FleetLimits(Rc::clone(&fleet))));
         }
-        let (subscriber, drives) = (Rc::clone(&fleet), Rc::clone(&fleet));
-        means.tasks.spawn(async move { subscriber.hear().await }).detach();
-        means.tasks.spawn(async move { drives.drive().await }).detach();
+        let (receiver, timers) = (Rc::clone(&fleet), Rc::clone(&fleet));
+        resources.tasks.spawn(async move { receiver.receive_datagrams().await }).detach();
+        resources.tasks.spawn(async move { timers.run_timers().await }).detach();
         log::info!("{} is of the fleet {} at {}", file.gateway, file.fleet, file.listen);
         Ok(fleet)
     }
@@ -158,10 +159,10 @@
         }
     }
 
-    async fn hear(&self) {
+    async fn receive_datagrams(&self) {
         let mut bytes = [0; MOST_DATAGRAM + 1];
         loop {
-            for _ in 0..AT_ONCE {
+            for _ in 0..MAX_DATAGRAMS_PER_TURN {
                 match self.socket.recv_from(&mut bytes).await {
                     Ok((n, from)) => {
                         if let Some(feed) = &self.feed
@@ -171,9 +172,9 @@
                             continue;
                         }
                         let now = self.clock.now();
-                        self.node.borrow_mut().datagram(now, from, &bytes[..n]);
-                        self.pull();
-                        self.hurry(now);
+                        self.node.borrow_mut().handle_datagram(now, from, &bytes[..n]);
+                        self.process_output();
+                        self.wake_if_earlier(now);
                     }
                     // A closed port at the other end is told as a refusal on the next call.
                     Err(e) => log::debug!("the fleet's socket: {e}"),
@@ -183,98 +184,98 @@
         }
     }
 
-    async fn drive(&self) {
+    async fn run_timers(&self) {
         loop {
             let now = self.clock.now();
-            let back = std::mem::take(&mut *self.back.borrow_mut());
+            let returned = std::mem::take(&mut *self.returned.borrow_mut());
             {
                 let mut node = self.node.borrow_mut();
-                for one in back {
-                    match one {
-                        Back::Ticket { ticket, lent } => {
-                            self.waiting.borrow_mut().remove(&ticket);
-                            node.forget(ticket);
-                            lent.into_iter().for_each(|key| node.give_back(now, key, false));
+                for item in returned {
+                    match item {
+                        Returned::Ticket { ticket, granted } => {
+                            self.pending.borrow_mut().remove(&ticket);
+                            node.cancel(ticket);
+                            granted.into_iter().for_each(|key| node.release(now, key, false));
                         }
-                        Back::Unit { key, done } => node.give_back(now, key, done),
+                        Returned::Unit { key, done } => node.release(now, key, done),
                     }
                 }
                 node.tick(now);
             }
-            self.pull();
-            let moved = self.moved.listen();
-            if !self.back.borrow().is_empty() {
+            self.process_output();
+            let moved = self.wake.listen();
+            if !self.returned.borrow().is_empty() {
                 future::yield_now().await;
                 continue;
             }
             // Whatever the core asks for, the others of the process have their turn.
-            let at = self.node.borrow().next_wake(now).max(now + LEAST_SLEEP);
-            self.sleeps_until.set(at);
+            let at = self.node.borrow().next_wake(now).max(now + MIN_SLEEP);
+            self.sleeping_until.set(at);
             self.clock.by(at, moved).await;
         }
     }
 
     /// Has the core called sooner where what came asks for it.
-    fn hurry(&self, now: Time) {
-        if self.node.borrow().next_wake(now) < self.sleeps_until.get() {
-            self.moved.notify(1);
+    fn wake_if_earlier(&self, now: Time) {
+        if self.node.borrow().next_wake(now) < self.sleeping_until.get() {
+            self.wake.notify(1);
         }
     }
 
     /// Does what the core wants done.
-    fn pull(&self) {
+    fn process_output(&self) {
         loop {
             let Some(out) = self.node.borrow_mut().poll() else { break };
             match out {
-                Out::Datagram(to, bytes) => {
+                Output::Datagram(to, bytes) => {
                     // Lost here or on the way is the same to the core.
                     if self.socket.get_ref().send_to(&bytes, to).is_err() {
                         self.counters.add("fleet datagrams not sent");
                     }
                 }
-                Out::Line(line) => self.news(&line),
-                Out::Verdict(ticket, verdict) => {
-                    let waits = self.waiting.borrow_mut().remove(&ticket);
+                Output::Event(line) => self.forward_event(&line),
+                Output::Decision(ticket, decision) => {
+                    let pending = self.pending.borrow_mut().remove(&ticket);
                     // It has room for the one verdict that there is; nobody may wait for it any more.
-                    if let Some((key, waits)) = waits
-                        && waits.try_send(verdict).is_err()
-                        && verdict == Verdict::Go
+                    if let Some((key, sender)) = pending
+                        && sender.try_send(decision).is_err()
+                        && decision == Decision::Granted
                     {
-                        self.comes_back(Back::Unit { key, done: false });
+                        self.queue_return(Returned::Unit { key, done: false });
                     }
                 }
-                Out::Wanted((Kind::Connections, key)) => {
+                Output::Contended((BudgetKind::Connections, key)) => {
                     self.caches.close_idle(|id| rank::key(id) == key);
                 }
-                Out::Wanted(_) => {}
+                Output::Contended(_) => {}
             }
         }
-        let (asks, phase) = {
+        let (wanted, phase) = {
             let node = self.node.borrow();
-            (node.asks(), node.phase())
+            (node.wants_discovery(), node.phase())
         };
         if let Some(feed) = &self.feed {
             let node = self.node.borrow();
             let version = node.members.version;
-            if self.told.replace(version) != version {
+            if self.members_version_sent.replace(version) != version {
                 feed.members(node.members.others().map(|(name, known)| (&**name, known.address)));
             }
         }
-        if self.asked.replace(asks) != asks {
-            self.asks.notify(usize::MAX);
+        if self.discovery_wanted.replace(wanted) != wanted {
+            self.discovery_changed.notify(usize::MAX);
         }
         if self.phase.replace(phase) != phase {
             log::info!("fleet: {phase:?}, {} members", self.node.borrow().members.live());
         }
     }
 
-    fn news(&self, line: &[u8]) {
+    fn forward_event(&self, line: &[u8]) {
         let value: Result<serde_json::Value, _> = serde_json::from_slice(line);
         match value.map_err(|e| e.to_string()).and_then(|v| config::parse_event(&v, &self.names)) {
-            Ok((_, Some(said))) => {
+            Ok((_, Some(event))) => {
                 self.counters.add("bulletin events");
                 // It fails only when the dispatcher has ended, and with it the process.
-                _ = self.dispatcher.try_send(Event::Discovery(said));
+                _ = self.dispatcher.try_send(Event::Discovery(event));
             }
             Ok((_, None)) => {}
             Err(why) => {
@@ -285,102 +286,102 @@
     }
 
     /// Tells the core something, and does what comes of it.
-    fn tell<T>(&self, what: impl FnOnce(&mut Node, Time) -> T) -> T {
+    fn with_node<T>(&self, call: impl FnOnce(&mut Node, Time) -> T) -> T {
         let now = self.clock.now();
-        let given = what(&mut self.node.borrow_mut(), now);
-        self.pull();
-        self.hurry(now);
-        given
+        let result = call(&mut self.node.borrow_mut(), now);
+        self.process_output();
+        self.wake_if_earlier(now);
+        result
     }
 
-    fn comes_back(&self, what: Back) {
-        self.back.borrow_mut().push(what);
-        self.moved.notify(1);
+    fn queue_return(&self, item: Returned) {
+        self.returned.borrow_mut().push(item);
+        self.wake.notify(1);
     }
 
-    async fn until(&self, asks: bool) {
+    async fn wait_for_discovery(&self, wanted: bool) {
         loop {
-            let changed = self.asks.listen();
-            if self.asked.get() == asks {
+            let changed = self.discovery_changed.listen();
+            if self.discovery_wanted.get() == wanted {
                 return;
             }
             changed.await;
         }
     }
 
-    fn want(self: &Rc<Self>, key: Key, until: Time) -> Waits {
+    fn request(self: &Rc<Self>, key: BudgetKey, until: Time) -> PendingRequest {
         let ticket = self.next_ticket.get() + 1;
         self.next_ticket.set(ticket);
-        let (tell, verdict) = async_channel::bounded(1);
-        self.waiting.borrow_mut().insert(ticket, (key, tell));
-        let waits = Waits { fleet: Rc::clone(self), key, ticket, verdict, over: false };
-        self.tell(|node, now| node.want(now, key, ticket, until));
-        waits
+        let (sender, decision) = async_channel::bounded(1);
+        self.pending.borrow_mut().insert(ticket, (key, sender));
+        let pending = PendingRequest { fleet: Rc::clone(self), key, ticket, decision, resolved: false };
+        self.with_node(|node, now| node.request(now, key, ticket, until));
+        pending
     }
 }
 
 /// One ticket; if it is dropped before its verdict was taken, what was lent goes back.
-struct Waits {
+struct PendingRequest {
     fleet: Rc<Fleet>,
-    key: Key,
+    key: BudgetKey,
     ticket: u64,
-    verdict: Receiver<Verdict>,
-    over: bool,
+    decision: Receiver<Decision>,
+    resolved: bool,
 }
 
-impl Waits {
-    async fn verdict(mut self) -> Verdict {
-        let verdict = self.verdict.recv().await.unwrap_or(Verdict::No);
-        self.over = true;
-        verdict
+impl PendingRequest {
+    async fn decision(mut self) -> Decision {
+        let decision = self.decision.recv().await.unwrap_or(Decision::Denied);
+        self.resolved = true;
+        decision
     }
 }
 
-impl Drop for Waits {
+impl Drop for PendingRequest {
     fn drop(&mut self) {
-        if self.over {
+        if self.resolved {
             return;
         }
-        let lent = (self.verdict.try_recv() == Ok(Verdict::Go)).then_some(self.key);
-        self.fleet.comes_back(Back::Ticket { ticket: self.ticket, lent });
+        let granted = (self.decision.try_recv() == Ok(Decision::Granted)).then_some(self.key);
+        self.fleet.queue_return(Returned::Ticket { ticket: self.ticket, granted });
     }
 }
 
 /// Units that go back when it is dropped.
-struct Lent {
+struct LeasePermit {
     fleet: Rc<Fleet>,
-    keys: Vec<Key>,
+    keys: Vec<BudgetKey>,
     done: bool,
 }
 
-impl Permit for Lent {
+impl Permit for LeasePermit {
     fn complete(&mut self) {
         self.done = true;
     }
 }
 
-impl Drop for Lent {
+impl Drop for LeasePermit {
     fn drop(&mut self) {
         for key in std::mem::take(&mut self.keys) {
-            self.fleet.comes_back(Back::Unit { key, done: self.done });
+            self.fleet.queue_return(Returned::Unit { key, done: self.done });
         }
     }
 }
 
-struct Bounds(Rc<Fleet>);
+struct FleetLimits(Rc<Fleet>);
 
-impl SharedLimits for Bounds {
+impl SharedLimits for FleetLimits {
     fn acquire_connection(&self, member: &MemberId, until: Time) -> PermitFuture {
-        let waits = self.0.want((Kind::Connections, rank::key(member)), until);
+        let pending = self.0.request((BudgetKind::Connections, rank::key(member)), until);
         let fleet = Rc::clone(&self.0);
         Box::pin(async move {
-            let key = waits.key;
-            let keys = match waits.verdict().await {
-                Verdict::Go => vec![key],
-                Verdict::Free => Vec::new(),
-                Verdict::No => return None,
+            let key = pending.key;
+            let keys = match pending.decision().await {
+                Decision::Granted => vec![key],
+                Decision::NotRequired => Vec::new(),
+                Decision::Denied => return None,
             };
-            Some(Box::new(Lent { fleet, keys, done: false }) as Box<dyn Permit>)
+            Some(Box::new(LeasePermit { fleet, keys, done: false }) as Box<dyn Permit>)
         })
     }
 
@@ -392,32 +393,32 @@
         let now = fleet.clock.now();
         let until = now + (job.sla_deadline - now) * fleet.wait_part;
         let object = rank::key(&format!("{}/{}/{}", job.rule, job.request.object_name, job.request.part));
-        let at = (Kind::FillsAt, rank::key(&job.member));
-        let first = fleet.want((Kind::Fill, object), until);
+        let at = (BudgetKind::FillsAtCache, rank::key(&job.member));
+        let first = fleet.request((BudgetKind::Fill, object), until);
         Some(Box::pin(async move {
-            let mut lent = Lent { fleet: Rc::clone(&fleet), keys: Vec::new(), done: false };
+            let mut permit = LeasePermit { fleet: Rc::clone(&fleet), keys: Vec::new(), done: false };
             let key = first.key;
-            match first.verdict().await {
-                Verdict::Go => lent.keys.push(key),
-                Verdict::Free => {}
-                Verdict::No => return None,
+            match first.decision().await {
+                Decision::Granted => permit.keys.push(key),
+                Decision::NotRequired => {}
+                Decision::Denied => return None,
             }
             // The copy is near already where somebody else had it filled.
-            if !lent.keys.is_empty() {
-                match fleet.want(at, until).verdict().await {
-                    Verdict::Go => lent.keys.push(at),
-                    Verdict::Free => {}
-                    Verdict::No => return None,
+            if !permit.keys.is_empty() {
+                match fleet.request(at, until).decision().await {
+                    Decision::Granted => permit.keys.push(at),
+                    Decision::NotRequired => {}
+                    Decision::Denied => return None,
                 }
             }
-            Some(Box::new(lent) as Box<dyn Permit>)
+            Some(Box::new(permit) as Box<dyn Permit>)
         }))
     }
 }
 
 impl Service for Fleet {
     fn shutdown(&self) {
-        self.tell(|node, now| node.leave(now));
+        self.with_node(|node, now| node.leave(now));
     }
 
     fn table_sizes(&self) -> Vec<(&'static str, usize)> {
@@ -429,8 +430,8 @@
             [
                 ("fleet phase", node.phase() as u64),
                 ("fleet rank", node.relay.rank() as u64),
-                ("fleet asks the bulletin", u64::from(node.asks())),
-                ("fleet list number", node.relay.list.no()),
+                ("fleet asks the bulletin", u64::from(node.wants_discovery())),
+                ("fleet list number", node.relay.list.version()),
                 ("fleet list age us", age),
                 ("fleet bytes in", t.bytes_in),
                 ("fleet bytes out", t.bytes_out),
@@ -438,27 +439,27 @@
                 ("fleet datagrams out", t.datagrams_out),
                 ("fleet datagrams refused", node.refused.values().sum()),
                 ("fleet probes", m.probes),
-                ("fleet probes failed", m.failed),
+                ("fleet probes failed", m.probes_failed),
                 ("fleet suspected", m.suspected),
-                ("fleet held gone", m.gone),
-                ("fleet falsely gone", m.falsely_gone),
+                ("fleet held gone", m.declared_dead),
+                ("fleet falsely gone", m.falsely_dead),
                 ("fleet claims refuted", m.claims_refuted),
-                ("fleet claims not heard", m.not_heard),
+                ("fleet claims not heard", m.claims_ignored),
                 ("fleet replays", m.replays),
-                ("fleet twins", m.twins),
-                ("fleet bulletin asked", r.asked),
-                ("fleet events from the bulletin", r.events_from_bulletin),
+                ("fleet twins", m.name_conflicts),
+                ("fleet bulletin asked", r.discovery_attempts),
+                ("fleet events from the bulletin", r.events_from_discovery),
                 ("fleet events from members", r.events_from_members),
-                ("fleet lists fetched", r.lists_fetched),
+                ("fleet lists fetched", r.snapshots_fetched),
                 ("fleet fetches failed", r.fetches_failed),
-                ("fleet sources left", r.sources_left),
+                ("fleet sources left", r.upstreams_dropped),
                 ("fleet disputes", r.disputes),
-                ("fleet lies", r.lies),
-                ("fleet units wanted", l.wanted),
-                ("fleet units lent", l.lent),
-                ("fleet units fair", l.fair),
-                ("fleet units refused", l.refused),
-                ("fleet units free", l.free),
+                ("fleet lies", r.inconsistencies),
+                ("fleet units wanted", l.requested),
+                ("fleet units lent", l.granted),
+                ("fleet units fair", l.fair_share),
+                ("fleet units refused", l.denied),
+                ("fleet units free", l.not_required),
             ]
             .map(|(name, n)| (name, n as usize)),
         );
@@ -468,11 +469,11 @@
 }
 
 /// The bulletin's lines go to the core, which passes them on to the dispatcher and the others.
-pub struct Asker(pub Rc<Fleet>);
+pub struct DiscoverySubscriber(pub Rc<Fleet>);
 
-impl Subscriber for Asker {
+impl Subscriber for DiscoverySubscriber {
     fn after(&self) -> u64 {
-        self.0.node.borrow().relay.list.no()
+        self.0.node.borrow().relay.list.version()
     }
 
     fn line(&mut self, line: &[u8]) -> Result<(), String> {
@@ -481,21 +482,21 @@
             return Ok(());
         }
         if let Some(no) = crate::digits(line) {
-            let fits = self.0.tell(|node, now| node.last(now, no));
+            let fits = self.0.with_node(|node, now| node.discovery_version(now, no));
             return if fits { Ok(()) } else { Err(format!("number {no} after {}", self.after())) };
         }
-        self.0.tell(|node, now| node.line(now, line)).map_err(|e| e.to_string())
+        self.0.with_node(|node, now| node.discovery_event(now, line)).map_err(|e| e.to_string())
     }
 
     fn wanted(&self) -> impl Future<Output = ()> {
-        self.0.until(true)
+        self.0.wait_for_discovery(true)
     }
 
     fn unwanted(&self) -> impl Future<Output = ()> {
-        self.0.until(false)
+        self.0.wait_for_discovery(false)
     }
 
     fn ended(&mut self) {
-        self.0.tell(|node, now| node.ended(now));
+        self.0.with_node(|node, now| node.discovery_closed(now));
     }
 }
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -17,7 +17,7 @@
 use kelpcart_gateway::dispatch_api::{Event, ResponderKeys};
 use kelpcart_gateway::dispatcher::Dispatcher;
 use kelpcart_gateway::feed;
-use kelpcart_gateway::fleet::{Asker, Fleet, Means as FleetMeans};
+use kelpcart_gateway::fleet::{DiscoverySubscriber, Fleet, Resources as FleetResources};
 use kelpcart_gateway::sites::{Between, Means};
 use kelpcart_gateway::{Tasks, logger};
 use std::env;
@@ -114,7 +114,7 @@
     let copies = files.copies.as_ref().map(|path| read(path, whole)).transpose()?;
     let start = |path: &String| read(path, |text| Between::start(means, text, copies.as_deref(), &config));
     let between = files.sites.as_ref().map(start).transpose()?;
-    let of_fleet = FleetMeans {
+    let of_fleet = FleetResources {
         tasks,
         clock,
         counters: Rc::clone(&counters),
@@ -141,7 +141,7 @@
             tasks.spawn(bulletin.follow()).detach();
         }
         (Some(fleet), None) => {
-            let subscriber = Asker(Rc::clone(fleet));
+            let subscriber = DiscoverySubscriber(Rc::clone(fleet));
             let bulletin =
                 DiscoveryClient { address, moves, clock, counters: Rc::clone(&counters), subscriber };
             tasks.spawn(bulletin.follow()).detach();
--- a/gateway/tests/fleet.rs
+++ b/gateway/tests/fleet.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::held;
-use kelpcart_fleet::node::{Node as Member, Out};
+use kelpcart_fleet::node::{Node as Member, Output};
 use kelpcart_fleet::settings::Fleet;
-use kelpcart_fleet::wire::{Record, Said, Standing, place};
+use kelpcart_fleet::wire::{MemberRecord, MemberState, Payload, ipv4_and_port};
 use kelpcart_gateway::clock::Clock;
 use kelpcart_rig::bulletin::Bulletin;
 use kelpcart_rig::fleet::{self, Node};
@@ -258,26 +258,26 @@
         while begun.elapsed() < Duration::from_secs(11) {
             socket.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
             if let Ok((n, from)) = socket.recv_from(&mut bytes) {
-                node.datagram(clock.now(), from, &bytes[..n]);
+                node.handle_datagram(clock.now(), from, &bytes[..n]);
             }
             node.tick(clock.now());
             if lied.elapsed() > Duration::from_millis(300) {
                 lied = Instant::now();
                 let others: Vec<_> = node.members.others().map(|(n, k)| (n.to_string(), k.clone())).collect();
-                let claims: Vec<Said> = others
+                let claims: Vec<Payload> = others
                     .iter()
                     .map(|(name, k)| {
-                        let (ip, port) = place(k.address);
+                        let (ip, port) = ipv4_and_port(k.address);
                         let (run, incarnation) = (k.run, k.incarnation + 1);
-                        let standing = Standing::Gone as i32;
-                        Said::News(Record {
+                        let standing = MemberState::Dead as i32;
+                        Payload::Update(MemberRecord {
                             name: name.clone(),
                             ip,
                             port,
                             run,
                             incarnation,
-                            standing,
-                            by: "liar".into(),
+                            state: standing,
+                            reported_by: "liar".into(),
                         })
                     })
                     .collect();
@@ -286,7 +286,7 @@
                 node.tick(clock.now());
             }
             while let Some(out) = node.poll() {
-                if let Out::Datagram(to, bytes) = out {
+                if let Output::Datagram(to, bytes) = out {
                     _ = socket.send_to(&bytes, to);
                     old.push((to, bytes));
                 }
--- a/scale/src/fleet_net.rs
+++ b/scale/src/fleet_net.rs
@@ -5,8 +5,8 @@
 use crate::sim::{Actor, Sim};
 use hdrhistogram::Histogram;
 use kelpcart::{Span, Time};
-use kelpcart_fleet::lease::{Key, Verdict};
-use kelpcart_fleet::node::{Node, Out};
+use kelpcart_fleet::lease::{BudgetKey, Decision};
+use kelpcart_fleet::node::{Node, Output};
 use kelpcart_fleet::settings::Fleet;
 use rand::Rng;
 use serde_json::{Value, json};
@@ -37,7 +37,7 @@
     pub node: Node,
     datagrams: VecDeque<(SocketAddr, Vec<u8>)>,
     lines: Vec<Vec<u8>>,
-    verdicts: Vec<(u64, Verdict)>,
+    verdicts: Vec<(u64, Decision)>,
 }
 
 impl Member {
@@ -48,7 +48,7 @@
 
 impl Actor for Member {
     fn datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
-        self.node.datagram(now, from, bytes);
+        self.node.handle_datagram(now, from, bytes);
     }
 
     fn tick(&mut self, now: Time) {
@@ -62,13 +62,13 @@
     fn sent(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
         while let Some(out) = self.node.poll() {
             match out {
-                Out::Datagram(to, bytes) => {
+                Output::Datagram(to, bytes) => {
                     assert!(bytes.len() <= kelpcart_fleet::seal::MOST_DATAGRAM, "{} bytes", bytes.len());
                     self.datagrams.push_back((to, bytes));
                 }
-                Out::Line(line) => self.lines.push(line),
-                Out::Verdict(ticket, verdict) => self.verdicts.push((ticket, verdict)),
-                Out::Wanted(_) => {}
+                Output::Event(line) => self.lines.push(line),
+                Output::Decision(ticket, verdict) => self.verdicts.push((ticket, verdict)),
+                Output::Contended(_) => {}
             }
         }
         self.datagrams.pop_front()
@@ -82,7 +82,7 @@
     /// A connection to the bulletin: when it stands, how far it was told, and when it is told the last number.
     line: Option<(Time, u64, Time)>,
     heard: Vec<(u64, bool, Time)>,
-    verdicts: BTreeMap<u64, (Time, Verdict)>,
+    verdicts: BTreeMap<u64, (Time, Decision)>,
     /// The last number that was counted into the delays.
     reached: u64,
 }
@@ -190,7 +190,7 @@
         &self.places[i].heard
     }
 
-    pub fn verdicts(&self, i: usize) -> &BTreeMap<u64, (Time, Verdict)> {
+    pub fn verdicts(&self, i: usize) -> &BTreeMap<u64, (Time, Decision)> {
         &self.places[i].verdicts
     }
 
@@ -200,8 +200,8 @@
         given
     }
 
-    pub fn want(&mut self, i: usize, key: Key, ticket: u64, until: Time) {
-        self.with(i, |n, now| n.want(now, key, ticket, until));
+    pub fn want(&mut self, i: usize, key: BudgetKey, ticket: u64, until: Time) {
+        self.with(i, |n, now| n.request(now, key, ticket, until));
     }
 
     fn event(&mut self, line: String) -> u64 {
@@ -231,14 +231,14 @@
         let (lines, verdicts) = (std::mem::take(&mut member.lines), std::mem::take(&mut member.verdicts));
         let node = &member.node;
         if checks {
-            node.check_rules(own).unwrap_or_else(|why| panic!("g{i}: {why}"));
+            node.check_invariants(own).unwrap_or_else(|why| panic!("g{i}: {why}"));
         }
         let place = &mut self.places[i];
-        if self.told && (node.asks() || place.line.is_some()) {
+        if self.told && (node.wants_discovery() || place.line.is_some()) {
             self.active.insert(i);
         }
         // What a member made up is no event.
-        let no = node.relay.list.no().min(self.events.len() as u64);
+        let no = node.relay.list.version().min(self.events.len() as u64);
         while place.reached < no {
             let took = now - self.events[place.reached as usize].1;
             self.delays.saturating_record(took.as_micros());
@@ -271,10 +271,10 @@
             let events = &self.events[told as usize..];
             self.sim.with(i, |member, own| {
                 for (line, _) in events {
-                    member.node.line(own, line.as_bytes()).expect("a line that fits");
+                    member.node.discovery_event(own, line.as_bytes()).expect("a line that fits");
                 }
                 if now >= pulse {
-                    assert!(member.node.last(own, last));
+                    assert!(member.node.discovery_version(own, last));
                 }
             });
             let pulse = if now >= pulse { now + ms(1_000) } else { pulse };
@@ -294,22 +294,22 @@
                 self.active.remove(&i);
                 continue;
             };
-            let asks = node.asks();
+            let asks = node.wants_discovery();
             match place.line {
                 None if asks => {
                     self.attempts += 1;
                     if reach {
                         self.connections += 1;
                         let at = now + ms(2);
-                        place.line = Some((at, node.relay.list.no(), at));
+                        place.line = Some((at, node.relay.list.version(), at));
                     } else {
-                        node.ended(own);
+                        node.discovery_closed(own);
                     }
                 }
                 Some(_) if !asks || !reach => {
                     place.line = None;
                     if asks {
-                        node.ended(own);
+                        node.discovery_closed(own);
                     }
                 }
                 _ => {}
@@ -349,7 +349,7 @@
     pub fn all_told(&self) -> Result<(), String> {
         let last = self.events.len() as u64;
         for (i, member) in self.sim.live() {
-            let no = member.node.relay.list.no();
+            let no = member.node.relay.list.version();
             if no != last {
                 return Err(format!("g{i} is at {no} of {last}"));
             }
--- a/scale/src/hollow.rs
+++ b/scale/src/hollow.rs
@@ -6,7 +6,7 @@
 use kelpcart::Time;
 use kelpcart::hash_prefix::PrefixSet;
 use kelpcart_feed::{Feed, VERSION};
-use kelpcart_fleet::node::{Node, Out};
+use kelpcart_fleet::node::{Node, Output};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -88,7 +88,7 @@
         }
         // Nobody relays a list nor lends budgets here.
         while let Some(out) = self.node.as_mut().and_then(Node::poll) {
-            if let Out::Datagram(to, bytes) = out {
+            if let Output::Datagram(to, bytes) = out {
                 self.datagrams.push_back((to, bytes));
             }
         }
@@ -102,7 +102,7 @@
             self.spent.bytes_in += bytes.len() as u64;
             self.feeds(now, |feed| feed.datagram(now, from, bytes));
         } else if let Some(node) = &mut self.node {
-            node.datagram(now, from, bytes);
+            node.handle_datagram(now, from, bytes);
             self.members(now);
         }
     }
--- a/scale/src/ladders/roles.rs
+++ b/scale/src/ladders/roles.rs
@@ -16,10 +16,10 @@
 use kelpcart_failover::plan::Load;
 use kelpcart_failover::settings::Failover;
 use kelpcart_failover::table::Kind as Asked;
-use kelpcart_fleet::lease::Verdict;
-use kelpcart_fleet::node::{Node, Out};
+use kelpcart_fleet::lease::Decision;
+use kelpcart_fleet::node::{Node, Output};
 use kelpcart_fleet::settings::Fleet;
-use kelpcart_fleet::wire::Kind;
+use kelpcart_fleet::wire::BudgetKind;
 use kelpcart_sites::ledger::{Answer, Ending, Key};
 use serde_json::json;
 use std::collections::{BTreeMap, VecDeque};
@@ -135,8 +135,8 @@
     fn pull(&mut self) {
         while let Some(out) = self.node.poll() {
             match out {
-                Out::Datagram(to, bytes) => self.out.push_back((to, bytes)),
-                Out::Verdict(_, verdict) => self.go += u32::from(verdict == Verdict::Go),
+                Output::Datagram(to, bytes) => self.out.push_back((to, bytes)),
+                Output::Decision(_, verdict) => self.go += u32::from(verdict == Decision::Granted),
                 _ => {}
             }
         }
@@ -145,7 +145,7 @@
 
 impl Actor for Member {
     fn datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
-        self.node.datagram(now, from, bytes);
+        self.node.handle_datagram(now, from, bytes);
         self.pull();
     }
 
@@ -206,20 +206,20 @@
     sim.run(lasts);
     let calm = spent(&sim);
     sim.reset_spent();
-    let key = (Kind::Connections, 77);
+    let key = (BudgetKind::Connections, 77);
     let quarter = Span::from_millis(250);
     for round in 0..20 {
         for i in 0..n {
             sim.with(i, |m, now| {
-                m.node.want(now, key, round, now + quarter);
+                m.node.request(now, key, round, now + quarter);
                 m.pull();
             });
         }
         sim.run(quarter);
         for i in 0..n {
             sim.with(i, |m, now| {
-                if m.node.leases.used(key).0 > 0 {
-                    m.node.give_back(now, key, false);
+                if m.node.leases.usage(key).0 > 0 {
+                    m.node.release(now, key, false);
                 }
                 m.pull();
             });
