--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -17,7 +17,7 @@
 use kelpcart_gateway::dispatch_api::{Event, ResponderKeys};
 use kelpcart_gateway::dispatcher::Dispatcher;
 use kelpcart_gateway::feed;
-use kelpcart_gateway::fleet::{Asker, Fleet, Means as FleetMeans};
+use kelpcart_gateway::fleet::{DiscoverySubscriber, Fleet, Resources as FleetResources};
 use kelpcart_gateway::sites::{Between, Means};
 use kelpcart_gateway::{Tasks, logger};
 use std::env;
@@ -115,12 +115,11 @@
         dispatcher: dispatcher.clone(),
         keys: keys.clone(),
     };
-    let unparsed = |text: &str| Ok(text.to_owned());
-    let copies = files.copies.as_ref().map(|path| read(path, unparsed)).transpose()?;
-    let start_sites =
-        |path: &String| read(path, |text| Between::start(means, text, copies.as_deref(), &config));
-    let between = files.sites.as_ref().map(start_sites).transpose()?;
-    let fleet_means = FleetMeans {
+    let whole = |text: &str| Ok(text.to_owned());
+    let copies = files.copies.as_ref().map(|path| read(path, whole)).transpose()?;
+    let start = |path: &String| read(path, |text| Between::start(means, text, copies.as_deref(), &config));
+    let between = files.sites.as_ref().map(start).transpose()?;
+    let of_fleet = FleetResources {
         tasks,
         clock,
         counters: Rc::clone(&counters),
@@ -152,15 +151,10 @@
             tasks.spawn(discovery.run()).detach();
         }
         (Some(fleet), None) => {
-            let subscriber = Asker(Rc::clone(fleet));
-            let discovery = DiscoveryClient {
-                address,
-                address_changes,
-                clock,
-                counters: Rc::clone(&counters),
-                subscriber,
-            };
-            tasks.spawn(discovery.run()).detach();
+            let subscriber = DiscoverySubscriber(Rc::clone(fleet));
+            let bulletin =
+                DiscoveryClient { address, moves, clock, counters: Rc::clone(&counters), subscriber };
+            tasks.spawn(bulletin.follow()).detach();
         }
     }
     let local_address = listener.get_ref().local_addr().unwrap_or(config.listen);
