--- a/copies/examples/measure.rs
+++ b/copies/examples/measure.rs
@@ -7,7 +7,7 @@
 use kelpcart_copies::node::{Node, Out};
 use kelpcart_copies::notes::Notes;
 use kelpcart_copies::settings::Copies;
-use kelpcart_sites::ledger::{Answer, Bounds, Change, Ending, Key};
+use kelpcart_sites::ledger::{Answer, Bounds, Change, Key, TxnOutcome};
 use kelpcart_sites::store::Store;
 use serde_json::{Value, json};
 use std::collections::VecDeque;
@@ -83,7 +83,7 @@
 }
 
 fn answer(n: u64) -> Answer {
-    Answer { ending: Ending::Served, body: n.to_be_bytes().repeat(2) }
+    Answer { outcome: TxnOutcome::Served, body: n.to_be_bytes().repeat(2) }
 }
 
 /// Books taken and ended one after the other and so many at a time; what one costs.
--- a/copies/src/client.rs
+++ b/copies/src/client.rs
@@ -3,8 +3,8 @@
 
 use crate::command::{Command, Outcome, Word};
 use kelpcart::{Span, Time};
-use kelpcart_sites::far::Taken;
-use kelpcart_sites::ledger::Found;
+use kelpcart_sites::acceptor::AcceptResult;
+use kelpcart_sites::ledger::Lookup;
 use std::collections::BTreeMap;
 
 /// A question without an answer is put again after this time: its leader may have gone since.
@@ -30,25 +30,25 @@
 
 /// What a far end may do on a group's word about a txn that it wants to run, asked for and heard at these times. `right`:
 /// how long after its question it may act: nobody calls it lost before, but somebody may after that.
-pub fn taken(result: Result<Outcome, Failed>, asked: Time, heard: Time, right: Span) -> Taken {
+pub fn taken(result: Result<Outcome, Failed>, asked: Time, heard: Time, right: Span) -> AcceptResult {
     match result {
         // Who was stopped in between may be held to be lost by now.
-        Ok(Outcome::Go) if heard - asked < right => Taken::Go,
-        Ok(Outcome::Running) => Taken::Running,
-        Ok(Outcome::Ended(answer)) => Taken::Ended(answer),
-        Ok(Outcome::Unknown) => Taken::Unknown,
+        Ok(Outcome::Go) if heard - asked < right => AcceptResult::Granted,
+        Ok(Outcome::Running) => AcceptResult::Running,
+        Ok(Outcome::Ended(answer)) => AcceptResult::Ended(answer),
+        Ok(Outcome::Unknown) => AcceptResult::Unknown,
         // Nobody but this gateway could act on it, and it does not.
-        _ => Taken::Never,
+        _ => AcceptResult::NotAccepted,
     }
 }
 
 /// What a group knows of a number; `None`: it does not say.
-pub fn found(result: Result<Outcome, Failed>) -> Option<Found> {
+pub fn found(result: Result<Outcome, Failed>) -> Option<Lookup> {
     Some(match result.ok()? {
-        Outcome::NeverTaken => Found::NeverTaken,
-        Outcome::Running => Found::Running,
-        Outcome::Ended(answer) => Found::Ended(answer),
-        _ => Found::Unknown,
+        Outcome::NeverTaken => Lookup::NeverAccepted,
+        Outcome::Running => Lookup::Running,
+        Outcome::Ended(answer) => Lookup::Ended(answer),
+        _ => Lookup::Unknown,
     })
 }
 
--- a/copies/src/command.rs
+++ b/copies/src/command.rs
@@ -129,14 +129,14 @@
 impl From<&Answer> for Kept {
     fn from(answer: &Answer) -> Kept {
         // Its number stands with the key.
-        let told = wire::Answer::of(0, answer.ending, answer.body.len());
+        let told = wire::Answer::new(0, answer.outcome, answer.body.len());
         Kept { answer: Some(told), body: answer.body.clone() }
     }
 }
 
 impl Kept {
     pub fn answer(self) -> Option<Answer> {
-        Some(Answer { ending: self.answer?.ending()?, body: self.body })
+        Some(Answer { outcome: self.answer?.outcome()?, body: self.body })
     }
 }
 
--- a/copies/src/machine.rs
+++ b/copies/src/machine.rs
@@ -5,7 +5,7 @@
 
 use crate::command::{End, Find, Kept, Note, Outcome, Word};
 use kelpcart::{Span, Time};
-use kelpcart_sites::ledger::{Answer, Bounds, Found, Intake, Key, Ledger, Stand, Standing};
+use kelpcart_sites::ledger::{Admission, Answer, Bounds, EntrySnapshot, EntryState, Key, Ledger, Lookup};
 use prost::Message;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -128,7 +128,7 @@
         self.at = self.at.max(at);
         let now = self.at;
         match word {
-            Word::Greet(g) => Outcome::Greeted(self.ledger.greet(now, g.sender, g.fresh)),
+            Word::Greet(g) => Outcome::Greeted(self.ledger.register(now, g.sender, g.fresh)),
             Word::Take(n) => self.take(now, run, (*n).into()),
             Word::End(end) => {
                 let Some((key, answer)) = end.read() else { return Outcome::Unknown };
@@ -154,7 +154,7 @@
             Word::Lost(gone) => {
                 let keys: Vec<Key> = self.runs.iter().filter(|(_, r)| *r == gone).map(|(k, _)| *k).collect();
                 for key in keys {
-                    self.ledger.lose(now, key);
+                    self.ledger.mark_lost(now, key);
                     self.runs.remove(&key);
                 }
                 Outcome::Noted
@@ -191,11 +191,11 @@
                 }
             };
         }
-        match self.ledger.find(now, key) {
-            Found::NeverTaken => Outcome::NeverTaken,
-            Found::Running => Outcome::Running,
-            Found::Ended(answer) => Outcome::Ended(answer),
-            Found::Unknown => Outcome::Unknown,
+        match self.ledger.lookup(now, key) {
+            Lookup::NeverAccepted => Outcome::NeverTaken,
+            Lookup::Running => Outcome::Running,
+            Lookup::Ended(answer) => Outcome::Ended(answer),
+            Lookup::Unknown => Outcome::Unknown,
         }
     }
 
@@ -219,9 +219,9 @@
 
     /// All endings known here, for a ledger that follows this one.
     pub fn endings(&self) -> Vec<Note> {
-        let (_, entries) = self.ledger.all();
+        let (_, entries) = self.ledger.snapshot();
         let own = entries.into_iter().filter_map(|(key, _, stand)| match stand {
-            Stand::Ended(answer) => Some(Note { ledger: self.number, end: Some(End::of(key, &answer)) }),
+            EntryState::Ended(answer) => Some(Note { ledger: self.number, end: Some(End::of(key, &answer)) }),
             _ => None,
         });
         let others = self.recalled.iter();
@@ -232,18 +232,18 @@
     }
 
     fn take(&mut self, now: Time, run: u64, key: Key) -> Outcome {
-        match self.ledger.take(now, key) {
-            Intake::New => {
+        match self.ledger.accept(now, key) {
+            Admission::New => {
                 self.runs.insert(key, run);
                 Outcome::Go
             }
             // The same question again, since its first answer was lost.
-            Intake::Running if self.runs.get(&key) == Some(&run) => Outcome::Go,
-            Intake::Running => Outcome::Running,
-            Intake::Ended(answer) => Outcome::Ended(answer),
-            Intake::Full => Outcome::Full,
-            Intake::Fenced => Outcome::NeverTaken,
-            Intake::Forgotten => Outcome::Unknown,
+            Admission::Running if self.runs.get(&key) == Some(&run) => Outcome::Go,
+            Admission::Running => Outcome::Running,
+            Admission::Ended(answer) => Outcome::Ended(answer),
+            Admission::Full => Outcome::Full,
+            Admission::Fenced => Outcome::NeverTaken,
+            Admission::Forgotten => Outcome::Unknown,
         }
     }
 
@@ -251,11 +251,11 @@
     fn end(&mut self, now: Time, run: u64, key: Key, answer: Arc<Answer>) -> Outcome {
         if self.runs.get(&key) == Some(&run) {
             self.runs.remove(&key);
-            self.ledger.end(now, key, &answer);
+            self.ledger.finish(now, key, &answer);
             return Outcome::Noted;
         }
         match self.ledger.known(now, key) {
-            Some(Intake::Ended(kept)) if kept == answer => Outcome::Noted,
+            Some(Admission::Ended(kept)) if kept == answer => Outcome::Noted,
             _ => Outcome::TooLate,
         }
     }
@@ -275,18 +275,18 @@
 
     /// Whether `Expire` would let something go by then.
     pub fn has_old(&self, at: Time) -> bool {
-        self.ledger.has_old(at) || self.recalled.values().any(|r| at - r.0 >= self.bounds.age)
+        self.ledger.has_expired(at) || self.recalled.values().any(|r| at - r.0 >= self.bounds.age)
     }
 
     pub fn image(&self) -> Vec<u8> {
-        let (senders, entries) = self.ledger.all();
+        let (senders, entries) = self.ledger.snapshot();
         let sender = |s: (u64, u64, Time)| Sender { sender: s.0, floor: s.1, heard_us: s.2.as_micros() };
-        let entry = |(key, at, stand): (Key, Time, Stand)| {
+        let entry = |(key, at, stand): (Key, Time, EntryState)| {
             let (state, answer) = match stand {
-                Stand::Running => (State::Running, None),
-                Stand::Ended(answer) => (State::Ended, Some(Kept::from(&*answer))),
-                Stand::Lost => (State::Lost, None),
-                Stand::Fenced => (State::Fenced, None),
+                EntryState::Running => (State::Running, None),
+                EntryState::Ended(answer) => (State::Ended, Some(Kept::from(&*answer))),
+                EntryState::Lost => (State::Lost, None),
+                EntryState::Fenced => (State::Fenced, None),
             };
             Entry {
                 sender: key.sender,
@@ -318,17 +318,17 @@
     pub fn from_image(bounds: Bounds, number: u64, bytes: &[u8]) -> Option<Machine> {
         let image = Image::decode(bytes).ok()?;
         let mut runs = BTreeMap::new();
-        let mut entries: Vec<Standing> = Vec::with_capacity(image.entries.len());
+        let mut entries: Vec<EntrySnapshot> = Vec::with_capacity(image.entries.len());
         for e in image.entries {
             let key = Key { sender: e.sender, number: e.number };
             let stand = match State::try_from(e.state).ok()? {
                 State::Running => {
                     runs.insert(key, e.run);
-                    Stand::Running
+                    EntryState::Running
                 }
-                State::Ended => Stand::Ended(Arc::new(e.answer?.answer()?)),
-                State::Lost => Stand::Lost,
-                State::Fenced => Stand::Fenced,
+                State::Ended => EntryState::Ended(Arc::new(e.answer?.answer()?)),
+                State::Lost => EntryState::Lost,
+                State::Fenced => EntryState::Fenced,
             };
             entries.push((key, Time::from_micros(e.at_us), stand));
         }
@@ -344,7 +344,7 @@
         Some(Machine {
             bounds,
             at: Time::from_micros(image.at_us),
-            ledger: Ledger::from_all(bounds, senders, entries),
+            ledger: Ledger::from_snapshot(bounds, senders, entries),
             runs,
             members: image.members.iter().map(|m| (m.id, *m)).collect(),
             number,
--- a/copies/tests/common/mod.rs
+++ b/copies/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use kelpcart_copies::command::{Greet, Note, Number, Outcome, Word};
 use kelpcart_copies::node::{Node, Out};
 use kelpcart_copies::settings::Copies;
-use kelpcart_sites::ledger::{Answer, Ending, Key};
+use kelpcart_sites::ledger::{Answer, Key, TxnOutcome};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::json;
@@ -171,7 +171,7 @@
 }
 
 fn answer(key: Key) -> Answer {
-    Answer { ending: Ending::Served, body: key.number.to_be_bytes().to_vec() }
+    Answer { outcome: TxnOutcome::Served, body: key.number.to_be_bytes().to_vec() }
 }
 
 impl Net {
@@ -614,7 +614,7 @@
             }
         }
         if let Outcome::Ended(answer) = &word
-            && answer.ending == Ending::Served
+            && answer.outcome == TxnOutcome::Served
             && !self.ran.contains_key(&key)
         {
             self.broken.push(format!("{key:?} is called served, and never ran"));
@@ -721,7 +721,8 @@
                     self.at(after, Do::Run { at: i, id, key });
                 } else {
                     // It was stopped in between: its right has run out.
-                    let rejected = Answer { ending: Ending::Rejected { come_back: None }, body: Vec::new() };
+                    let rejected =
+                        Answer { outcome: TxnOutcome::Rejected { retry_after: None }, body: Vec::new() };
                     self.ask(i, key.sender, 9, Word::end(key, &rejected, 0), Why::Settle);
                     if waits {
                         self.never.insert(key);
@@ -735,7 +736,8 @@
                     self.never.insert(key);
                     self.over(s, |e| e.told_off += 1);
                 }
-                let rejected = Answer { ending: Ending::Rejected { come_back: None }, body: Vec::new() };
+                let rejected =
+                    Answer { outcome: TxnOutcome::Rejected { retry_after: None }, body: Vec::new() };
                 if result == Err(Failed::Unheard) {
                     self.ask(i, key.sender, 9, Word::end(key, &rejected, 0), Why::Settle);
                 }
--- a/copies/tests/composed.rs
+++ b/copies/tests/composed.rs
@@ -8,11 +8,11 @@
 use kelpcart_copies::command::{Greet, Number, Outcome, Word};
 use kelpcart_copies::node::{Node, Out};
 use kelpcart_copies::settings::Copies;
-use kelpcart_sites::far::{Asked, Call, Do, Far, SessionId, Turned};
-use kelpcart_sites::ledger::{Answer, Ending, Key};
-use kelpcart_sites::near::{Act, End, Near, Want, Welcome};
+use kelpcart_sites::acceptor::{Acceptor, Call, RefusalReason, RequestMeta, SessionAction, SessionId};
+use kelpcart_sites::initiator::{HopOutcome, HopSpec, Initiator, LinkAction, Welcome};
+use kelpcart_sites::ledger::{Answer, Key, TxnOutcome};
 use kelpcart_sites::settings::Sites;
-use kelpcart_sites::wire::{self, Fate};
+use kelpcart_sites::wire::{self, TxnStatus};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::json;
@@ -39,10 +39,10 @@
     Copies::read(&all.to_string()).unwrap()
 }
 
-fn near(i: usize, fars: usize, seed: u64, now: Time) -> Near {
+fn near(i: usize, fars: usize, seed: u64, now: Time) -> Initiator {
     let peer = |i| json!({"name": format!("f{i}"), "site": "far", "address": "127.0.0.1:9", "as": ["origin"], "size": 1.0});
     let peers: Vec<_> = (0..fars).map(peer).collect();
-    Near::new(&sites(json!({"site": "near", "gateway": format!("n{i}"), "peers": peers})), seed, now)
+    Initiator::new(&sites(json!({"site": "near", "gateway": format!("n{i}"), "peers": peers})), seed, now)
 }
 
 /// What crosses a link.
@@ -56,9 +56,9 @@
     Ping(u64),
     Welcome(Welcome),
     Taken(u64),
-    Answer(u64, Ending),
-    Turned(u64, Turned),
-    Found(u64, Fate),
+    Answer(u64, TxnOutcome),
+    Turned(u64, RefusalReason),
+    Found(u64, TxnStatus),
     Pong(u64, u32, bool),
     Ledger(u64),
 }
@@ -73,7 +73,7 @@
 }
 
 struct FarEnd {
-    core: Far,
+    core: Acceptor,
     node: Node,
     asks: BTreeMap<u64, Why>,
     /// The book behind a call: the start of the near gateway and its number.
@@ -112,7 +112,7 @@
 struct World {
     now: Time,
     rng: Pcg64Mcg,
-    nears: Vec<(Near, u64)>,
+    nears: Vec<(Initiator, u64)>,
     fars: Vec<Option<FarEnd>>,
     starts: u64,
     sessions: BTreeMap<SessionId, Session>,
@@ -171,8 +171,8 @@
         let file = sites(
             json!({"site": "far", "gateway": format!("f{i}"), "listen": "127.0.0.1:9", "accept": ["near"]}),
         );
-        let mut core = Far::new(&file, self.now);
-        core.keep_copies();
+        let mut core = Acceptor::new(&file, self.now);
+        core.enable_replication();
         let node =
             Node::new(&copies(i, self.fars.len()), 10_000 + self.starts, self.starts, self.now).unwrap();
         let (asks, requests, runs) = Default::default();
@@ -275,7 +275,7 @@
             if link.is_some() && !up {
                 self.left.push((now + TICK, id));
             } else if let Some(end) = self.sessions.remove(&id).and_then(|s| self.fars[s.link].as_mut()) {
-                end.core.broken(id);
+                end.core.disconnected(id);
             }
         }
         for id in self.sessions.keys().copied().collect::<Vec<_>>() {
@@ -321,16 +321,16 @@
             Msg::Hello(hello) => end.core.hello(now, id, &hello, true),
             Msg::Request { number } => {
                 let path = ["near".to_owned()];
-                let asked = Asked { number, once: true, importance: 9, path: &path };
+                let asked = RequestMeta { number, unrepeatable: true, importance: 9, path: &path };
                 if let Some(call) = end.core.request(now, id, &asked) {
                     end.requests.insert(call, (run, number));
                 }
             }
-            Msg::Ask(ledger, numbers) => end.core.ask(now, id, ledger, &numbers),
+            Msg::Ask(ledger, numbers) => end.core.query_status(now, id, ledger, &numbers),
             Msg::Settle(below) => end.core.settle(id, below),
-            Msg::GiveUp(number) => end.core.gave_up(id, number),
+            Msg::GiveUp(number) => end.core.cancelled(id, number),
             Msg::Ping(number) => {
-                let (credit, leaving) = end.core.state();
+                let (credit, leaving) = end.core.pong_state();
                 self.post(id, false, Msg::Pong(number, credit, leaving));
             }
             _ => unreachable!("a near end does not say that"),
@@ -347,7 +347,7 @@
         let near = &mut self.nears[n].0;
         match msg {
             Msg::Welcome(welcome) => near.connected(now, link, &welcome),
-            Msg::Taken(number) => _ = near.taken(now, number),
+            Msg::Taken(number) => _ = near.accepted(now, number),
             Msg::Answer(number, ending) => {
                 // What comes twice, or for one that is over, finds no hop.
                 if self.hops.contains(&(n, number)) {
@@ -356,12 +356,13 @@
                 }
             }
             Msg::Turned(number, why) => {
-                let end = if why == Turned::Forgotten { End::Lost } else { End::Turned };
-                near.turned(now, link, number, end);
+                let end =
+                    if why == RefusalReason::Forgotten { HopOutcome::Lost } else { HopOutcome::Refused };
+                near.refused(now, link, number, end);
             }
-            Msg::Found(number, fate) => near.found(now, link, number, fate),
-            Msg::Pong(number, credit, leaving) => near.ponged(now, link, number, credit, leaving),
-            Msg::Ledger(ledger) => near.renamed(now, link, ledger),
+            Msg::Found(number, fate) => near.status_received(now, link, number, fate),
+            Msg::Pong(number, credit, leaving) => near.pong_received(now, link, number, credit, leaving),
+            Msg::Ledger(ledger) => near.ledger_changed(now, link, ledger),
             _ => unreachable!("a far end does not say that"),
         }
         self.near_pull(n);
@@ -371,45 +372,45 @@
         self.near_pull_with(n, None);
     }
 
-    fn near_pull_with(&mut self, n: usize, answer: Option<(u64, Ending)>) {
+    fn near_pull_with(&mut self, n: usize, answer: Option<(u64, TxnOutcome)>) {
         while let Some(act) = self.nears[n].0.poll(self.now) {
             let on = |link: usize, of: &BTreeMap<(usize, usize), SessionId>| of.get(&(n, link)).copied();
             match act {
-                Act::Dial { link } => self.dial(n, link),
-                Act::Drop { link } => {
+                LinkAction::Dial { link } => self.dial(n, link),
+                LinkAction::Disconnect { link } => {
                     // What is on its way, or lies at a stopped machine, is heard there all the same.
                     if let Some(id) = self.of_link.remove(&(n, link)) {
                         let lasts = Span::from_millis(self.rng.random_range(50..6_000));
                         self.left.push((self.now + lasts, id));
                     }
                 }
-                Act::Send { link, number, .. } => {
+                LinkAction::Send { link, number, .. } => {
                     if let Some(id) = on(link, &self.of_link) {
                         self.post(id, true, Msg::Request { number });
                     }
                 }
-                Act::GiveUp { link, number } => {
+                LinkAction::Cancel { link, number } => {
                     if let Some(id) = on(link, &self.of_link) {
                         self.post(id, true, Msg::GiveUp(number));
                     }
                 }
-                Act::Ask { link, ledger, numbers } => {
+                LinkAction::QueryStatus { link, ledger, numbers } => {
                     if let Some(id) = on(link, &self.of_link) {
                         self.post(id, true, Msg::Ask(ledger, numbers));
                     }
                 }
-                Act::Ping { link, number } => {
+                LinkAction::Ping { link, number } => {
                     if let Some(id) = on(link, &self.of_link) {
                         self.post(id, true, Msg::Ping(number));
                     }
                 }
-                Act::Settle { link, below } => {
+                LinkAction::Settle { link, below } => {
                     if let Some(id) = on(link, &self.of_link) {
                         self.post(id, true, Msg::Settle(below));
                     }
                 }
-                Act::Back { .. } => {}
-                Act::End { number, end } => {
+                LinkAction::LinkUp { .. } => {}
+                LinkAction::Finished { number, outcome: end } => {
                     let ending = answer.filter(|a| a.0 == number).map(|a| a.1);
                     self.hop_ended(n, number, end, ending);
                 }
@@ -432,8 +433,8 @@
             version: wire::VERSION,
             site: "near".to_owned(),
             gateway: format!("n{near}"),
-            run: *run,
-            fresh: core.fresh(),
+            run_id: *run,
+            next_number: core.next_number(),
         };
         self.post(id, true, Msg::Hello(hello));
     }
@@ -449,8 +450,16 @@
         let link = self.rng.random_range(0..self.fars.len());
         let until = self.books[book].until;
         self.books[book].tries += 1;
-        let want = Want { importance: 9, once: true, need: None, body: 10, until, wanted: until, path: &[] };
-        let number = self.nears[near].0.hop(self.now, link, &want);
+        let want = HopSpec {
+            importance: 9,
+            unrepeatable: true,
+            size_kb: None,
+            body_bytes: 10,
+            deadline: until,
+            sla_deadline: until,
+            path: &[],
+        };
+        let number = self.nears[near].0.submit(self.now, link, &want);
         self.origin.insert((self.nears[near].1, number), book);
         self.hops.insert((near, number));
         self.open.insert(book);
@@ -458,14 +467,20 @@
     }
 
     /// The module's part: another hop where the one before has not run, and time is left.
-    fn hop_ended(&mut self, near: usize, number: u64, end: End, ending: Option<Ending>) {
+    fn hop_ended(&mut self, near: usize, number: u64, end: HopOutcome, ending: Option<TxnOutcome>) {
         if !self.hops.remove(&(near, number)) {
             return;
         }
         let run = self.nears[near].1;
         let book = self.origin[&(run, number)];
-        let not_run = matches!(end, End::Down | End::Full | End::Loop | End::Turned | End::NeverTaken)
-            || end == End::Answered && matches!(ending, Some(Ending::Rejected { .. }));
+        let not_run = matches!(
+            end,
+            HopOutcome::Down
+                | HopOutcome::Full
+                | HopOutcome::Loop
+                | HopOutcome::Refused
+                | HopOutcome::NeverAccepted
+        ) || end == HopOutcome::Answered && matches!(ending, Some(TxnOutcome::Rejected { .. }));
         if not_run {
             self.not_run.insert((run, number));
         }
@@ -490,7 +505,7 @@
                     self.broken.push(format!("book {book} is rejected by {end:?} and ran"));
                 }
             }
-            Some(Ending::Served) => {
+            Some(TxnOutcome::Served) => {
                 self.ends.served += 1;
                 if self.books[book].runs != 1 {
                     self.broken
@@ -509,8 +524,8 @@
             end.runs.iter().filter(|(_, r)| r.0 <= now).map(|(c, r)| (*c, r.1)).collect();
         for (call, ran) in over {
             end.runs.remove(&call);
-            let ending = if ran { Ending::Served } else { Ending::Rejected { come_back: None } };
-            let told = end.core.ended(now, call, &Arc::new(Answer { ending, body: Vec::new() }));
+            let ending = if ran { TxnOutcome::Served } else { TxnOutcome::Rejected { retry_after: None } };
+            let told = end.core.finished(now, call, &Arc::new(Answer { outcome: ending, body: Vec::new() }));
             assert!(told.is_none(), "nothing is told before it is copied");
         }
         self.node_pull(i);
@@ -534,7 +549,7 @@
                 }
                 Some(Out::Ledger { group, ledger }) => {
                     let node = &end.node;
-                    end.core.kept_by(now, ledger, |sender| node.group_of(sender) == group);
+                    end.core.replica_ledger_changed(now, ledger, |sender| node.group_of(sender) == group);
                 }
                 Some(Out::Told(told)) => self.told(i, told.ask, told.result),
                 Some(Out::Write { .. }) => unreachable!("no disk here"),
@@ -550,16 +565,16 @@
             Why::Greet(session, group) => {
                 let known = result == Ok(Outcome::Greeted(true));
                 let ledger = end.node.ledger(group).filter(|_| known);
-                end.core.greeted(now, session, ledger);
+                end.core.sender_registered(now, session, ledger);
             }
             Why::Take(call, asked) => {
                 let taken = client::taken(result, asked, now, Span::from_millis(1_000));
-                end.core.taken(now, call, taken);
+                end.core.accept_replicated(now, call, taken);
             }
-            Why::End(Some(call)) => end.core.copied(now, call, result == Ok(Outcome::Noted)),
+            Why::End(Some(call)) => end.core.outcome_replicated(now, call, result == Ok(Outcome::Noted)),
             Why::Find(session, what) => {
                 let found = client::found(result);
-                end.core.found(now, session, what, found);
+                end.core.replica_status(now, session, what, found);
             }
             Why::End(None) | Why::Settle => {}
         }
@@ -577,55 +592,65 @@
         let now = self.now;
         while let Some(todo) = self.fars[i].as_mut().and_then(|f| f.core.poll(now)) {
             match todo {
-                Do::Welcome { session, credit, leaving, ledger } => {
+                SessionAction::AcceptSession { session, credit, leaving, ledger } => {
                     let ledger = ledger.unwrap_or(1 + i as u64);
-                    let welcome = Welcome { ledger, credit, leaving, recalls: true };
+                    let welcome = Welcome { ledger, credit, leaving, knows_past_ledgers: true };
                     self.post(session, false, Msg::Welcome(welcome));
                 }
-                Do::Refuse { session, why } => panic!("{session} is refused: {why}"),
-                Do::Run { call, session, number } => {
+                SessionAction::RefuseSession { session, reason: why } => {
+                    panic!("{session} is refused: {why}")
+                }
+                SessionAction::Run { call, session, number } => {
                     self.send_on(i, call);
                     if let Some(session) = session {
                         self.post(session, false, Msg::Taken(number));
                     }
                 }
-                Do::Joined { session, number } => self.post(session, false, Msg::Taken(number)),
-                Do::Tell { session, number, answer } => {
-                    self.post(session, false, Msg::Answer(number, answer.ending));
+                SessionAction::AlreadyRunning { session, number } => {
+                    self.post(session, false, Msg::Taken(number))
+                }
+                SessionAction::SendAnswer { session, number, answer } => {
+                    self.post(session, false, Msg::Answer(number, answer.outcome));
                 }
-                Do::Turn { session, number, why } => self.post(session, false, Msg::Turned(number, why)),
-                Do::Say { session, number, fate } => self.post(session, false, Msg::Found(number, fate)),
-                Do::Forget { call } => {
+                SessionAction::RefuseHop { session, number, reason: why } => {
+                    self.post(session, false, Msg::Turned(number, why))
+                }
+                SessionAction::SendStatus { session, number, status: fate } => {
+                    self.post(session, false, Msg::Found(number, fate))
+                }
+                SessionAction::Discard { call } => {
                     if let Some(end) = self.fars[i].as_mut() {
                         end.requests.remove(&call);
                     }
                 }
-                Do::HangUp { call } => {
+                SessionAction::Cancel { call } => {
                     // What is at the store runs there all the same.
                     let Some(end) = self.fars[i].as_mut() else { return };
                     end.runs.remove(&call);
-                    end.core.ended(
+                    end.core.finished(
                         now,
                         call,
-                        &Arc::new(Answer { ending: Ending::Aborted, body: Vec::new() }),
+                        &Arc::new(Answer { outcome: TxnOutcome::Aborted, body: Vec::new() }),
                     );
                 }
-                Do::Leaving { .. } | Do::Write { .. } => {}
-                Do::Renamed { session, ledger } => self.post(session, false, Msg::Ledger(ledger)),
-                Do::Greet { session, sender, fresh } => {
+                SessionAction::AnnounceLeaving { .. } | SessionAction::Persist { .. } => {}
+                SessionAction::LedgerChanged { session, ledger } => {
+                    self.post(session, false, Msg::Ledger(ledger))
+                }
+                SessionAction::RegisterSender { session, sender, next_number: fresh } => {
                     let word = Word::Greet(Greet { sender, fresh });
                     self.question(i, sender, word, |group| Why::Greet(session, group));
                 }
-                Do::Take { call, key, .. } => {
+                SessionAction::ReplicateAccept { call, key, .. } => {
                     self.question(i, key.sender, Word::take(key), |_| Why::Take(call, now));
                 }
-                Do::End { call, key, answer, of } => {
+                SessionAction::ReplicateOutcome { call, key, answer, ledger: of } => {
                     self.question(i, key.sender, Word::end(key, &answer, of), |_| Why::End(call));
                 }
-                Do::Find { session, key, of } => {
+                SessionAction::QueryReplicas { session, key, ledger: of } => {
                     self.question(i, key.sender, Word::find(key, of), |_| Why::Find(session, (key, of)));
                 }
-                Do::Settle { sender, below } => {
+                SessionAction::ReplicateSettle { sender, below } => {
                     let word = Word::Settle(Number { sender, number: below });
                     self.question(i, sender, word, |_| Why::Settle);
                 }
--- a/copies/tests/exhaustive.rs
+++ b/copies/tests/exhaustive.rs
@@ -6,7 +6,7 @@
 use kelpcart_copies::command::{Greet, Outcome, Word};
 use kelpcart_copies::node::{Node, Out};
 use kelpcart_copies::settings::Copies;
-use kelpcart_sites::ledger::{Answer, Ending, Key};
+use kelpcart_sites::ledger::{Answer, Key, TxnOutcome};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -122,14 +122,14 @@
             }
             // Nobody but the taker could run it, and it does not: should its taking come to be, it ended so.
             ("take", None) => {
-                let answer = Answer { ending: Ending::Rejected { come_back: None }, body: Vec::new() };
+                let answer = Answer { outcome: TxnOutcome::Rejected { retry_after: None }, body: Vec::new() };
                 self.ask(i, "cancel", Word::end(KEY, &answer, 0));
             }
             ("end", Some(Outcome::Noted)) => self.promised = true,
             ("find", Some(outcome)) => {
                 let word = match outcome {
                     Outcome::NeverTaken => "never",
-                    Outcome::Ended(answer) if answer.ending == Ending::Served => "ended",
+                    Outcome::Ended(answer) if answer.outcome == TxnOutcome::Served => "ended",
                     Outcome::Ended(_) => "given up",
                     Outcome::Unknown => "unknown",
                     _ => return,
@@ -223,7 +223,7 @@
     fn end(&mut self) {
         let Some(i) = self.runs.filter(|i| self.all[*i].is_some()) else { return };
         self.ended = true;
-        let answer = Answer { ending: Ending::Served, body: vec![1] };
+        let answer = Answer { outcome: TxnOutcome::Served, body: vec![1] };
         self.ask(i, "end", Word::end(KEY, &answer, 0));
     }
 
--- a/copies/tests/notes.rs
+++ b/copies/tests/notes.rs
@@ -2,7 +2,7 @@
 
 use kelpcart_copies::command::{End, Note};
 use kelpcart_copies::notes::{Notes, Writer};
-use kelpcart_sites::ledger::{Answer, Ending, Key};
+use kelpcart_sites::ledger::{Answer, Key, TxnOutcome};
 use quickcheck::quickcheck;
 use std::fs;
 use std::path::PathBuf;
@@ -32,7 +32,7 @@
 }
 
 fn note(number: u64, len: usize) -> Note {
-    let answer = Answer { ending: Ending::Served, body: vec![number as u8; len] };
+    let answer = Answer { outcome: TxnOutcome::Served, body: vec![number as u8; len] };
     Note { ledger: 7, end: Some(End::of(Key { sender: 5, number }, &answer)) }
 }
 
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -18,7 +18,7 @@
 use kelpcart_gateway::dispatcher::Dispatcher;
 use kelpcart_gateway::feed;
 use kelpcart_gateway::fleet::{Asker, Fleet, Means as FleetMeans};
-use kelpcart_gateway::sites::{Between, Means};
+use kelpcart_gateway::sites::{LinkContext, SiteLinks};
 use kelpcart_gateway::{Tasks, logger};
 use std::env;
 use std::net::TcpListener;
@@ -102,7 +102,7 @@
     caches.sweep(tasks);
     let (moved, moves) = async_channel::unbounded();
     let keys = ResponderKeys::default();
-    let means = Means {
+    let means = LinkContext {
         tasks,
         clock,
         pool: Rc::clone(&pool),
@@ -112,7 +112,7 @@
     };
     let whole = |text: &str| Ok(text.to_owned());
     let copies = files.copies.as_ref().map(|path| read(path, whole)).transpose()?;
-    let start = |path: &String| read(path, |text| Between::start(means, text, copies.as_deref(), &config));
+    let start = |path: &String| read(path, |text| SiteLinks::start(means, text, copies.as_deref(), &config));
     let between = files.sites.as_ref().map(start).transpose()?;
     let of_fleet = FleetMeans {
         tasks,
@@ -180,7 +180,7 @@
                         Err(why) => log::warn!("{why}; the bulletin stays where it was"),
                     }
                     let copies = files.copies.as_ref().map(|of| read(of, whole));
-                    rekeys.iter().for_each(|between| between.reread(copies.clone()));
+                    rekeys.iter().for_each(|between| between.reload(copies.clone()));
                     if let Some((fleet, of)) = fleet.as_ref().zip(files.fleet.as_ref()) {
                         fleet.rekey(read(of, whole));
                     }
--- a/gateway/src/sites/copies.rs
+++ b/gateway/src/sites/copies.rs
@@ -2,7 +2,7 @@
 //! directions, and questions of the far end to groups. Owns no decision: who keeps what, who leads and what may be
 //! promised is decided by the core in `kelpcart-copies`. Nothing of it runs unless `KELPCART_COPIES` names a file.
 
-use super::{LEAST_SLEEP, Means, fresh_number};
+use super::{LinkContext, MIN_SLEEP, random_id};
 use async_channel::{Receiver, Sender};
 use event_listener::Event as Woken;
 use futures_lite::future;
@@ -51,7 +51,7 @@
 }
 
 pub struct Copies {
-    means: Means,
+    means: LinkContext,
     file: File,
     site: String,
     node: RefCell<Node>,
@@ -68,7 +68,7 @@
 impl Copies {
     /// Gives what is told of questions, too.
     pub fn start(
-        means: &Means,
+        means: &LinkContext,
         text: &str,
         sites: &Sites,
         keys: &Rc<RefCell<quic::Keys>>,
@@ -83,7 +83,7 @@
         }
         let now = means.clock.now();
         let mut node =
-            Node::new(&file, fresh_number(), rand::rng().random(), now).ok_or("gateway: no holder")?;
+            Node::new(&file, random_id(), rand::rng().random(), now).ok_or("gateway: no holder")?;
         let mut writer = None;
         if let Some(folder) = &file.disk {
             let (notes, found) = Notes::open(folder).map_err(|e| format!("disk: {e}"))?;
@@ -129,7 +129,7 @@
 
     /// Takes keys and the holders that are lost for good from the file as it is now.
     pub fn reread(&self, text: Result<String, String>) {
-        self.endpoint.rekey(&self.keys.borrow(), true);
+        self.endpoint.set_keys(&self.keys.borrow(), true);
         match text.and_then(|text| File::read(&text).map_err(|e| e.to_string())) {
             Ok(file) => {
                 if !file.lost.is_empty() {
@@ -217,7 +217,7 @@
             self.node.borrow_mut().tick(now);
             self.pull();
             let moved = self.moved.listen();
-            let at = self.node.borrow().next_wake().max(now + LEAST_SLEEP);
+            let at = self.node.borrow().next_wake().max(now + MIN_SLEEP);
             self.sleeps_until.set(at);
             self.means.clock.by(at, moved).await;
         }
@@ -382,7 +382,7 @@
         let clock = self.means.clock;
         let begun = async {
             let connection = incoming.await.map_err(|e| e.to_string())?;
-            if !quic::proves(&connection, &self.site) {
+            if !quic::certifies_site(&connection, &self.site) {
                 return Err("its certificate is not this site's".to_owned());
             }
             let (_, mut recv) = connection.accept_bi().await.map_err(|e| e.to_string())?;
@@ -391,9 +391,9 @@
         };
         // One that gave up before it said anything is no sign of harm.
         let Some(begun) = clock.within(CONNECTS * 2.0, begun).await else { return Ok(()) };
-        let (connection, mut recv, first) = begun?;
+        let (connection, mut recv, initial_window) = begun?;
         let known = self.peers.borrow().len();
-        let (holder, id) = self.tell(|node, now| node.greeted(now, &first))?;
+        let (holder, id) = self.tell(|node, now| node.greeted(now, &initial_window))?;
         debug_assert!(holder < known);
         log::info!("{} is here", self.file.holders[holder].name);
         {
--- a/gateway/tests/sites.rs
+++ b/gateway/tests/sites.rs
@@ -342,24 +342,24 @@
 
 #[test]
 fn a_peer_that_sends_what_it_may_not_loses_its_connection_and_nothing_else() {
-    use kelpcart_sites::wire::{self, Said};
+    use kelpcart_sites::wire::{self, Message};
     let world = World::new("hostile");
     let (far, relay) = (world.far(json!({})), world.relay());
     let near = world.near(&relay);
     wait_for(&near, "stands", 1);
     let hello = |version, site: &str| {
         let (site, gateway) = (site.to_owned(), "n9".to_owned());
-        wire::encode(Said::Hello(wire::Hello { version, site, gateway, run: 99, fresh: 1 }))
+        wire::encode(Message::Hello(wire::Hello { version, site, gateway, run_id: 99, next_number: 1 }))
     };
     say_to_far(&world, &far, &[hello(7, "near")], "version 1 is spoken here, not 7");
     say_to_far(&world, &far, &[hello(1, "far")], "the certificate is not that site's");
-    say_to_far(&world, &far, &[wire::encode(Said::Ping(1))], "its first word is no hello");
+    say_to_far(&world, &far, &[wire::encode(Message::Ping(1))], "its first word is no hello");
     say_to_far(&world, &far, &[vec![0xff; 64]], "a message of 4294967295 bytes");
     say_to_far(&world, &far, &[hello(1, "near"), vec![0, 0, 0, 2, 0x28, 0]], "0 may not be sent so");
     say_to_far(
         &world,
         &far,
-        &[hello(1, "near"), wire::encode(Said::Leaving(true))],
+        &[hello(1, "near"), wire::encode(Message::Leaving(true))],
         "it sends what it may not",
     );
     let mut client = Client::of(&near);
--- a/scale/src/ladders/roles.rs
+++ b/scale/src/ladders/roles.rs
@@ -20,7 +20,7 @@
 use kelpcart_fleet::node::{Node, Out};
 use kelpcart_fleet::settings::Fleet;
 use kelpcart_fleet::wire::Kind;
-use kelpcart_sites::ledger::{Answer, Ending, Key};
+use kelpcart_sites::ledger::{Answer, Key, TxnOutcome};
 use serde_json::json;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -348,7 +348,7 @@
                 let key = Key { sender: senders[one as usize % senders.len()], number: one };
                 let at = one as usize % HOLDERS;
                 let group = world.all[at].group_of(key.sender);
-                let answer = Answer { ending: Ending::Served, body: one.to_be_bytes().repeat(2) };
+                let answer = Answer { outcome: TxnOutcome::Served, body: one.to_be_bytes().repeat(2) };
                 let word = if end { Word::end(key, &answer, 0) } else { Word::take(key) };
                 world.all[at].ask(world.now, group, 9, word);
             }
--- a/sites/src/delay.rs
+++ b/sites/src/delay.rs
@@ -10,79 +10,79 @@
 use std::collections::VecDeque;
 
 /// The least round trip counts for this long.
-const BASE: Span = Span::from_millis(10_000);
+const BASE_RTT_WINDOW: Span = Span::from_millis(10_000);
 /// The queue that is let stand: the greater of these, the second of the base.
-const TARGET: Span = Span::from_millis(20);
-const TARGET_PART: f64 = 0.08;
+const MIN_TARGET_DELAY: Span = Span::from_millis(20);
+const TARGET_DELAY_SHARE: f64 = 0.08;
 /// A round trip's growth at the start and later, in full while there is no queue and by the square of what is left of
 /// the target.
-const START: f64 = 2.0;
+const SLOW_START_FACTOR: f64 = 2.0;
 const GAIN: f64 = 0.15;
 /// The start ends with so many rounds over the target: one may be chance where few packets are out.
-const START_ENDS: u32 = 2;
+const SLOW_START_EXIT_ROUNDS: u32 = 2;
 /// A round's window is never cut by more.
-const LEAST_KEPT: f64 = 0.7;
+const MIN_DECREASE_FACTOR: f64 = 0.7;
 /// From this part on, loss is taken for a queue that runs over; of at least so many packets.
-const HEAVY_LOSS: f64 = 0.2;
-const HEAVY_PACKETS: f64 = 8.0;
+const HEAVY_LOSS_RATE: f64 = 0.2;
+const HEAVY_LOSS_MIN_PACKETS: f64 = 8.0;
 /// Packets in flight, at first and at the least; bytes at the most.
-const FIRST_PACKETS: f64 = 32.0;
-const LEAST_PACKETS: f64 = 4.0;
-const MOST: f64 = 16.0 * 1024.0 * 1024.0;
+const INITIAL_WINDOW_PACKETS: f64 = 32.0;
+const MIN_WINDOW_PACKETS: f64 = 4.0;
+const MAX_WINDOW_BYTES: f64 = 16.0 * 1024.0 * 1024.0;
 
 /// The least of the samples in a span.
 #[derive(Clone, Debug, Default)]
-struct Least {
+struct WindowedMin {
     /// Oldest first, each less than all behind it.
-    all: VecDeque<(Time, Span)>,
+    samples: VecDeque<(Time, Span)>,
 }
 
-impl Least {
+impl WindowedMin {
     fn add(&mut self, now: Time, sample: Span, within: Span) {
-        while self.all.back().is_some_and(|b| b.1 >= sample) {
-            self.all.pop_back();
+        while self.samples.back().is_some_and(|b| b.1 >= sample) {
+            self.samples.pop_back();
         }
-        self.all.push_back((now, sample));
-        while self.all.len() > 1 && now - self.all[0].0 > within {
-            self.all.pop_front();
+        self.samples.push_back((now, sample));
+        while self.samples.len() > 1 && now - self.samples[0].0 > within {
+            self.samples.pop_front();
         }
     }
 
     fn get(&self) -> Option<Span> {
-        self.all.front().map(|f| f.1)
+        self.samples.front().map(|f| f.1)
     }
 }
 
 #[derive(Clone, Debug)]
-pub struct Delay {
+pub struct DelayController {
     window: f64,
-    packet: f64,
-    base: Least,
+    packet_size: f64,
+    base_rtt: WindowedMin,
     /// Of this round.
-    least: Option<Span>,
-    acked: f64,
-    filled: f64,
-    lost: f64,
+    round_min_rtt: Option<Span>,
+    round_acked: f64,
+    round_acked_busy: f64,
+    round_lost: f64,
     /// The round ends with the first packet that was sent after this.
-    round: Time,
-    starting: bool,
-    over: u32,
+    round_start: Time,
+    slow_start: bool,
+    rounds_over_target: u32,
 }
 
-impl Delay {
-    pub fn new(now: Time, packet: u16) -> Delay {
+impl DelayController {
+    pub fn new(now: Time, packet: u16) -> DelayController {
         let packet = f64::from(packet);
-        Delay {
-            window: packet * FIRST_PACKETS,
-            packet,
-            base: Least::default(),
-            least: None,
-            acked: 0.0,
-            filled: 0.0,
-            lost: 0.0,
-            round: now,
-            starting: true,
-            over: 0,
+        DelayController {
+            window: packet * INITIAL_WINDOW_PACKETS,
+            packet_size: packet,
+            base_rtt: WindowedMin::default(),
+            round_min_rtt: None,
+            round_acked: 0.0,
+            round_acked_busy: 0.0,
+            round_lost: 0.0,
+            round_start: now,
+            slow_start: true,
+            rounds_over_target: 0,
         }
     }
 
@@ -91,53 +91,63 @@
         self.window
     }
 
-    pub fn packet(&mut self, bytes: u16) {
-        self.packet = f64::from(bytes);
-        self.window = self.window.max(self.packet * LEAST_PACKETS);
+    pub fn set_packet_size(&mut self, bytes: u16) {
+        self.packet_size = f64::from(bytes);
+        self.window = self.window.max(self.packet_size * MIN_WINDOW_PACKETS);
     }
 
     /// A packet has arrived. `limited`: there was nothing more to send when it was.
-    pub fn acked(&mut self, now: Time, sent: Time, bytes: f64, limited: bool) {
+    pub fn on_ack(&mut self, now: Time, sent: Time, bytes: f64, limited: bool) {
         let sample = now - sent;
-        self.base.add(now, sample, BASE);
-        self.least = Some(self.least.map_or(sample, |least| least.min(sample)));
-        self.acked += bytes;
-        self.filled += if limited { 0.0 } else { bytes };
-        if sent >= self.round {
+        self.base_rtt.add(now, sample, BASE_RTT_WINDOW);
+        self.round_min_rtt = Some(self.round_min_rtt.map_or(sample, |least| least.min(sample)));
+        self.round_acked += bytes;
+        self.round_acked_busy += if limited { 0.0 } else { bytes };
+        if sent >= self.round_start {
             self.end_round(now);
         }
     }
 
-    pub fn lost(&mut self, bytes: f64, persistent: bool) {
-        self.lost += bytes;
+    pub fn on_loss(&mut self, bytes: f64, persistent: bool) {
+        self.round_lost += bytes;
         if persistent {
             // Nothing at all got through: what is known of the link may be wrong.
-            self.window = self.packet * LEAST_PACKETS;
-            (self.starting, self.base) = (true, Least::default());
+            self.window = self.packet_size * MIN_WINDOW_PACKETS;
+            (self.slow_start, self.base_rtt) = (true, WindowedMin::default());
         }
     }
 
     fn end_round(&mut self, now: Time) {
-        let (base, standing) = (self.base.get().unwrap_or_default(), self.least.take().unwrap_or_default());
+        let (base, standing) =
+            (self.base_rtt.get().unwrap_or_default(), self.round_min_rtt.take().unwrap_or_default());
         let queue = Span::from_micros(standing.as_micros().saturating_sub(base.as_micros()));
-        let target = TARGET.max(base * TARGET_PART);
-        let loss = self.lost / (self.acked + self.lost).max(1.0);
-        let heavy = loss > HEAVY_LOSS && self.lost > HEAVY_PACKETS * self.packet;
-        self.over = if queue > target { self.over + 1 } else { 0 };
-        if self.starting && queue <= target * 2.0 && self.over < START_ENDS && !heavy {
+        let target = MIN_TARGET_DELAY.max(base * TARGET_DELAY_SHARE);
+        let loss = self.round_lost / (self.round_acked + self.round_lost).max(1.0);
+        let heavy = loss > HEAVY_LOSS_RATE && self.round_lost > HEAVY_LOSS_MIN_PACKETS * self.packet_size;
+        self.rounds_over_target = if queue > target { self.rounds_over_target + 1 } else { 0 };
+        if self.slow_start
+            && queue <= target * 2.0
+            && self.rounds_over_target < SLOW_START_EXIT_ROUNDS
+            && !heavy
+        {
             // Not sure yet.
-            self.window *= if self.over == 0 && self.filled * 2.0 >= self.acked { START } else { 1.0 };
+            self.window *= if self.rounds_over_target == 0 && self.round_acked_busy * 2.0 >= self.round_acked
+            {
+                SLOW_START_FACTOR
+            } else {
+                1.0
+            };
         } else if queue > target || heavy {
-            self.starting = false;
+            self.slow_start = false;
             let over = (queue / target - 1.0).max(0.0) * (target / (base + queue));
             let kept = if heavy { 1.0 - loss / 2.0 } else { 1.0 - over };
-            self.window *= kept.max(LEAST_KEPT);
-        } else if self.filled * 2.0 >= self.acked {
+            self.window *= kept.max(MIN_DECREASE_FACTOR);
+        } else if self.round_acked_busy * 2.0 >= self.round_acked {
             let room = (1.0 - queue / target).powi(2);
-            self.window = self.window * (1.0 + GAIN * room) + self.packet * room;
+            self.window = self.window * (1.0 + GAIN * room) + self.packet_size * room;
         }
-        self.window = self.window.clamp(self.packet * LEAST_PACKETS, MOST);
-        (self.acked, self.filled, self.lost, self.round) = (0.0, 0.0, 0.0, now);
+        self.window = self.window.clamp(self.packet_size * MIN_WINDOW_PACKETS, MAX_WINDOW_BYTES);
+        (self.round_acked, self.round_acked_busy, self.round_lost, self.round_start) = (0.0, 0.0, 0.0, now);
     }
 }
 
@@ -164,7 +174,7 @@
 
     /// A sender with always more to send; gives the part of the rate that arrived and the mean queue in seconds, both
     /// of the second half.
-    fn run(delay: &mut Delay, link: &Link, from: f64, secs: f64) -> (f64, f64) {
+    fn run(delay: &mut DelayController, link: &Link, from: f64, secs: f64) -> (f64, f64) {
         let mut rng = Pcg64Mcg::seed_from_u64(7);
         let (mut now, mut free, mut in_flight, mut last) = (from, from, 0.0, 0.0_f64);
         let mut out = VecDeque::new();
@@ -189,10 +199,10 @@
             now = now.max(due);
             in_flight -= PACKET;
             if passes {
-                delay.acked(at(now), at(sent), PACKET, false);
+                delay.on_ack(at(now), at(sent), PACKET, false);
                 arrived += if now > from + secs / 2.0 { PACKET } else { 0.0 };
             } else {
-                delay.lost(PACKET, false);
+                delay.on_loss(PACKET, false);
             }
         }
         (arrived / link.rate / (secs / 2.0), waited / f64::max(n, 1.0))
@@ -202,7 +212,7 @@
     fn loss_and_jitter_cost_little_of_a_link_and_the_queue_stays_short() {
         for (loss, least) in [(0.0, 0.9), (0.02, 0.88), (0.1, 0.8)] {
             let link = Link { rate: 2e6, trip: 0.16, jitter: 0.02, loss, queue: 1e6 };
-            let mut delay = Delay::new(at(0.0), PACKET as u16);
+            let mut delay = DelayController::new(at(0.0), PACKET as u16);
             let (part, queue) = run(&mut delay, &link, 0.0, 40.0);
             assert!(part >= least && part <= 1.01, "{loss}: {part}");
             assert!(queue < 0.08, "{loss}: {queue}");
@@ -211,7 +221,7 @@
 
     #[test]
     fn it_follows_a_link_that_narrows_and_widens() {
-        let mut delay = Delay::new(at(0.0), PACKET as u16);
+        let mut delay = DelayController::new(at(0.0), PACKET as u16);
         let wide = Link { rate: 4e6, trip: 0.1, jitter: 0.01, loss: 0.01, queue: 1e6 };
         let narrow = Link { rate: 0.4e6, ..wide };
         run(&mut delay, &wide, 0.0, 20.0);
@@ -224,7 +234,7 @@
     #[test]
     fn a_queue_too_short_to_be_seen_is_told_by_its_heavy_loss() {
         let link = Link { rate: 1e6, trip: 0.1, jitter: 0.0, loss: 0.0, queue: 6_000.0 };
-        let mut delay = Delay::new(at(0.0), PACKET as u16);
+        let mut delay = DelayController::new(at(0.0), PACKET as u16);
         let (part, _) = run(&mut delay, &link, 0.0, 40.0);
         assert!(part > 0.7, "{part}");
         // A quarter in flight beyond what the link holds at the most.
@@ -233,14 +243,14 @@
 
     #[test]
     fn one_that_asks_for_little_keeps_its_window_and_a_dead_link_starts_anew() {
-        let mut delay = Delay::new(at(0.0), 1_200);
+        let mut delay = DelayController::new(at(0.0), 1_200);
         let before = delay.window();
         for i in 0..100 {
             let now = f64::from(i);
-            delay.acked(at(now + 0.1), at(now), 1_200.0, true);
+            delay.on_ack(at(now + 0.1), at(now), 1_200.0, true);
         }
         assert!((delay.window() - before).abs() < 1.0);
-        delay.lost(1_200.0, true);
+        delay.on_loss(1_200.0, true);
         assert!((delay.window() - 4_800.0).abs() < 1.0);
     }
 }
--- a/sites/src/ledger.rs
+++ b/sites/src/ledger.rs
@@ -16,13 +16,13 @@
 
 /// How a txn ended at the site that took it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum TxnOutcome {
     Served,
     /// The asker's own copy is the one.
-    Current,
+    NotModified,
     /// Another try is harmless.
     Rejected {
-        come_back: Option<Span>,
+        retry_after: Option<Span>,
     },
     /// What has run is not known.
     Aborted,
@@ -32,12 +32,12 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    pub ending: Ending,
+    pub outcome: TxnOutcome,
     pub body: Vec<u8>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Intake {
+pub enum Admission {
     /// It is in the ledger now, and may run once.
     New,
     Running,
@@ -50,8 +50,8 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Found {
-    NeverTaken,
+pub enum Lookup {
+    NeverAccepted,
     Running,
     Ended(Arc<Answer>),
     Unknown,
@@ -68,7 +68,7 @@
 
 /// How a txn stands, for copies of the whole ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Stand {
+pub enum EntryState {
     Running,
     Ended(Arc<Answer>),
     /// It may have run.
@@ -77,12 +77,12 @@
 }
 
 /// A txn, since when it stands so, and how.
-pub type Standing = (Key, Time, Stand);
+pub type EntrySnapshot = (Key, Time, EntryState);
 
 #[derive(Debug)]
 struct Entry {
     state: State,
-    at: Time,
+    since: Time,
 }
 
 #[derive(Debug)]
@@ -90,7 +90,7 @@
     /// What is below and not among the entries is not known any more.
     floor: u64,
     entries: BTreeMap<u64, Entry>,
-    heard: Time,
+    last_seen: Time,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -104,13 +104,13 @@
 /// What a durable copy of the ledger has to change; in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    Taken(Key),
+    Accepted(Key),
     Ended(Key, Arc<Answer>),
     /// What the sender has below and is not kept is not known any more.
     Floor(Key),
     Dropped(Key),
     /// The sender is gone whole.
-    Gone(u64),
+    SenderDropped(u64),
 }
 
 #[derive(Debug)]
@@ -132,7 +132,7 @@
     /// Takes in what a durable copy held when the process started: what had not ended may have run.
     pub fn recover(&mut self, now: Time, floors: &[Key], taken: &[(Key, Option<Answer>)]) {
         for floor in floors {
-            let sender = Sender { floor: floor.number, entries: BTreeMap::new(), heard: now };
+            let sender = Sender { floor: floor.number, entries: BTreeMap::new(), last_seen: now };
             self.senders.insert(floor.sender, sender);
         }
         for (key, answer) in taken {
@@ -143,14 +143,14 @@
             };
             self.bytes += answer.as_ref().map_or(0, |a| a.body.len());
             self.entries += 1;
-            sender.entries.insert(key.number, Entry { state, at: now });
+            sender.entries.insert(key.number, Entry { state, since: now });
         }
         while self.bytes > self.bounds.bytes {
-            self.lose_oldest(None);
+            self.evict_oldest_body(None);
         }
     }
 
-    fn note(&mut self, change: impl FnOnce() -> Change) {
+    fn record_change(&mut self, change: impl FnOnce() -> Change) {
         if let Some(changes) = &mut self.changes {
             changes.push(change());
         }
@@ -163,62 +163,62 @@
 
     /// A sender has come, and will use numbers from `fresh` on: earlier ones are known only if it was known before.
     /// `false`: there is no room to remember it.
-    pub fn greet(&mut self, now: Time, sender: u64, fresh: u64) -> bool {
+    pub fn register(&mut self, now: Time, sender: u64, fresh: u64) -> bool {
         if let Some(known) = self.senders.get_mut(&sender) {
-            known.heard = now;
+            known.last_seen = now;
             return true;
         }
-        if self.senders.len() >= self.bounds.senders && !self.forget_sender(now) {
+        if self.senders.len() >= self.bounds.senders && !self.evict_sender(now) {
             return false;
         }
-        self.senders.insert(sender, Sender { floor: fresh, entries: BTreeMap::new(), heard: now });
-        self.note(|| Change::Floor(Key { sender, number: fresh }));
+        self.senders.insert(sender, Sender { floor: fresh, entries: BTreeMap::new(), last_seen: now });
+        self.record_change(|| Change::Floor(Key { sender, number: fresh }));
         true
     }
 
     /// The one heard of least lately that has nothing running and has been quiet for the age.
-    fn forget_sender(&mut self, now: Time) -> bool {
+    fn evict_sender(&mut self, now: Time) -> bool {
         let idle = |s: &Sender| s.entries.values().all(|e| e.state != State::Running);
-        let old = |s: &Sender| now - s.heard >= self.bounds.age;
+        let old = |s: &Sender| now - s.last_seen >= self.bounds.age;
         let quiet = self.senders.iter().filter(|(_, s)| idle(s) && old(s));
-        let Some(sender) = quiet.min_by_key(|(_, s)| s.heard).map(|(id, _)| *id) else { return false };
+        let Some(sender) = quiet.min_by_key(|(_, s)| s.last_seen).map(|(id, _)| *id) else { return false };
         if let Some(gone) = self.senders.remove(&sender) {
             self.entries -= gone.entries.len();
             self.bytes -= gone.entries.values().map(size).sum::<usize>();
         }
-        self.note(|| Change::Gone(sender));
+        self.record_change(|| Change::SenderDropped(sender));
         true
     }
 
     /// What is to be said of one that has come before, or may have; `None` for one that certainly has not.
-    pub fn known(&mut self, now: Time, key: Key) -> Option<Intake> {
-        let Some(sender) = self.senders.get_mut(&key.sender) else { return Some(Intake::Forgotten) };
-        sender.heard = now;
+    pub fn known(&mut self, now: Time, key: Key) -> Option<Admission> {
+        let Some(sender) = self.senders.get_mut(&key.sender) else { return Some(Admission::Forgotten) };
+        sender.last_seen = now;
         match sender.entries.get(&key.number).map(|e| &e.state) {
-            Some(State::Running) => Some(Intake::Running),
-            Some(State::Ended(answer)) => Some(Intake::Ended(Arc::clone(answer))),
-            Some(State::Lost) => Some(Intake::Forgotten),
-            Some(State::Fenced) => Some(Intake::Fenced),
-            None => (key.number < sender.floor).then_some(Intake::Forgotten),
+            Some(State::Running) => Some(Admission::Running),
+            Some(State::Ended(answer)) => Some(Admission::Ended(Arc::clone(answer))),
+            Some(State::Lost) => Some(Admission::Forgotten),
+            Some(State::Fenced) => Some(Admission::Fenced),
+            None => (key.number < sender.floor).then_some(Admission::Forgotten),
         }
     }
 
     /// A txn has come. Only `New` lets it run.
-    pub fn take(&mut self, now: Time, key: Key) -> Intake {
+    pub fn accept(&mut self, now: Time, key: Key) -> Admission {
         if let Some(known) = self.known(now, key) {
             return known;
         }
         if !self.has_room(now) {
-            return Intake::Full;
+            return Admission::Full;
         }
-        self.put(now, key, State::Running);
-        self.note(|| Change::Taken(key));
-        Intake::New
+        self.insert(now, key, State::Running);
+        self.record_change(|| Change::Accepted(key));
+        Admission::New
     }
 
-    fn put(&mut self, now: Time, key: Key, state: State) {
+    fn insert(&mut self, now: Time, key: Key, state: State) {
         if let Some(sender) = self.senders.get_mut(&key.sender) {
-            sender.entries.insert(key.number, Entry { state, at: now });
+            sender.entries.insert(key.number, Entry { state, since: now });
             self.entries += 1;
         }
     }
@@ -231,7 +231,7 @@
     }
 
     /// It has ended; what is known of it stays until the sender says that it needs no more.
-    pub fn end(&mut self, now: Time, key: Key, answer: &Arc<Answer>) {
+    pub fn finish(&mut self, now: Time, key: Key, answer: &Arc<Answer>) {
         let Some(sender) = self.senders.get_mut(&key.sender) else { return };
         let Some(entry) = sender.entries.get_mut(&key.number) else { return };
         if entry.state != State::Running {
@@ -241,43 +241,43 @@
             entry.state = State::Lost;
             return;
         }
-        (entry.state, entry.at) = (State::Ended(Arc::clone(answer)), now);
+        (entry.state, entry.since) = (State::Ended(Arc::clone(answer)), now);
         self.bytes += answer.body.len();
-        self.note(|| Change::Ended(key, Arc::clone(answer)));
+        self.record_change(|| Change::Ended(key, Arc::clone(answer)));
         while self.bytes > self.bounds.bytes {
-            self.lose_oldest(Some(key));
+            self.evict_oldest_body(Some(key));
         }
     }
 
     /// Lets the oldest answer with a body go, but for the newest one.
-    fn lose_oldest(&mut self, but: Option<Key>) {
+    fn evict_oldest_body(&mut self, but: Option<Key>) {
         let all = self.senders.iter_mut().flat_map(|(&sender, s)| {
             s.entries.iter_mut().map(move |(&number, e)| (Key { sender, number }, e))
         });
         let holds = all.filter(|(key, e)| Some(*key) != but && size(e) > 0);
-        let Some((_, entry)) = holds.min_by_key(|(key, e)| (e.at, *key)) else { return };
+        let Some((_, entry)) = holds.min_by_key(|(key, e)| (e.since, *key)) else { return };
         self.bytes -= size(entry);
         entry.state = State::Lost;
     }
 
     /// What became of a hop. One that was never taken is fenced: should it still come, it will not run.
-    pub fn find(&mut self, now: Time, key: Key) -> Found {
-        let Some(sender) = self.senders.get_mut(&key.sender) else { return Found::Unknown };
-        sender.heard = now;
+    pub fn lookup(&mut self, now: Time, key: Key) -> Lookup {
+        let Some(sender) = self.senders.get_mut(&key.sender) else { return Lookup::Unknown };
+        sender.last_seen = now;
         if let Some(entry) = sender.entries.get(&key.number) {
             return match &entry.state {
-                State::Running => Found::Running,
-                State::Ended(answer) => Found::Ended(Arc::clone(answer)),
-                State::Lost => Found::Unknown,
-                State::Fenced => Found::NeverTaken,
+                State::Running => Lookup::Running,
+                State::Ended(answer) => Lookup::Ended(Arc::clone(answer)),
+                State::Lost => Lookup::Unknown,
+                State::Fenced => Lookup::NeverAccepted,
             };
         }
         // Without room for the fence it could still be taken.
         if key.number < sender.floor || !self.has_room(now) {
-            return Found::Unknown;
+            return Lookup::Unknown;
         }
-        self.put(now, key, State::Fenced);
-        Found::NeverTaken
+        self.insert(now, key, State::Fenced);
+        Lookup::NeverAccepted
     }
 
     /// It was told off: should it come again, it will not run. Without room for that all numbers below go with it.
@@ -287,12 +287,12 @@
             return;
         }
         if self.has_room(now) {
-            return self.put(now, key, State::Fenced);
+            return self.insert(now, key, State::Fenced);
         }
         if let Some(sender) = self.senders.get_mut(&key.sender) {
             sender.floor = sender.floor.max(key.number + 1);
             let floor = Key { sender: key.sender, number: sender.floor };
-            self.note(|| Change::Floor(floor));
+            self.record_change(|| Change::Floor(floor));
         }
     }
 
@@ -307,8 +307,8 @@
         let gone = std::mem::replace(&mut known.entries, kept);
         self.entries -= gone.len();
         self.bytes -= gone.values().map(size).sum::<usize>();
-        self.note(|| Change::Floor(Key { sender, number: below }));
-        gone.keys().for_each(|&number| self.note(|| Change::Dropped(Key { sender, number })));
+        self.record_change(|| Change::Floor(Key { sender, number: below }));
+        gone.keys().for_each(|&number| self.record_change(|| Change::Dropped(Key { sender, number })));
         true
     }
 
@@ -318,7 +318,7 @@
         for (&id, sender) in &mut self.senders {
             let mut floor = sender.floor;
             sender.entries.retain(|&number, e| {
-                let old = e.state != State::Running && now - e.at >= age;
+                let old = e.state != State::Running && now - e.since >= age;
                 if old {
                     self.entries -= 1;
                     self.bytes -= size(e);
@@ -339,10 +339,10 @@
     }
 
     /// Who ran it is gone: it may have run.
-    pub fn lose(&mut self, now: Time, key: Key) {
+    pub fn mark_lost(&mut self, now: Time, key: Key) {
         let entry = self.senders.get_mut(&key.sender).and_then(|s| s.entries.get_mut(&key.number));
         if let Some(entry) = entry.filter(|e| e.state == State::Running) {
-            (entry.state, entry.at) = (State::Lost, now);
+            (entry.state, entry.since) = (State::Lost, now);
         }
     }
 
@@ -352,23 +352,23 @@
     }
 
     /// Whether `expire` would let something go by then.
-    pub fn has_old(&self, now: Time) -> bool {
-        let old = |e: &Entry| e.state != State::Running && now - e.at >= self.bounds.age;
+    pub fn has_expired(&self, now: Time) -> bool {
+        let old = |e: &Entry| e.state != State::Running && now - e.since >= self.bounds.age;
         self.senders.values().flat_map(|s| s.entries.values()).any(old)
     }
 
     /// All that is known: senders with their floors and when they were heard, and each txn.
-    pub fn all(&self) -> (Vec<(u64, u64, Time)>, Vec<Standing>) {
-        let senders = self.senders.iter().map(|(&id, s)| (id, s.floor, s.heard)).collect();
-        let of = |(&sender, s): (&u64, &Sender)| -> Vec<Standing> {
+    pub fn snapshot(&self) -> (Vec<(u64, u64, Time)>, Vec<EntrySnapshot>) {
+        let senders = self.senders.iter().map(|(&id, s)| (id, s.floor, s.last_seen)).collect();
+        let of = |(&sender, s): (&u64, &Sender)| -> Vec<EntrySnapshot> {
             let stands = |(&number, e): (&u64, &Entry)| {
                 let stand = match &e.state {
-                    State::Running => Stand::Running,
-                    State::Ended(answer) => Stand::Ended(Arc::clone(answer)),
-                    State::Lost => Stand::Lost,
-                    State::Fenced => Stand::Fenced,
+                    State::Running => EntryState::Running,
+                    State::Ended(answer) => EntryState::Ended(Arc::clone(answer)),
+                    State::Lost => EntryState::Lost,
+                    State::Fenced => EntryState::Fenced,
                 };
-                (Key { sender, number }, e.at, stand)
+                (Key { sender, number }, e.since, stand)
             };
             s.entries.iter().map(stands).collect()
         };
@@ -376,22 +376,22 @@
     }
 
     /// A ledger that knows what another one told by `all`.
-    pub fn from_all(
+    pub fn from_snapshot(
         bounds: Bounds,
         senders: impl Iterator<Item = (u64, u64, Time)>,
-        txns: impl IntoIterator<Item = Standing>,
+        txns: impl IntoIterator<Item = EntrySnapshot>,
     ) -> Ledger {
         let mut ledger = Ledger::new(bounds, false);
-        let sender = |(id, floor, heard)| (id, Sender { floor, entries: BTreeMap::new(), heard });
+        let sender = |(id, floor, heard)| (id, Sender { floor, entries: BTreeMap::new(), last_seen: heard });
         ledger.senders = senders.map(sender).collect();
         for (key, at, stand) in txns {
             let state = match stand {
-                Stand::Running => State::Running,
-                Stand::Ended(answer) => State::Ended(answer),
-                Stand::Lost => State::Lost,
-                Stand::Fenced => State::Fenced,
+                EntryState::Running => State::Running,
+                EntryState::Ended(answer) => State::Ended(answer),
+                EntryState::Lost => State::Lost,
+                EntryState::Fenced => State::Fenced,
             };
-            let entry = Entry { state, at };
+            let entry = Entry { state, since: at };
             let Some(sender) = ledger.senders.get_mut(&key.sender) else { continue };
             ledger.bytes += size(&entry);
             ledger.entries += 1;
--- a/sites/src/lib.rs
+++ b/sites/src/lib.rs
@@ -2,10 +2,10 @@
 //! theirs. `near`, `far`, `ledger`, `rtt`, `pace`, `delay` and `queue` are the core, without I/O or clock; `wire` is what
 //! crosses, `settings` what operators write, `store` the ledger on a disk, `quic` the carrier.
 
+pub mod acceptor;
 pub mod delay;
-pub mod far;
+pub mod initiator;
 pub mod ledger;
-pub mod near;
 pub mod pace;
 pub mod queue;
 pub mod quic;
--- a/sites/src/queue.rs
+++ b/sites/src/queue.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Waiting {
+pub struct QueuedHop {
     pub number: u64,
     /// Greater goes first.
     pub importance: u8,
@@ -16,24 +16,30 @@
 #[derive(Debug)]
 pub struct Queue {
     order: BTreeSet<(u8, u64)>,
-    all: BTreeMap<u64, Waiting>,
+    hops: BTreeMap<u64, QueuedHop>,
     bytes: f64,
-    most: usize,
-    most_bytes: f64,
+    max_len: usize,
+    max_bytes: f64,
 }
 
 impl Queue {
     pub fn new(most: usize, most_bytes: f64) -> Queue {
-        Queue { order: BTreeSet::new(), all: BTreeMap::new(), bytes: 0.0, most: most.max(1), most_bytes }
+        Queue {
+            order: BTreeSet::new(),
+            hops: BTreeMap::new(),
+            bytes: 0.0,
+            max_len: most.max(1),
+            max_bytes: most_bytes,
+        }
     }
 
     /// Puts one in and gives back those that have to go for it, the new one itself if all others matter more.
-    pub fn push(&mut self, one: Waiting) -> Vec<u64> {
+    pub fn push(&mut self, one: QueuedHop) -> Vec<u64> {
         self.order.insert((u8::MAX - one.importance, one.number));
         self.bytes += one.bytes;
-        self.all.insert(one.number, one);
+        self.hops.insert(one.number, one);
         let mut gone = Vec::new();
-        while self.all.len() > self.most || self.bytes > self.most_bytes && self.all.len() > 1 {
+        while self.hops.len() > self.max_len || self.bytes > self.max_bytes && self.hops.len() > 1 {
             let Some(&(_, last)) = self.order.last() else { break };
             self.remove(last);
             gone.push(last);
@@ -41,36 +47,36 @@
         gone
     }
 
-    pub fn remove(&mut self, number: u64) -> Option<Waiting> {
-        let one = self.all.remove(&number)?;
+    pub fn remove(&mut self, number: u64) -> Option<QueuedHop> {
+        let one = self.hops.remove(&number)?;
         self.order.remove(&(u8::MAX - one.importance, number));
-        self.bytes = if self.all.is_empty() { 0.0 } else { self.bytes - one.bytes };
+        self.bytes = if self.hops.is_empty() { 0.0 } else { self.bytes - one.bytes };
         Some(one)
     }
 
-    pub fn first(&self) -> Option<Waiting> {
-        self.order.first().map(|(_, number)| self.all[number])
+    pub fn first(&self) -> Option<QueuedHop> {
+        self.order.first().map(|(_, number)| self.hops[number])
     }
 
     /// Bytes that go before one of this importance that comes now.
-    pub fn ahead(&self, importance: u8) -> f64 {
+    pub fn bytes_ahead(&self, importance: u8) -> f64 {
         let before = self.order.range(..=(u8::MAX - importance, u64::MAX));
-        before.map(|(_, number)| self.all[number].bytes).sum()
+        before.map(|(_, number)| self.hops[number].bytes).sum()
     }
 
     pub fn len(&self) -> usize {
-        self.all.len()
+        self.hops.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.all.is_empty()
+        self.hops.is_empty()
     }
 
     /// Takes all out, first come first.
     pub fn drain(&mut self) -> Vec<u64> {
         let all = self.order.iter().map(|o| o.1).collect();
         self.order.clear();
-        self.all.clear();
+        self.hops.clear();
         self.bytes = 0.0;
         all
     }
@@ -84,7 +90,7 @@
     quickcheck! {
         fn order_bounds_and_sums_hold_after_every_step(steps: Vec<(u8, u16, bool)>) -> bool {
             let mut queue = Queue::new(20, 100_000.0);
-            let (mut inside, mut next) = (Vec::<Waiting>::new(), 0);
+            let (mut inside, mut next) = (Vec::<QueuedHop>::new(), 0);
             for (importance, bytes, takes) in steps {
                 let importance = importance % 4;
                 if takes && let Some(first) = queue.first() {
@@ -96,7 +102,7 @@
                     continue;
                 }
                 next += 1;
-                let one = Waiting { number: next, importance, bytes: bytes.into() };
+                let one = QueuedHop { number: next, importance, bytes: bytes.into() };
                 inside.push(one);
                 for gone in queue.push(one) {
                     let at = inside.iter().position(|w| w.number == gone).unwrap();
@@ -109,7 +115,7 @@
                 assert!((queue.bytes - sum).abs() < 1e-6 && queue.len() == inside.len());
                 assert!(inside.len() <= 20 && (sum <= 100_000.0 || inside.len() == 1));
                 let ahead: f64 = inside.iter().filter(|w| w.importance >= importance).map(|w| w.bytes).sum();
-                assert!((queue.ahead(importance) - ahead).abs() < 1e-6);
+                assert!((queue.bytes_ahead(importance) - ahead).abs() < 1e-6);
             }
             let mut drained = queue.drain();
             drained.sort_unstable();
--- a/sites/src/quic.rs
+++ b/sites/src/quic.rs
@@ -2,9 +2,9 @@
 //! the thread of who drives it and starts none. Must never send early data (0-RTT, RFC 9001 section 9.2: it can be
 //! replayed), take a certificate of another site for a peer's, or hold more of a message than its bound.
 
-use crate::delay::Delay;
+use crate::delay::DelayController;
 use crate::settings::{Congestion, KeyFiles};
-use crate::wire::{self, Damaged, Said};
+use crate::wire::{self, DecodeError, Message};
 use async_executor::Executor;
 use kelpcart::Time;
 use quinn::congestion::{BbrConfig, Controller, ControllerFactory, CubicConfig};
@@ -26,31 +26,31 @@
 pub use quinn::{Connection, Incoming, RecvStream, SendStream};
 
 /// Both ends have to name it (RFC 7301).
-const PROTOCOL: &[u8] = b"kelpcart-sites";
+const ALPN: &[u8] = b"kelpcart-sites";
 /// The core gives silent links up long before.
-const SILENT: Duration = Duration::from_secs(20);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Receivers hold acknowledgements back no longer (draft-ietf-quic-ack-frequency): each such wait is part of every
 /// time-out after a loss.
-const ACKED: Duration = Duration::from_millis(5);
+const MAX_ACK_DELAY: Duration = Duration::from_millis(5);
 /// Streams at once, and bytes on their way to one that reads slowly.
-const STREAMS: u32 = 4_096;
-const STREAM_WINDOW: u32 = 512 * 1024;
-const WINDOW: u32 = 8 * 1024 * 1024;
+const MAX_STREAMS: u32 = 4_096;
+const STREAM_WINDOW_BYTES: u32 = 512 * 1024;
+const CONNECTION_WINDOW_BYTES: u32 = 8 * 1024 * 1024;
 
 #[derive(Debug, thiserror::Error)]
 pub enum KeyError {
     #[error("{path}: {why}")]
     File { path: PathBuf, why: String },
     #[error("the certificate, its key and the roots do not go together: {0}")]
-    Together(String),
+    Mismatch(String),
 }
 
 #[derive(Debug, thiserror::Error)]
-pub enum Broken {
+pub enum ReadError {
     #[error("{0}")]
-    Damaged(#[from] Damaged),
+    Decode(#[from] DecodeError),
     #[error("the stream ended")]
-    Ended,
+    Closed,
 }
 
 /// What both ends need to prove who they are.
@@ -81,7 +81,7 @@
             let bad = |e: rustls::Error| KeyError::File { path: files.roots.clone(), why: e.to_string() };
             roots.add(root).map_err(bad)?;
         }
-        let together = |e: &dyn std::fmt::Display| KeyError::Together(e.to_string());
+        let together = |e: &dyn std::fmt::Display| KeyError::Mismatch(e.to_string());
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let roots = Arc::new(roots);
         let verifier = WebPkiClientVerifier::builder_with_provider(Arc::clone(&roots), Arc::clone(&provider));
@@ -92,7 +92,7 @@
             .with_client_cert_verifier(verifier)
             .with_single_cert(chain.clone(), key.clone_key())
             .map_err(|e| together(&e))?;
-        server.alpn_protocols = vec![PROTOCOL.to_vec()];
+        server.alpn_protocols = vec![ALPN.to_vec()];
         // No tickets: a session that is resumed would not have its certificate checked anew.
         server.send_tls13_tickets = 0;
         let mut client = rustls::ClientConfig::builder_with_provider(provider)
@@ -101,7 +101,7 @@
             .with_root_certificates(roots)
             .with_client_auth_cert(chain, key)
             .map_err(|e| together(&e))?;
-        client.alpn_protocols = vec![PROTOCOL.to_vec()];
+        client.alpn_protocols = vec![ALPN.to_vec()];
         client.enable_early_data = false;
         let transport = Arc::new(transport(congestion));
         let client = QuicClientConfig::try_from(client).map_err(|e| together(&e))?;
@@ -116,18 +116,18 @@
 
 fn transport(congestion: Congestion) -> TransportConfig {
     let mut all = TransportConfig::default();
-    all.max_concurrent_bidi_streams(VarInt::from_u32(STREAMS));
+    all.max_concurrent_bidi_streams(VarInt::from_u32(MAX_STREAMS));
     all.max_concurrent_uni_streams(VarInt::from_u32(0));
-    all.stream_receive_window(VarInt::from_u32(STREAM_WINDOW));
-    all.receive_window(VarInt::from_u32(WINDOW));
-    all.send_window(WINDOW.into());
+    all.stream_receive_window(VarInt::from_u32(STREAM_WINDOW_BYTES));
+    all.receive_window(VarInt::from_u32(CONNECTION_WINDOW_BYTES));
+    all.send_window(CONNECTION_WINDOW_BYTES.into());
     let mut acks = AckFrequencyConfig::default();
-    acks.max_ack_delay(Some(ACKED));
+    acks.max_ack_delay(Some(MAX_ACK_DELAY));
     all.ack_frequency_config(Some(acks));
     all.datagram_receive_buffer_size(None);
-    all.max_idle_timeout(quinn::IdleTimeout::try_from(SILENT).ok());
+    all.max_idle_timeout(quinn::IdleTimeout::try_from(IDLE_TIMEOUT).ok());
     match congestion {
-        Congestion::Delay => all.congestion_controller_factory(Arc::new(ByDelay)),
+        Congestion::Delay => all.congestion_controller_factory(Arc::new(DelayControllerFactory)),
         Congestion::Bbr => all.congestion_controller_factory(Arc::new(BbrConfig::default())),
         Congestion::Cubic => all.congestion_controller_factory(Arc::new(CubicConfig::default())),
     };
@@ -136,39 +136,39 @@
 
 /// `Delay` as quinn asks for it: its moments are counted from the connection's start.
 #[derive(Clone)]
-struct Controlled {
+struct QuinnController {
     start: Instant,
-    delay: Delay,
-    first: u64,
+    delay: DelayController,
+    initial_window: u64,
 }
 
-struct ByDelay;
+struct DelayControllerFactory;
 
-impl ControllerFactory for ByDelay {
+impl ControllerFactory for DelayControllerFactory {
     fn build(self: Arc<Self>, now: Instant, mtu: u16) -> Box<dyn Controller> {
-        let delay = Delay::new(Time::default(), mtu);
-        Box::new(Controlled { start: now, first: delay.window() as u64, delay })
+        let delay = DelayController::new(Time::default(), mtu);
+        Box::new(QuinnController { start: now, initial_window: delay.window() as u64, delay })
     }
 }
 
-impl Controlled {
+impl QuinnController {
     fn time(&self, at: Instant) -> Time {
         Time::from_micros(at.saturating_duration_since(self.start).as_micros() as u64)
     }
 }
 
-impl Controller for Controlled {
+impl Controller for QuinnController {
     fn on_ack(&mut self, now: Instant, sent: Instant, bytes: u64, limited: bool, _: &RttEstimator) {
         let (now, sent) = (self.time(now), self.time(sent));
-        self.delay.acked(now, sent, bytes as f64, limited);
+        self.delay.on_ack(now, sent, bytes as f64, limited);
     }
 
     fn on_congestion_event(&mut self, _: Instant, _: Instant, persistent: bool, lost: u64) {
-        self.delay.lost(lost as f64, persistent);
+        self.delay.on_loss(lost as f64, persistent);
     }
 
     fn on_mtu_update(&mut self, mtu: u16) {
-        self.delay.packet(mtu);
+        self.delay.set_packet_size(mtu);
     }
 
     fn window(&self) -> u64 {
@@ -180,7 +180,7 @@
     }
 
     fn initial_window(&self) -> u64 {
-        self.first
+        self.initial_window
     }
 
     fn into_any(self: Box<Self>) -> Box<dyn Any> {
@@ -189,15 +189,15 @@
 }
 
 /// Runs what quinn spawns on an executor of ours: no thread is started.
-struct Local(Arc<Executor<'static>>);
+struct LocalRuntime(Arc<Executor<'static>>);
 
-impl std::fmt::Debug for Local {
+impl std::fmt::Debug for LocalRuntime {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("Local")
     }
 }
 
-impl Runtime for Local {
+impl Runtime for LocalRuntime {
     fn new_timer(&self, at: Instant) -> Pin<Box<dyn AsyncTimer>> {
         SmolRuntime.new_timer(at)
     }
@@ -214,7 +214,7 @@
 #[derive(Clone)]
 pub struct Endpoint {
     inner: quinn::Endpoint,
-    work: Arc<Executor<'static>>,
+    executor: Arc<Executor<'static>>,
 }
 
 impl Endpoint {
@@ -224,14 +224,14 @@
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let socket = UdpSocket::bind(listen.unwrap_or(any))?;
         let server = listen.map(|_| keys.server.clone());
-        let runtime = Arc::new(Local(Arc::clone(&work)));
+        let runtime = Arc::new(LocalRuntime(Arc::clone(&work)));
         let inner = quinn::Endpoint::new(quinn::EndpointConfig::default(), server, socket, runtime)?;
-        Ok(Endpoint { inner, work })
+        Ok(Endpoint { inner, executor: work })
     }
 
     /// Never ends; the carrier moves only while this does.
     pub async fn drive(&self) {
-        self.work.run(std::future::pending::<()>()).await;
+        self.executor.run(std::future::pending::<()>()).await;
     }
 
     pub fn address(&self) -> std::io::Result<SocketAddr> {
@@ -239,7 +239,7 @@
     }
 
     /// Connections made from now on go by these; those that stand go on.
-    pub fn rekey(&self, keys: &Keys, listens: bool) {
+    pub fn set_keys(&self, keys: &Keys, listens: bool) {
         self.inner.set_server_config(listens.then(|| keys.server.clone()));
     }
 
@@ -259,7 +259,7 @@
 }
 
 /// The peer's certificate holds the site's name among its subject names (RFC 9525).
-pub fn proves(connection: &Connection, site: &str) -> bool {
+pub fn certifies_site(connection: &Connection, site: &str) -> bool {
     let identity = connection.peer_identity();
     let chain = identity.and_then(|i| i.downcast::<Vec<CertificateDer<'static>>>().ok());
     let Some(first) = chain.and_then(|chain| chain.into_iter().next()) else { return false };
@@ -269,16 +269,16 @@
 }
 
 /// The next message of a stream.
-pub async fn read(stream: &mut RecvStream) -> Result<Said, Broken> {
+pub async fn read(stream: &mut RecvStream) -> Result<Message, ReadError> {
     let mut length = [0; 4];
-    stream.read_exact(&mut length).await.map_err(|_| Broken::Ended)?;
-    let mut bytes = vec![0; wire::length(length)?];
-    stream.read_exact(&mut bytes).await.map_err(|_| Broken::Ended)?;
-    Ok(wire::message(&bytes)?)
+    stream.read_exact(&mut length).await.map_err(|_| ReadError::Closed)?;
+    let mut bytes = vec![0; wire::decode_length(length)?];
+    stream.read_exact(&mut bytes).await.map_err(|_| ReadError::Closed)?;
+    Ok(wire::decode_message(&bytes)?)
 }
 
-pub async fn write(stream: &mut SendStream, bytes: &[u8]) -> Result<(), Broken> {
-    stream.write_all(bytes).await.map_err(|_| Broken::Ended)
+pub async fn write(stream: &mut SendStream, bytes: &[u8]) -> Result<(), ReadError> {
+    stream.write_all(bytes).await.map_err(|_| ReadError::Closed)
 }
 
 /// Gives a stream up: what is not read yet never will be.
--- a/sites/src/rtt.rs
+++ b/sites/src/rtt.rs
@@ -10,40 +10,40 @@
 const ALPHA: f64 = 1.0 / 8.0;
 const BETA: f64 = 1.0 / 4.0;
 /// Variances that are added to the estimate (K in RFC 6298).
-const SPREADS: f64 = 4.0;
+const VARIATION_FACTOR: f64 = 4.0;
 /// Before the first sample (RFC 9002, 6.2.2).
-const FIRST: Span = Span::from_millis(333);
+const INITIAL_RTT: Span = Span::from_millis(333);
 /// Timers and schedulers are no finer than this on a busy machine.
-const GRAIN: Span = Span::from_millis(20);
-const MOST: Span = Span::from_millis(4_000);
+const TIMER_GRANULARITY: Span = Span::from_millis(20);
+const MAX_TIMEOUT: Span = Span::from_millis(4_000);
 
 #[derive(Clone, Debug, Default)]
-pub struct RoundTrip {
-    smooth: Option<f64>,
-    spread: f64,
+pub struct RttEstimator {
+    smoothed: Option<f64>,
+    variation: f64,
 }
 
-impl RoundTrip {
+impl RttEstimator {
     pub fn sample(&mut self, took: Span) {
         let secs = took.as_secs_f64();
-        match self.smooth {
-            None => (self.smooth, self.spread) = (Some(secs), secs / 2.0),
+        match self.smoothed {
+            None => (self.smoothed, self.variation) = (Some(secs), secs / 2.0),
             Some(smooth) => {
-                self.spread += BETA * ((smooth - secs).abs() - self.spread);
-                self.smooth = Some(smooth + ALPHA * (secs - smooth));
+                self.variation += BETA * ((smooth - secs).abs() - self.variation);
+                self.smoothed = Some(smooth + ALPHA * (secs - smooth));
             }
         }
     }
 
     /// The smoothed round trip.
-    pub fn smooth(&self) -> Span {
-        self.smooth.map_or(FIRST, Span::from_secs_f64)
+    pub fn smoothed(&self) -> Span {
+        self.smoothed.map_or(INITIAL_RTT, Span::from_secs_f64)
     }
 
     /// An answer that takes longer than this is out of the ordinary.
     pub fn timeout(&self) -> Span {
-        let spread = Span::from_secs_f64(self.spread * SPREADS).max(GRAIN);
-        (self.smooth() + spread).min(MOST)
+        let spread = Span::from_secs_f64(self.variation * VARIATION_FACTOR).max(TIMER_GRANULARITY);
+        (self.smoothed() + spread).min(MAX_TIMEOUT)
     }
 }
 
@@ -54,23 +54,23 @@
 
     #[test]
     fn the_first_sample_sets_all_as_the_rfc_says() {
-        let mut rtt = RoundTrip::default();
-        assert_eq!((rtt.smooth(), rtt.timeout()), (FIRST, FIRST + GRAIN));
+        let mut rtt = RttEstimator::default();
+        assert_eq!((rtt.smoothed(), rtt.timeout()), (INITIAL_RTT, INITIAL_RTT + TIMER_GRANULARITY));
         rtt.sample(Span::from_millis(100));
-        assert_eq!((rtt.smooth(), rtt.timeout()), (Span::from_millis(100), Span::from_millis(300)));
+        assert_eq!((rtt.smoothed(), rtt.timeout()), (Span::from_millis(100), Span::from_millis(300)));
     }
 
     quickcheck! {
         fn the_timeout_lies_above_the_estimate_and_settles_on_steady_samples(wild: Vec<u16>, steady: u8) -> bool {
-            let mut rtt = RoundTrip::default();
+            let mut rtt = RttEstimator::default();
             for ms in wild {
                 rtt.sample(Span::from_millis(ms.into()));
-                assert!(rtt.timeout() > rtt.smooth() || rtt.timeout() == MOST);
+                assert!(rtt.timeout() > rtt.smoothed() || rtt.timeout() == MAX_TIMEOUT);
             }
             let steady = Span::from_millis(u64::from(steady) + 1);
             (0..200).for_each(|_| rtt.sample(steady));
-            rtt.smooth().as_micros().abs_diff(steady.as_micros()) < 1_000
-                && rtt.timeout() <= steady + GRAIN + Span::from_millis(1)
+            rtt.smoothed().as_micros().abs_diff(steady.as_micros()) < 1_000
+                && rtt.timeout() <= steady + TIMER_GRANULARITY + Span::from_millis(1)
         }
     }
 }
--- a/sites/src/settings.rs
+++ b/sites/src/settings.rs
@@ -47,14 +47,15 @@
     pub address: SocketAddr,
     /// What it stands for here: a parent for reads, the origin for writes, or both.
     #[serde(rename = "as")]
-    pub stands_for: BTreeSet<Stands>,
+    pub roles: BTreeSet<Role>,
     /// Its size beside that of other members, in the settings' unit.
     pub size: f64,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize, JsonSchema, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "lowercase")]
-pub enum Stands {
+#[schemars(rename = "Stands")]
+pub enum Role {
     Parent,
     Origin,
 }
@@ -163,27 +164,28 @@
 }
 
 #[derive(Debug, thiserror::Error)]
-pub enum Unusable {
+pub enum SettingsError {
     #[error("line {line}, column {column}: {why}")]
-    Form { line: usize, column: usize, why: String },
+    Syntax { line: usize, column: usize, why: String },
     #[error("{path}: {why}")]
     Field { path: String, why: String },
 }
 
 impl Sites {
-    pub fn read(json: &str) -> Result<Sites, Unusable> {
-        let form = |e: serde_json::Error| Unusable::Form {
+    pub fn read(json: &str) -> Result<Sites, SettingsError> {
+        let form = |e: serde_json::Error| SettingsError::Syntax {
             line: e.line(),
             column: e.column(),
             why: e.to_string().split(" at line ").next().unwrap_or_default().to_owned(),
         };
         let sites: Sites = serde_json::from_str(json).map_err(form)?;
-        sites.check()?;
+        sites.validate()?;
         Ok(sites)
     }
 
-    fn check(&self) -> Result<(), Unusable> {
-        let bad = |path: &str, why: &str| Err(Unusable::Field { path: path.to_owned(), why: why.to_owned() });
+    fn validate(&self) -> Result<(), SettingsError> {
+        let bad =
+            |path: &str, why: &str| Err(SettingsError::Field { path: path.to_owned(), why: why.to_owned() });
         if !is_name(&self.site) || !is_name(&self.gateway) {
             return bad("site, gateway", "1 to 64 letters, digits, -, _ or . are a name");
         }
@@ -208,7 +210,7 @@
             if peer.site == self.site {
                 return bad(&at("site"), "is this very site");
             }
-            if peer.stands_for.is_empty() {
+            if peer.roles.is_empty() {
                 return bad(&at("as"), "is empty, so that no txn would go there");
             }
             if !(peer.size.is_finite() && peer.size > 0.0) {
--- a/sites/src/store.rs
+++ b/sites/src/store.rs
@@ -11,15 +11,15 @@
 use std::thread;
 
 /// The ledger's own number, which tells it from all others.
-const ABOUT: TableDefinition<&str, u64> = TableDefinition::new("about");
+const META: TableDefinition<&str, u64> = TableDefinition::new("about");
 const FLOORS: TableDefinition<u64, u64> = TableDefinition::new("floors");
 /// By sender and number; empty while it runs.
-const TAKEN: TableDefinition<(u64, u64), &[u8]> = TableDefinition::new("taken");
+const ACCEPTED: TableDefinition<(u64, u64), &[u8]> = TableDefinition::new("taken");
 /// Batches that wait for the disk; more than may run at once never do.
-const MOST_WAITING: usize = 8_192;
+const MAX_QUEUED_BATCHES: usize = 8_192;
 
 #[derive(Debug, thiserror::Error)]
-pub enum Unusable {
+pub enum StoreError {
     #[error("the ledger's file can't be used: {0}")]
     Disk(#[from] redb::Error),
     #[error("the ledger's file holds an entry that can't be read")]
@@ -31,26 +31,26 @@
 pub struct Recovered {
     pub ledger: u64,
     pub floors: Vec<Key>,
-    pub taken: Vec<(Key, Option<Answer>)>,
+    pub accepted: Vec<(Key, Option<Answer>)>,
 }
 
 /// An answer as it would cross a link, and the bytes behind it.
 #[derive(Clone, PartialEq, prost::Message)]
-struct Kept {
+struct StoredAnswer {
     #[prost(message, tag = "1")]
     answer: Option<wire::Answer>,
     #[prost(bytes = "vec", tag = "2")]
     body: Vec<u8>,
 }
 
-impl Kept {
-    fn of(key: Key, answer: &Answer) -> Kept {
-        let told = wire::Answer::of(key.number, answer.ending, answer.body.len());
-        Kept { answer: Some(told), body: answer.body.clone() }
+impl StoredAnswer {
+    fn new(key: Key, answer: &Answer) -> StoredAnswer {
+        let told = wire::Answer::new(key.number, answer.outcome, answer.body.len());
+        StoredAnswer { answer: Some(told), body: answer.body.clone() }
     }
 
     fn answer(self) -> Option<Answer> {
-        Some(Answer { ending: self.answer?.ending()?, body: self.body })
+        Some(Answer { outcome: self.answer?.outcome()?, body: self.body })
     }
 }
 
@@ -60,82 +60,82 @@
 }
 
 /// Any error of the store's library as its one type.
-fn disk<E: Into<redb::Error>>(e: E) -> Unusable {
-    Unusable::Disk(e.into())
+fn storage_error<E: Into<redb::Error>>(e: E) -> StoreError {
+    StoreError::Disk(e.into())
 }
 
 impl Store {
     /// Opens the file, or makes one with `fresh` as the ledger's number.
-    pub fn open(path: &Path, fresh: u64) -> Result<(Store, Recovered), Unusable> {
-        let db = Database::create(path).map_err(disk)?;
-        let write = db.begin_write().map_err(disk)?;
-        let mut found = Recovered { ledger: fresh, floors: Vec::new(), taken: Vec::new() };
+    pub fn open(path: &Path, fresh: u64) -> Result<(Store, Recovered), StoreError> {
+        let db = Database::create(path).map_err(storage_error)?;
+        let write = db.begin_write().map_err(storage_error)?;
+        let mut found = Recovered { ledger: fresh, floors: Vec::new(), accepted: Vec::new() };
         {
-            let mut about = write.open_table(ABOUT).map_err(disk)?;
-            let known = about.get("ledger").map_err(disk)?.map(|n| n.value());
+            let mut about = write.open_table(META).map_err(storage_error)?;
+            let known = about.get("ledger").map_err(storage_error)?.map(|n| n.value());
             match known {
                 Some(known) => found.ledger = known,
-                None => _ = about.insert("ledger", fresh).map_err(disk)?,
+                None => _ = about.insert("ledger", fresh).map_err(storage_error)?,
             }
-            for row in write.open_table(FLOORS).map_err(disk)?.iter().map_err(disk)? {
-                let (sender, number) = row.map_err(disk)?;
+            for row in write.open_table(FLOORS).map_err(storage_error)?.iter().map_err(storage_error)? {
+                let (sender, number) = row.map_err(storage_error)?;
                 found.floors.push(Key { sender: sender.value(), number: number.value() });
             }
-            for row in write.open_table(TAKEN).map_err(disk)?.iter().map_err(disk)? {
-                let (key, value) = row.map_err(disk)?;
+            for row in write.open_table(ACCEPTED).map_err(storage_error)?.iter().map_err(storage_error)? {
+                let (key, value) = row.map_err(storage_error)?;
                 let ((sender, number), bytes) = (key.value(), value.value());
-                let kept = |bytes: &[u8]| Kept::decode(bytes).ok()?.answer();
+                let kept = |bytes: &[u8]| StoredAnswer::decode(bytes).ok()?.answer();
                 let answer = match bytes {
                     [] => None,
-                    bytes => Some(kept(bytes).ok_or(Unusable::Entry)?),
+                    bytes => Some(kept(bytes).ok_or(StoreError::Entry)?),
                 };
-                found.taken.push((Key { sender, number }, answer));
+                found.accepted.push((Key { sender, number }, answer));
             }
         }
-        write.commit().map_err(disk)?;
+        write.commit().map_err(storage_error)?;
         Ok((Store { db }, found))
     }
 
     /// All of it or nothing, on the disk when this returns.
-    pub fn apply<'a>(&mut self, changes: impl Iterator<Item = &'a Change>) -> Result<(), Unusable> {
-        let write = self.db.begin_write().map_err(disk)?;
+    pub fn apply<'a>(&mut self, changes: impl Iterator<Item = &'a Change>) -> Result<(), StoreError> {
+        let write = self.db.begin_write().map_err(storage_error)?;
         {
-            let mut floors = write.open_table(FLOORS).map_err(disk)?;
-            let mut taken = write.open_table(TAKEN).map_err(disk)?;
+            let mut floors = write.open_table(FLOORS).map_err(storage_error)?;
+            let mut taken = write.open_table(ACCEPTED).map_err(storage_error)?;
             for change in changes {
                 match change {
-                    Change::Taken(key) => {
-                        taken.insert((key.sender, key.number), &[][..]).map_err(disk)?;
+                    Change::Accepted(key) => {
+                        taken.insert((key.sender, key.number), &[][..]).map_err(storage_error)?;
                     }
                     Change::Ended(key, answer) => {
-                        let bytes = Kept::of(*key, answer).encode_to_vec();
-                        taken.insert((key.sender, key.number), &bytes[..]).map_err(disk)?;
+                        let bytes = StoredAnswer::new(*key, answer).encode_to_vec();
+                        taken.insert((key.sender, key.number), &bytes[..]).map_err(storage_error)?;
                     }
                     Change::Floor(key) => {
-                        floors.insert(key.sender, key.number).map_err(disk)?;
+                        floors.insert(key.sender, key.number).map_err(storage_error)?;
                     }
                     Change::Dropped(key) => {
-                        taken.remove((key.sender, key.number)).map_err(disk)?;
+                        taken.remove((key.sender, key.number)).map_err(storage_error)?;
                     }
-                    Change::Gone(sender) => {
-                        floors.remove(sender).map_err(disk)?;
+                    Change::SenderDropped(sender) => {
+                        floors.remove(sender).map_err(storage_error)?;
                         let of_sender = (*sender, 0)..=(*sender, u64::MAX);
-                        taken.retain_in(of_sender, |_, _| false).map_err(disk)?;
+                        taken.retain_in(of_sender, |_, _| false).map_err(storage_error)?;
                     }
                 }
             }
         }
-        write.commit().map_err(disk)
+        write.commit().map_err(storage_error)
     }
 
     /// How many are kept, for tests and operators.
-    pub fn len(&self) -> Result<usize, Unusable> {
-        let read = self.db.begin_read().map_err(disk)?;
-        let n = read.open_table(TAKEN).map_err(disk)?.iter().map_err(disk)?.count();
+    pub fn len(&self) -> Result<usize, StoreError> {
+        let read = self.db.begin_read().map_err(storage_error)?;
+        let n = read.open_table(ACCEPTED).map_err(storage_error)?.iter().map_err(storage_error)?.count();
         Ok(n)
     }
 
-    pub fn is_empty(&self) -> Result<bool, Unusable> {
+    pub fn is_empty(&self) -> Result<bool, StoreError> {
         self.len().map(|n| n == 0)
     }
 }
@@ -149,7 +149,7 @@
 
 impl Writer {
     pub fn start(mut store: Store) -> std::io::Result<Writer> {
-        let (batches, waiting) = async_channel::bounded::<(u64, Vec<Change>)>(MOST_WAITING);
+        let (batches, waiting) = async_channel::bounded::<(u64, Vec<Change>)>(MAX_QUEUED_BATCHES);
         let (tell, done) = async_channel::unbounded();
         let work = move || {
             let mut failed = false;
--- a/sites/tests/model.rs
+++ b/sites/tests/model.rs
@@ -6,11 +6,11 @@
 //! `KELPCART_RUNS` sets how many runs of 3,000 steps there are.
 
 use kelpcart::{Span, Time};
-use kelpcart_sites::far::{Asked, Call, Do, Far, Turned};
-use kelpcart_sites::ledger::{Answer, Change, Ending, Key};
-use kelpcart_sites::near::{Act, End, Near, Want, Welcome};
+use kelpcart_sites::acceptor::{Acceptor, Call, RefusalReason, RequestMeta, SessionAction};
+use kelpcart_sites::initiator::{HopOutcome, HopSpec, Initiator, LinkAction, Welcome};
+use kelpcart_sites::ledger::{Answer, Change, Key, TxnOutcome};
 use kelpcart_sites::settings::Sites;
-use kelpcart_sites::wire::{Fate, Hello, VERSION};
+use kelpcart_sites::wire::{Hello, TxnStatus, VERSION};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -31,8 +31,8 @@
     Welcome { ledger: u64, credit: u32, leaving: bool },
     Taken(u64),
     Answer { number: u64, body: Vec<u8>, served: bool },
-    Turned { number: u64, why: Turned },
-    Found { number: u64, fate: Fate },
+    Turned { number: u64, why: RefusalReason },
+    Found { number: u64, fate: TxnStatus },
     Pong { number: u64, credit: u32, leaving: bool },
     Leaving,
 }
@@ -52,7 +52,7 @@
 }
 
 struct NearEnd {
-    core: Near,
+    core: Initiator,
     run: u64,
     conn: Vec<Option<u64>>,
 }
@@ -67,11 +67,11 @@
 impl Disk {
     fn apply(&mut self, change: &Change) {
         match change {
-            Change::Taken(key) => _ = self.taken.insert(*key, None),
+            Change::Accepted(key) => _ = self.taken.insert(*key, None),
             Change::Ended(key, answer) => _ = self.taken.insert(*key, Some(Answer::clone(answer))),
             Change::Floor(key) => _ = self.floors.insert(key.sender, key.number),
             Change::Dropped(key) => _ = self.taken.remove(key),
-            Change::Gone(sender) => {
+            Change::SenderDropped(sender) => {
                 self.floors.remove(sender);
                 self.taken.retain(|key, _| key.sender != *sender);
             }
@@ -80,7 +80,7 @@
 }
 
 struct FarEnd {
-    core: Far,
+    core: Acceptor,
     run: u64,
     ledger: u64,
     requests: BTreeMap<Call, (u64, u64)>,
@@ -95,7 +95,7 @@
     once: bool,
     until: Time,
     runs: u32,
-    ended: Option<End>,
+    ended: Option<HopOutcome>,
     given_up: bool,
     answers: BTreeSet<Vec<u8>>,
 }
@@ -169,12 +169,12 @@
 
     fn near(&mut self) -> NearEnd {
         let run = self.id();
-        NearEnd { core: Near::new(&self.settings, run, self.now), run, conn: vec![None; FARS] }
+        NearEnd { core: Initiator::new(&self.settings, run, self.now), run, conn: vec![None; FARS] }
     }
 
     fn far(&mut self, disk: Disk) -> FarEnd {
         let run = self.id();
-        let mut core = Far::new(&far_settings(self.durable), self.now);
+        let mut core = Acceptor::new(&far_settings(self.durable), self.now);
         let floors: Vec<Key> = disk.floors.iter().map(|(&sender, &number)| Key { sender, number }).collect();
         let taken: Vec<_> = disk.taken.iter().map(|(k, a)| (*k, a.clone())).collect();
         core.recover(self.now, &floors, &taken);
@@ -216,8 +216,16 @@
         let until = self.now + Span::from_millis(self.rng.random_range(50..1_500));
         let path = if self.rng.random_bool(0.03) { vec!["west".to_owned()] } else { Vec::new() };
         let (importance, need) = (self.rng.random_range(0..9), Some(self.rng.random_range(0.1..50.0)));
-        let want = Want { importance, once, need, body: 10, until, wanted: until, path: &path };
-        let number = self.nears[i].core.hop(self.now, link, &want);
+        let want = HopSpec {
+            importance,
+            unrepeatable: once,
+            size_kb: need,
+            body_bytes: 10,
+            deadline: until,
+            sla_deadline: until,
+            path: &path,
+        };
+        let number = self.nears[i].core.submit(self.now, link, &want);
         let known = Known { once, until, ..Known::default() };
         self.known.insert((self.nears[i].run, number), known);
     }
@@ -252,17 +260,19 @@
         }
         match msg {
             Msg::Request { number, once, path } => {
-                if let Some(call) =
-                    far.core.request(now, id, &Asked { number, once, importance: 5, path: &path })
-                {
+                if let Some(call) = far.core.request(
+                    now,
+                    id,
+                    &RequestMeta { number, unrepeatable: once, importance: 5, path: &path },
+                ) {
                     far.requests.insert(call, (conn.run, number));
                 }
             }
-            Msg::Ask(numbers) => far.core.ask(now, id, 0, &numbers),
+            Msg::Ask(numbers) => far.core.query_status(now, id, 0, &numbers),
             Msg::Settle(below) => far.core.settle(id, below),
-            Msg::GiveUp(number) => far.core.gave_up(id, number),
+            Msg::GiveUp(number) => far.core.cancelled(id, number),
             Msg::Ping(number) => {
-                let (credit, leaving) = far.core.state();
+                let (credit, leaving) = far.core.pong_state();
                 self.back(id, Msg::Pong { number, credit, leaving });
             }
             _ => unreachable!(),
@@ -277,9 +287,9 @@
         }
         match msg {
             Msg::Welcome { ledger, credit, leaving } => {
-                near.core.connected(now, far, &Welcome { ledger, credit, leaving, recalls: false })
+                near.core.connected(now, far, &Welcome { ledger, credit, leaving, knows_past_ledgers: false })
             }
-            Msg::Taken(number) => _ = near.core.taken(now, number),
+            Msg::Taken(number) => _ = near.core.accepted(now, number),
             Msg::Answer { number, body, served } => {
                 let known = &self.known[&(near.run, number)];
                 // An answer is one that the far end gave; and only what ran was served.
@@ -289,15 +299,19 @@
             }
             Msg::Turned { number, why } => {
                 let end = match why {
-                    Turned::Forgotten => End::Lost,
-                    Turned::Loop => End::Loop,
-                    Turned::Leaving | Turned::Full | Turned::Fenced => End::Turned,
+                    RefusalReason::Forgotten => HopOutcome::Lost,
+                    RefusalReason::Loop => HopOutcome::Loop,
+                    RefusalReason::Leaving | RefusalReason::Full | RefusalReason::Fenced => {
+                        HopOutcome::Refused
+                    }
                 };
-                near.core.turned(now, far, number, end);
+                near.core.refused(now, far, number, end);
+            }
+            Msg::Found { number, fate } => near.core.status_received(now, far, number, fate),
+            Msg::Pong { number, credit, leaving } => {
+                near.core.pong_received(now, far, number, credit, leaving)
             }
-            Msg::Found { number, fate } => near.core.found(now, far, number, fate),
-            Msg::Pong { number, credit, leaving } => near.core.ponged(now, far, number, credit, leaving),
-            Msg::Leaving => near.core.leaving(now, far),
+            Msg::Leaving => near.core.peer_leaving(now, far),
             _ => unreachable!(),
         }
     }
@@ -323,13 +337,13 @@
         let Some((run, number)) = self.fars[far].running.remove(&call) else { return };
         let body = vec![self.rng.random(); self.rng.random_range(0..60)];
         let served = self.rng.random_bool(0.8);
-        let ending = if served { Ending::Served } else { Ending::Aborted };
+        let ending = if served { TxnOutcome::Served } else { TxnOutcome::Aborted };
         let body = if served { body } else { Vec::new() };
         if let Some(known) = self.known.get_mut(&(run, number)) {
             known.answers.insert(body.clone());
         }
-        let answer = Arc::new(Answer { ending, body: body.clone() });
-        if let Some((session, number)) = self.fars[far].core.ended(self.now, call, &answer) {
+        let answer = Arc::new(Answer { outcome: ending, body: body.clone() });
+        if let Some((session, number)) = self.fars[far].core.finished(self.now, call, &answer) {
             self.back(session, Msg::Answer { number, body, served });
         }
     }
@@ -369,7 +383,7 @@
         let (near, far) = (conn.near, conn.far);
         if self.nears[near].run == conn.run && self.nears[near].conn[far] == Some(id) {
             self.nears[near].conn[far] = None;
-            self.nears[near].core.broken(self.now, far);
+            self.nears[near].core.disconnected(self.now, far);
         }
     }
 
@@ -378,7 +392,7 @@
         conn.far_has = false;
         let far = &mut self.fars[conn.far];
         if conn.far_run == far.run {
-            far.core.broken(id);
+            far.core.disconnected(id);
         }
     }
 
@@ -413,7 +427,7 @@
             .collect();
         if let Some(&number) = open.get(self.rng.random_range(0..open.len().max(1))) {
             self.known.get_mut(&(run, number)).unwrap().given_up = true;
-            self.nears[near].core.given_up(self.now, number);
+            self.nears[near].core.cancelled(self.now, number);
         }
     }
 
@@ -422,12 +436,12 @@
         let far = &mut self.fars[i];
         let Some((mark, changes)) = far.unwritten.pop_front() else { return };
         // The disk refuses now and then: nothing of a write is there then.
-        if self.rng.random_bool(0.02) && changes.iter().all(|c| matches!(c, Change::Taken(_))) {
-            far.core.unwritten(self.now, mark);
+        if self.rng.random_bool(0.02) && changes.iter().all(|c| matches!(c, Change::Accepted(_))) {
+            far.core.persist_failed(self.now, mark);
             return self.count("disk refused");
         }
         changes.iter().for_each(|c| far.disk.apply(c));
-        far.core.written(self.now, mark);
+        far.core.persisted(self.now, mark);
     }
 
     fn kill(&mut self) {
@@ -483,7 +497,7 @@
         }
     }
 
-    fn act(&mut self, near: usize, act: Act) {
+    fn act(&mut self, near: usize, act: LinkAction) {
         let run = self.nears[near].run;
         let conn = |world: &World, link: usize| world.nears[near].conn[link];
         let say = |world: &mut World, link: usize, msg: Msg| {
@@ -492,7 +506,7 @@
             }
         };
         match act {
-            Act::Dial { link } => {
+            LinkAction::Dial { link } => {
                 let id = self.id();
                 let far_run = self.fars[link].run;
                 let (there, back) = Default::default();
@@ -504,63 +518,69 @@
                     version: VERSION,
                     site: "east".to_owned(),
                     gateway: "e".to_owned(),
-                    run,
-                    fresh: self.nears[near].core.fresh(),
+                    run_id: run,
+                    next_number: self.nears[near].core.next_number(),
                 };
                 self.fars[link].core.hello(self.now, id, &hello, true);
             }
-            Act::Drop { link } => {
+            LinkAction::Disconnect { link } => {
                 if let Some(id) = self.nears[near].conn[link].take() {
                     self.conns.get_mut(&id).unwrap().near_has = false;
                 }
             }
-            Act::Send { link, number, left } => {
+            LinkAction::Send { link, number, time_left: left } => {
                 assert!(left > Span::ZERO);
                 let once = self.known[&(run, number)].once;
                 if conn(self, link).is_none() {
-                    return self.nears[near].core.unsent(self.now, number);
+                    return self.nears[near].core.send_failed(self.now, number);
                 }
                 say(self, link, Msg::Request { number, once, path: vec!["east".to_owned()] });
             }
-            Act::Back { .. } => {}
-            Act::GiveUp { link, number } => say(self, link, Msg::GiveUp(number)),
-            Act::Ask { link, numbers, .. } => say(self, link, Msg::Ask(numbers)),
-            Act::Ping { link, number } => say(self, link, Msg::Ping(number)),
-            Act::Settle { link, below } => say(self, link, Msg::Settle(below)),
-            Act::End { number, end } => {
+            LinkAction::LinkUp { .. } => {}
+            LinkAction::Cancel { link, number } => say(self, link, Msg::GiveUp(number)),
+            LinkAction::QueryStatus { link, numbers, .. } => say(self, link, Msg::Ask(numbers)),
+            LinkAction::Ping { link, number } => say(self, link, Msg::Ping(number)),
+            LinkAction::Settle { link, below } => say(self, link, Msg::Settle(below)),
+            LinkAction::Finished { number, outcome: end } => {
                 let known = self.known.get_mut(&(run, number)).unwrap();
                 assert!(known.ended.is_none() && !known.given_up, "{number} ended twice: {known:?}, {end:?}");
                 known.ended = Some(end);
-                let not_run =
-                    matches!(end, End::Down | End::Full | End::Loop | End::Turned | End::NeverTaken);
+                let not_run = matches!(
+                    end,
+                    HopOutcome::Down
+                        | HopOutcome::Full
+                        | HopOutcome::Loop
+                        | HopOutcome::Refused
+                        | HopOutcome::NeverAccepted
+                );
                 assert!(!known.once || !not_run || known.runs == 0, "{number} has run: {known:?}");
                 let what = match end {
-                    End::Answered => "answered",
-                    End::Down => "down",
-                    End::Full => "full",
-                    End::Loop => "loop",
-                    End::Turned => "turned",
-                    End::NeverTaken => "never taken",
-                    End::Lost => "lost",
-                    End::TimedOut => "timed out",
+                    HopOutcome::Answered => "answered",
+                    HopOutcome::Down => "down",
+                    HopOutcome::Full => "full",
+                    HopOutcome::Loop => "loop",
+                    HopOutcome::Refused => "turned",
+                    HopOutcome::NeverAccepted => "never taken",
+                    HopOutcome::Lost => "lost",
+                    HopOutcome::TimedOut => "timed out",
                 };
                 self.count(what);
             }
         }
     }
 
-    fn carry_out(&mut self, far: usize, todo: Do) {
+    fn carry_out(&mut self, far: usize, todo: SessionAction) {
         let ledger = self.fars[far].ledger;
         match todo {
-            Do::Welcome { session, credit, leaving, .. } => {
+            SessionAction::AcceptSession { session, credit, leaving, .. } => {
                 self.back(session, Msg::Welcome { ledger, credit, leaving });
             }
-            Do::Refuse { session, .. } => {
+            SessionAction::RefuseSession { session, .. } => {
                 self.count("refused");
                 self.far_loses(session);
                 self.near_loses(session);
             }
-            Do::Run { call, session, number } => {
+            SessionAction::Run { call, session, number } => {
                 let end = &mut self.fars[far];
                 let (run, of) = end.requests.remove(&call).unwrap();
                 assert_eq!(of, number);
@@ -570,7 +590,13 @@
                 if known.once {
                     known.runs += 1;
                     assert_eq!(known.runs, 1, "{number} of {run} runs twice");
-                    let not_run = [End::Down, End::Full, End::Loop, End::Turned, End::NeverTaken];
+                    let not_run = [
+                        HopOutcome::Down,
+                        HopOutcome::Full,
+                        HopOutcome::Loop,
+                        HopOutcome::Refused,
+                        HopOutcome::NeverAccepted,
+                    ];
                     let told = known.ended.is_some_and(|end| not_run.contains(&end));
                     assert!(!told, "{number} of {run} was called not run and runs");
                     assert!(
@@ -584,25 +610,31 @@
                     self.back(session, Msg::Taken(number));
                 }
             }
-            Do::Joined { session, number } => self.back(session, Msg::Taken(number)),
-            Do::Tell { session, number, answer } => {
-                let served = answer.ending == Ending::Served;
+            SessionAction::AlreadyRunning { session, number } => self.back(session, Msg::Taken(number)),
+            SessionAction::SendAnswer { session, number, answer } => {
+                let served = answer.outcome == TxnOutcome::Served;
                 self.back(session, Msg::Answer { number, body: answer.body.clone(), served });
             }
-            Do::Turn { session, number, why } => self.back(session, Msg::Turned { number, why }),
-            Do::Say { session, number, fate } => self.back(session, Msg::Found { number, fate }),
-            Do::Forget { call } => _ = self.fars[far].requests.remove(&call).unwrap(),
-            Do::HangUp { call } => self.end_call(far, call),
-            Do::Leaving { session } => self.back(session, Msg::Leaving),
-            Do::Renamed { .. }
-            | Do::Greet { .. }
-            | Do::Take { .. }
-            | Do::End { .. }
-            | Do::Find { .. }
-            | Do::Settle { .. } => {
+            SessionAction::RefuseHop { session, number, reason: why } => {
+                self.back(session, Msg::Turned { number, why })
+            }
+            SessionAction::SendStatus { session, number, status: fate } => {
+                self.back(session, Msg::Found { number, fate })
+            }
+            SessionAction::Discard { call } => _ = self.fars[far].requests.remove(&call).unwrap(),
+            SessionAction::Cancel { call } => self.end_call(far, call),
+            SessionAction::AnnounceLeaving { session } => self.back(session, Msg::Leaving),
+            SessionAction::LedgerChanged { .. }
+            | SessionAction::RegisterSender { .. }
+            | SessionAction::ReplicateAccept { .. }
+            | SessionAction::ReplicateOutcome { .. }
+            | SessionAction::QueryReplicas { .. }
+            | SessionAction::ReplicateSettle { .. } => {
                 panic!("no copies are kept here: {todo:?}")
             }
-            Do::Write { mark, changes } => self.fars[far].unwritten.push_back((mark, changes)),
+            SessionAction::Persist { seq: mark, changes } => {
+                self.fars[far].unwritten.push_back((mark, changes))
+            }
         }
     }
 
@@ -610,8 +642,8 @@
         for near in &self.nears {
             assert!(near.core.next_wake() > self.now, "it has been called, and asks to be called at once");
             for link in 0..FARS {
-                let view = near.core.view(link);
-                assert!(view.queued <= QUEUE && (0.0..=1.0).contains(&view.part));
+                let view = near.core.link_stats(link);
+                assert!(view.queued <= QUEUE && (0.0..=1.0).contains(&view.credit_share));
             }
             let late = self.known.range((near.run, 0)..=(near.run, u64::MAX));
             for (key, known) in late {
--- a/sites/tests/peers.rs
+++ b/sites/tests/peers.rs
@@ -4,9 +4,9 @@
 use async_io::block_on;
 use futures_lite::future;
 use kelpcart_rig::keys::Authority;
-use kelpcart_sites::quic::{self, Broken, Endpoint, Keys};
+use kelpcart_sites::quic::{self, Endpoint, Keys, ReadError};
 use kelpcart_sites::settings::{Congestion, KeyFiles};
-use kelpcart_sites::wire::{self, Said};
+use kelpcart_sites::wire::{self, Message};
 use std::path::PathBuf;
 
 struct Folder(PathBuf);
@@ -56,15 +56,15 @@
         let dial = async { a.dial(&near, at, "far").await.unwrap() };
         let accept = async { b.accept().await.unwrap().await.unwrap() };
         let (there, here) = future::zip(dial, accept).await;
-        assert!(quic::proves(&there, "far") && !quic::proves(&there, "near"));
-        assert!(quic::proves(&here, "near") && !quic::proves(&here, "far"));
+        assert!(quic::certifies_site(&there, "far") && !quic::certifies_site(&there, "near"));
+        assert!(quic::certifies_site(&here, "near") && !quic::certifies_site(&here, "far"));
         let (mut send, _) = there.open_bi().await.unwrap();
-        quic::write(&mut send, &wire::encode(Said::Ping(5))).await.unwrap();
+        quic::write(&mut send, &wire::encode(Message::Ping(5))).await.unwrap();
         // Longer than a message may be: told by its first bytes.
         quic::write(&mut send, &[0xff; 8]).await.unwrap();
         let (_, mut recv) = here.accept_bi().await.unwrap();
-        assert_eq!(quic::read(&mut recv).await.unwrap(), Said::Ping(5));
-        assert!(matches!(quic::read(&mut recv).await, Err(Broken::Damaged(_))));
+        assert_eq!(quic::read(&mut recv).await.unwrap(), Message::Ping(5));
+        assert!(matches!(quic::read(&mut recv).await, Err(ReadError::Decode(_))));
     });
 }
 
--- a/sites/tests/store.rs
+++ b/sites/tests/store.rs
@@ -1,7 +1,7 @@
 //! The ledger on a real disk: what was written is there at the next start, in its order, and nothing else.
 
 use kelpcart::Span;
-use kelpcart_sites::ledger::{Answer, Change, Ending, Key};
+use kelpcart_sites::ledger::{Answer, Change, Key, TxnOutcome};
 use kelpcart_sites::store::{Store, Writer};
 use quickcheck::{Gen, QuickCheck};
 use std::collections::BTreeMap;
@@ -28,20 +28,24 @@
         assert_eq!(found.ledger, *ledger.get_or_insert(found.ledger));
         let found_floors: BTreeMap<u64, u64> = found.floors.iter().map(|f| (f.sender, f.number)).collect();
         assert_eq!(found_floors, floors);
-        assert_eq!(found.taken.into_iter().collect::<BTreeMap<_, _>>(), taken);
+        assert_eq!(found.accepted.into_iter().collect::<BTreeMap<_, _>>(), taken);
         let mut changes = Vec::new();
         for (what, sender, number, more) in batch {
             let key = key((sender % 3).into(), (number % 8).into());
             changes.push(match what % 6 {
                 0 | 1 => {
                     taken.insert(key, None);
-                    Change::Taken(key)
+                    Change::Accepted(key)
                 }
                 2 => {
                     let come_back = (more % 2 == 0).then(|| Span::from_millis(more.into()));
-                    let endings = [Ending::Served, Ending::Rejected { come_back }, Ending::Aborted];
+                    let endings = [
+                        TxnOutcome::Served,
+                        TxnOutcome::Rejected { retry_after: come_back },
+                        TxnOutcome::Aborted,
+                    ];
                     let answer =
-                        Answer { ending: endings[usize::from(more) % 3], body: vec![more; more.into()] };
+                        Answer { outcome: endings[usize::from(more) % 3], body: vec![more; more.into()] };
                     taken.insert(key, Some(answer.clone()));
                     Change::Ended(key, Arc::new(answer))
                 }
@@ -56,7 +60,7 @@
                 _ => {
                     floors.remove(&key.sender);
                     taken.retain(|k, _| k.sender != key.sender);
-                    Change::Gone(key.sender)
+                    Change::SenderDropped(key.sender)
                 }
             });
         }
@@ -78,7 +82,7 @@
     let (store, _) = Store::open(&path, 1).unwrap();
     let writer = Writer::start(store).unwrap();
     for mark in 1..=50 {
-        assert!(writer.write(mark, vec![Change::Taken(key(1, mark))]));
+        assert!(writer.write(mark, vec![Change::Accepted(key(1, mark))]));
     }
     let mut last = 0;
     while last < 50 {
@@ -94,7 +98,7 @@
             Err(_) => std::thread::yield_now(),
         }
     };
-    assert_eq!((found.ledger, found.taken.len()), (1, 50));
+    assert_eq!((found.ledger, found.accepted.len()), (1, 50));
     std::fs::remove_file(path).unwrap();
 }
 
--- a/sites/tests/wire.rs
+++ b/sites/tests/wire.rs
@@ -1,35 +1,35 @@
 //! What crosses a link: whole and split messages, damaged ones, and values that a peer may not send.
 
-use kelpcart_sites::wire::{self, Damaged, Said, Word};
+use kelpcart_sites::wire::{self, AnswerCode, DecodeError, Message};
 use quickcheck::{Arbitrary, Gen, QuickCheck, quickcheck};
 
 fn request() -> wire::Request {
     wire::Request {
         number: 7,
         rule: "book".to_owned(),
-        trace: 9,
+        trace_id: 9,
         object: 11,
         part: 0,
         group: 17,
-        need: Some(1.5),
-        seen: Some("00aa00aa00aa00aa".to_owned()),
+        size_kb: Some(1.5),
+        etag: Some("00aa00aa00aa00aa".to_owned()),
         body: b"two nights".to_vec(),
-        left_us: 800_000,
-        oldest_us: Some(5),
+        time_left_us: 800_000,
+        max_age_us: Some(5),
         path: vec!["east".to_owned()],
-        once: true,
+        unrepeatable: true,
         importance: 9,
-        mark: Some("66807aca08cfaa19".to_owned()),
+        idempotency_key: Some("66807aca08cfaa19".to_owned()),
     }
 }
 
-fn all() -> Vec<Said> {
+fn all() -> Vec<Message> {
     let hello = wire::Hello {
         version: wire::VERSION,
         site: "east".to_owned(),
         gateway: "e1".to_owned(),
-        run: 5,
-        fresh: 1,
+        run_id: 5,
+        next_number: 1,
     };
     let welcome = wire::Welcome {
         version: wire::VERSION,
@@ -38,22 +38,22 @@
         ledger: 3,
         credit: 64,
         leaving: false,
-        recalls: true,
+        knows_past_ledgers: true,
     };
     vec![
-        Said::Hello(hello),
-        Said::Welcome(welcome),
-        Said::Refusal(wire::Refusal { version: 1, why: "no room".to_owned() }),
-        Said::Request(request()),
-        Said::Taken(7),
-        Said::Answer(wire::Answer::turned(7, Word::Turned)),
-        Said::Ask(wire::Ask { numbers: vec![7, 8], ledger: 0 }),
-        Said::Found(wire::Found { number: 7, fate: 1 }),
-        Said::Ping(1),
-        Said::Pong(wire::Pong { number: 1, credit: 3, leaving: true }),
-        Said::Settle(9),
-        Said::GiveUp(7),
-        Said::Leaving(true),
+        Message::Hello(hello),
+        Message::Welcome(welcome),
+        Message::Refusal(wire::Refusal { version: 1, reason: "no room".to_owned() }),
+        Message::Request(request()),
+        Message::Accepted(7),
+        Message::Answer(wire::Answer::refused(7, AnswerCode::Refused)),
+        Message::StatusQuery(wire::StatusQuery { numbers: vec![7, 8], ledger: 0 }),
+        Message::StatusReply(wire::StatusReply { number: 7, status: 1 }),
+        Message::Ping(1),
+        Message::Pong(wire::Pong { number: 1, credit: 3, leaving: true }),
+        Message::Settle(9),
+        Message::Cancel(7),
+        Message::Leaving(true),
     ]
 }
 
@@ -78,41 +78,41 @@
     let change = |with: fn(&mut wire::Request)| {
         let mut one = request();
         with(&mut one);
-        Said::Request(one)
+        Message::Request(one)
     };
     let bad = [
         change(|r| r.number = 0),
         change(|r| r.rule = "a/b".to_owned()),
-        change(|r| r.body = vec![0; wire::MOST_BODY + 1]),
+        change(|r| r.body = vec![0; wire::MAX_REQUEST_BODY_BYTES + 1]),
         change(|r| r.group = 256),
-        change(|r| r.need = Some(f64::NAN)),
-        change(|r| r.seen = Some("short".to_owned())),
-        change(|r| r.left_us = 0),
-        change(|r| r.left_us = u64::MAX),
-        change(|r| r.oldest_us = Some(0)),
+        change(|r| r.size_kb = Some(f64::NAN)),
+        change(|r| r.etag = Some("short".to_owned())),
+        change(|r| r.time_left_us = 0),
+        change(|r| r.time_left_us = u64::MAX),
+        change(|r| r.max_age_us = Some(0)),
         change(|r| r.path.clear()),
         change(|r| r.path = vec!["a".to_owned(); 17]),
         change(|r| r.path = vec!["a\nb".to_owned()]),
         change(|r| r.importance = 10),
-        Said::Answer(wire::Answer { word: 99, ..wire::Answer::turned(1, Word::Turned) }),
-        Said::Answer(wire::Answer { length: 5, ..wire::Answer::turned(1, Word::Turned) }),
-        Said::Answer(wire::Answer { length: 240_001, ..wire::Answer::turned(1, Word::Served) }),
-        Said::Ask(wire::Ask { numbers: vec![0], ledger: 0 }),
-        Said::Ask(wire::Ask { numbers: vec![1; 513], ledger: 0 }),
-        Said::Found(wire::Found { number: 1, fate: 9 }),
-        Said::Settle(0),
-        Said::Refusal(wire::Refusal { version: 1, why: long(201) }),
+        Message::Answer(wire::Answer { code: 99, ..wire::Answer::refused(1, AnswerCode::Refused) }),
+        Message::Answer(wire::Answer { body_len: 5, ..wire::Answer::refused(1, AnswerCode::Refused) }),
+        Message::Answer(wire::Answer { body_len: 240_001, ..wire::Answer::refused(1, AnswerCode::Served) }),
+        Message::StatusQuery(wire::StatusQuery { numbers: vec![0], ledger: 0 }),
+        Message::StatusQuery(wire::StatusQuery { numbers: vec![1; 513], ledger: 0 }),
+        Message::StatusReply(wire::StatusReply { number: 1, status: 9 }),
+        Message::Settle(0),
+        Message::Refusal(wire::Refusal { version: 1, reason: long(201) }),
     ];
     for said in bad {
         let bytes = wire::encode(said.clone());
-        assert!(matches!(wire::decode(&bytes), Err(Damaged::Value(_))), "{said:?}");
+        assert!(matches!(wire::decode(&bytes), Err(DecodeError::Value(_))), "{said:?}");
     }
-    assert_eq!(wire::decode(&[0, 0, 0, 0]), Err(Damaged::Long(0)));
-    assert_eq!(wire::decode(&[0, 1, 0, 1]), Err(Damaged::Long(65_537)));
-    assert_eq!(wire::decode(&[0, 0, 0, 1, 0xff]), Err(Damaged::Form));
+    assert_eq!(wire::decode(&[0, 0, 0, 0]), Err(DecodeError::Length(0)));
+    assert_eq!(wire::decode(&[0, 1, 0, 1]), Err(DecodeError::Length(65_537)));
+    assert_eq!(wire::decode(&[0, 0, 0, 1, 0xff]), Err(DecodeError::Encoding));
     // Another version's hello is read as far as its version, so that it can be turned away by that.
     let other = wire::Hello { version: 2, site: "east".to_owned(), ..wire::Hello::default() };
-    assert!(wire::decode(&wire::encode(Said::Hello(other))).unwrap().is_some());
+    assert!(wire::decode(&wire::encode(Message::Hello(other))).unwrap().is_some());
 }
 
 #[derive(Clone, Debug)]
@@ -161,7 +161,7 @@
 quickcheck! {
     fn any_bytes_are_read_without_a_panic(bytes: Vec<u8>) -> bool {
         _ = wire::decode(&bytes);
-        _ = wire::message(&bytes);
+        _ = wire::decode_message(&bytes);
         true
     }
 }
