--- a/feed/src/gateway.rs
+++ b/feed/src/gateway.rs
@@ -756,7 +756,7 @@
             counts.refused_requests += 1;
             return;
         }
-        let since = if fetch.recent_only { now.back(RECENT_WINDOW) } else { Time::default() };
+        let since = if fetch.recent_only { now.saturating_sub(RECENT_WINDOW) } else { Time::default() };
         let found: Vec<Vec<u8>> = match fetch.bundle {
             Some(bundle) => self.log.get(bundle).map(<[u8]>::to_vec).into_iter().collect(),
             None => self
--- a/feed/src/streams.rs
+++ b/feed/src/streams.rs
@@ -167,7 +167,7 @@
             stream.signed.observe(last);
             stream.provisional.observe(last);
             if let Some(age) = body.ages_10ms.get(s).filter(|_| live) {
-                let at = now.back(Span::from_millis(u64::from(*age) * 10));
+                let at = now.saturating_sub(Span::from_millis(u64::from(*age) * 10));
                 stream.fresh_at = Some(stream.fresh_at.map_or(at, |f| f.max(at)));
             }
             if let Some(behind) = body.in_touch_lag.get(s) {
--- a/fleet/src/relay.rs
+++ b/fleet/src/relay.rs
@@ -445,7 +445,7 @@
             && heartbeat.age_us != UNKNOWN_AGE
             && (heartbeat.digest == self.list.digest() || version == 0)
         {
-            let at = now.back(Span::from_micros(heartbeat.age_us));
+            let at = now.saturating_sub(Span::from_micros(heartbeat.age_us));
             let upstream = self.upstreams.iter().flatten().any(|s| s.name == *from);
             if upstream && self.fresh_at.is_none_or(|known| at > known) {
                 self.fresh_at = Some(at);
--- a/gateway/src/caches.rs
+++ b/gateway/src/caches.rs
@@ -113,7 +113,7 @@
         let sweep = async move {
             loop {
                 caches.clock.sleep(Span::from_millis(500)).await;
-                let cutoff = caches.clock.now().back(caches.limits.idle_timeout * 0.75);
+                let cutoff = caches.clock.now().saturating_sub(caches.limits.idle_timeout * 0.75);
                 caches.idle.borrow_mut().values_mut().for_each(|all| all.retain(|k| k.idle_since > cutoff));
             }
         };
@@ -319,7 +319,7 @@
 
     /// A connection kept from an earlier hop on which nothing has come since, its end included.
     fn take_idle(&self, id: &MemberId) -> Option<Connection> {
-        let (mut idle, rested) = (self.idle.borrow_mut(), self.clock.now().back(REUSE_DELAY));
+        let (mut idle, rested) = (self.idle.borrow_mut(), self.clock.now().saturating_sub(REUSE_DELAY));
         let all = idle.get_mut(id)?;
         while let Some(last) = all.iter().rposition(|k| k.idle_since <= rested) {
             let connection = all.remove(last).connection;
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -17,8 +17,8 @@
 use kelpcart_gateway::dispatch_api::{Event, ResponderKeys};
 use kelpcart_gateway::dispatcher::Dispatcher;
 use kelpcart_gateway::feed;
-use kelpcart_gateway::fleet::{DiscoverySubscriber, Fleet, Resources as FleetResources};
-use kelpcart_gateway::sites::{Between, Means};
+use kelpcart_gateway::fleet::{Asker, Fleet, Means as FleetMeans};
+use kelpcart_gateway::sites::{LinkContext, SiteLinks};
 use kelpcart_gateway::{Tasks, logger};
 use std::env;
 use std::net::TcpListener;
@@ -107,7 +107,7 @@
     caches.spawn_idle_sweep(tasks);
     let (address_changed, address_changes) = async_channel::unbounded();
     let keys = ResponderKeys::default();
-    let means = Means {
+    let means = LinkContext {
         tasks,
         clock,
         pool: Rc::clone(&pool),
@@ -117,7 +117,7 @@
     };
     let whole = |text: &str| Ok(text.to_owned());
     let copies = files.copies.as_ref().map(|path| read(path, whole)).transpose()?;
-    let start = |path: &String| read(path, |text| Between::start(means, text, copies.as_deref(), &config));
+    let start = |path: &String| read(path, |text| SiteLinks::start(means, text, copies.as_deref(), &config));
     let between = files.sites.as_ref().map(start).transpose()?;
     let of_fleet = FleetResources {
         tasks,
@@ -190,8 +190,8 @@
                         Ok(address) => _ = address_changed.try_send(address),
                         Err(reason) => log::warn!("{reason}; the bulletin stays where it was"),
                     }
-                    let copies = files.copies.as_ref().map(|of| read(of, unparsed));
-                    rekey_target.iter().for_each(|between| between.reread(copies.clone()));
+                    let copies = files.copies.as_ref().map(|of| read(of, whole));
+                    rekeys.iter().for_each(|between| between.reload(copies.clone()));
                     if let Some((fleet, of)) = fleet.as_ref().zip(files.fleet.as_ref()) {
                         fleet.rekey(read(of, unparsed));
                     }
