--- a/feed/src/compose.rs
+++ b/feed/src/compose.rs
@@ -485,7 +485,8 @@
         for (i, (s, first, last, _)) in wanted.iter().copied().enumerate() {
             let quota = most.saturating_sub(all.len()) / (wanted.len() - i);
             let oldest = first.max(self.sources[s].first_kept);
-            let before = if recent_only { self.sources[s].position_at(now.saturating_sub(RECENT_WINDOW)) } else { 0 };
+            let before =
+                if recent_only { self.sources[s].position_at(now.saturating_sub(RECENT_WINDOW)) } else { 0 };
             let (mut low, mut taken) = (last + 1, 0);
             // A hub that has read all anew does not know when it came: there stamps tell, but not those of a few.
             let stale_before_ms = if recent_only {
--- a/fleet/src/lease.rs
+++ b/fleet/src/lease.rs
@@ -134,7 +134,7 @@
     fn fair_share(&self, key: BudgetKey, members: &Members) -> u32 {
         let Some(most) = self.limit(key.0) else { return u32::MAX };
         let n = members.recent_names().count().max(1) as u32;
-        let place = rank::place(members.recent_names(), &self.own_name, key.1) as u32;
+        let place = rank::rank_of(members.recent_names(), &self.own_name, key.1) as u32;
         most / n + u32::from(place < most % n)
     }
 
--- a/fleet/src/node.rs
+++ b/fleet/src/node.rs
@@ -54,7 +54,7 @@
     limits_fills: bool,
     list_received_at: Option<Time>,
     pub traffic: Traffic,
-    pub refused: BTreeMap<Refused, u64>,
+    pub refused: BTreeMap<OpenError, u64>,
     outbox: VecDeque<Output>,
 }
 
--- a/fleet/src/seal.rs
+++ b/fleet/src/seal.rs
@@ -23,9 +23,9 @@
         self.0.seal(VERSION, &packet.encode_to_vec())
     }
 
-    pub fn open(&self, bytes: &[u8]) -> Result<Packet, Refused> {
-        let packet = Packet::decode(self.0.open(VERSION, bytes)?).map_err(|_| Refused::Form)?;
-        if packet.is_valid() { Ok(packet) } else { Err(Refused::Form) }
+    pub fn open(&self, bytes: &[u8]) -> Result<Packet, OpenError> {
+        let packet = Packet::decode(self.0.open(VERSION, bytes)?).map_err(|_| OpenError::Malformed)?;
+        if packet.is_valid() { Ok(packet) } else { Err(OpenError::Malformed) }
     }
 }
 
--- a/fleet/src/settings.rs
+++ b/fleet/src/settings.rs
@@ -143,8 +143,8 @@
         let require = |is: bool, field: &str, what: &'static str| {
             if is { Ok(()) } else { Err(SettingsError::Field(field.to_owned(), what)) }
         };
-        require(is_name(&self.fleet), "fleet", "a name has 1 to 64 visible characters")?;
-        require(is_name(&self.gateway), "gateway", "a name has 1 to 64 visible characters")?;
+        require(is_valid_name(&self.fleet), "fleet", "a name has 1 to 64 visible characters")?;
+        require(is_valid_name(&self.gateway), "gateway", "a name has 1 to 64 visible characters")?;
         require(self.listen.port() != 0, "listen", "the others have to know the port")?;
         require(
             self.advertised_address().is_ipv4() && self.advertised_address().port() != 0,
@@ -167,7 +167,7 @@
         let mut ids = BTreeSet::new();
         for (i, key) in self.keys.iter().enumerate() {
             require(ids.insert(key.id), &format!("keys[{i}].id"), "another key has it")?;
-            let long = key.bytes().is_some_and(|b| b.len() >= 32);
+            let long = key.secret_bytes().is_some_and(|b| b.len() >= 32);
             require(long, &format!("keys[{i}].secret"), "32 bytes or more in hex digits are wanted")?;
         }
         let m = &self.members;
--- a/fleet/src/wire.rs
+++ b/fleet/src/wire.rs
@@ -277,7 +277,7 @@
 
 impl Packet {
     pub fn is_valid(&self) -> bool {
-        is_name(&self.from)
+        is_valid_name(&self.from)
             && self.run != 0
             && self.parts.len() <= MAX_PARTS
             && self.parts.iter().all(|p| p.payload.as_ref().is_some_and(Payload::is_valid))
@@ -287,17 +287,17 @@
 impl Payload {
     fn is_valid(&self) -> bool {
         let valid_record = |r: &MemberRecord| {
-            is_name(&r.name)
+            is_valid_name(&r.name)
                 && r.address().is_some()
                 && r.run != 0
                 && r.incarnation != 0
                 && MemberState::try_from(r.state).is_ok()
-                && (r.reported_by.is_empty() || is_name(&r.reported_by))
+                && (r.reported_by.is_empty() || is_valid_name(&r.reported_by))
         };
         match self {
             Payload::Hello(h) => h.record.as_ref().is_some_and(valid_record),
             Payload::Update(r) => valid_record(r),
-            Payload::PingReq(p) => is_name(&p.name),
+            Payload::PingReq(p) => is_valid_name(&p.name),
             Payload::Heartbeat(p) => p.after <= p.version,
             Payload::Fetch(f) => f.chunks.len() <= 64 && (f.to == 0 || f.after <= f.to),
             Payload::Chunk(c) => c.index < c.total && c.total <= 16_384 && c.after <= c.to,
--- a/fleet/tests/wire.rs
+++ b/fleet/tests/wire.rs
@@ -2,7 +2,7 @@
 
 use kelpcart::Time;
 use kelpcart_fleet::list::{List, ListError};
-use kelpcart_fleet::seal::{Keys, MOST_DATAGRAM, Refused};
+use kelpcart_fleet::seal::{Keys, MAX_DATAGRAM_BYTES, OpenError};
 use kelpcart_fleet::settings::{Fleet, Key};
 use kelpcart_fleet::wire::{Fetch, Packet, Part, Payload};
 use quickcheck::quickcheck;
--- a/gateway/src/dispatcher.rs
+++ b/gateway/src/dispatcher.rs
@@ -393,7 +393,8 @@
         let link_load = result.load_report.as_deref().and_then(|report| http::load_value(report, "x1"));
         let first_byte = result.first_byte_wait.filter(|waited| *waited > Span::ZERO);
         // At the socket, and without the gateway's own waits: neither is the member's slowness.
-        let duration = result.finished_at.unwrap_or(now).saturating_sub(result.local_wait) - active.ordered_at;
+        let duration =
+            result.finished_at.unwrap_or(now).saturating_sub(result.local_wait) - active.ordered_at;
         let (answered, cache_status) = (!self.open_txns.contains_key(&txn), result.cache_status);
         log::trace!(
             "txn {txn} hop {hop} at {} finished: end {:?}, cache status {cache_status:?}, {} us, link load {link_load:?}, txn answered {answered}",
--- a/gateway/src/feed.rs
+++ b/gateway/src/feed.rs
@@ -154,7 +154,7 @@
             // well, they are nobody's until a stream names them.
             let alone = of.streams.iter().enumerate().all(|(i, s)| i == of.own || s.known == 0);
             for event in init.known_events {
-                if let DiscoveryEvent::Roster { whole, list } = event {
+                if let DiscoveryEvent::Roster { snapshot: whole, list } = event {
                     owners.apply(if alone { of.own } else { UNKNOWN_STREAM }, whole, list);
                 }
             }
@@ -197,7 +197,9 @@
             let subscriber = ListSubscriber { feed: Rc::clone(self), stream: i };
             let (clock, counters) = (self.clock, Rc::clone(&self.counters));
             tasks
-                .spawn(DiscoveryClient { address, moves: updates, clock, counters, subscriber }.follow())
+                .spawn(
+                    DiscoveryClient { address, address_changes: updates, clock, counters, subscriber }.run(),
+                )
                 .detach();
         }
     }
@@ -284,7 +286,7 @@
         let Some(gateway) = &self.gateway else { return };
         let value: Result<serde_json::Value, _> = serde_json::from_slice(line);
         match value.map_err(|e| e.to_string()).and_then(|v| config::parse_event(&v, &gateway.names)) {
-            Ok((_, Some(DiscoveryEvent::Roster { whole, list }))) => {
+            Ok((_, Some(DiscoveryEvent::Roster { snapshot: whole, list }))) => {
                 let (list, left_out) = gateway.owners.borrow_mut().apply(stream, whole, list);
                 if left_out > 0 {
                     self.counters.add("fleet feed lists beyond the bound");
@@ -292,7 +294,7 @@
                         "{left_out} caches of a list are beyond the bound of {MAX_LISTED_CACHES} and left out"
                     );
                 }
-                self.dispatch(DiscoveryEvent::Roster { whole: false, list });
+                self.dispatch(DiscoveryEvent::Roster { snapshot: false, list });
             }
             Ok((_, Some(event))) => self.dispatch(event),
             Ok((_, None)) => {}
@@ -370,7 +372,7 @@
 
     /// Writes the counters of a control machine, and who has not confirmed what it told.
     fn log_status(&self) {
-        *self.counters.sizes.borrow_mut() = self.sizes();
+        *self.counters.table_sizes.borrow_mut() = self.sizes();
         log::info!("{}", self.counters);
         let (unacked, false_acks) = {
             let core = self.core.borrow();
@@ -401,7 +403,7 @@
 }
 
 impl Subscriber for ListSubscriber {
-    fn after(&self) -> u64 {
+    fn last_event(&self) -> u64 {
         self.feed.core.borrow().resume_after(self.stream)
     }
 
@@ -412,20 +414,20 @@
         }
         if let Some(seq) = crate::digits(line) {
             let fits = self.feed.with_core(|core, now| core.handle_last(now, self.stream, seq));
-            return if fits { Ok(()) } else { Err(format!("number {seq} after {}", self.after())) };
+            return if fits { Ok(()) } else { Err(format!("number {seq} after {}", self.last_event())) };
         }
         self.feed.with_core(|core, now| core.handle_line(now, self.stream, line)).map_err(|e| e.to_string())
     }
 
-    fn wanted(&self) -> impl Future<Output = ()> {
+    fn connection_wanted(&self) -> impl Future<Output = ()> {
         self.feed.wait_for_wanted(self.stream, true)
     }
 
-    fn unwanted(&self) -> impl Future<Output = ()> {
+    fn connection_unwanted(&self) -> impl Future<Output = ()> {
         self.feed.wait_for_wanted(self.stream, false)
     }
 
-    fn ended(&mut self) {
+    fn connection_ended(&mut self) {
         self.feed.with_core(|core, now| core.handle_disconnect(now, self.stream));
     }
 }
--- a/gateway/src/fleet.rs
+++ b/gateway/src/fleet.rs
@@ -96,13 +96,13 @@
         let socket =
             Async::<UdpSocket>::bind(file.listen).map_err(|e| format!("listen: {}: {e}", file.listen))?;
         let socket = Rc::new(socket);
-        let feed_resources = feed::Means {
+        let feed_resources = feed::Resources {
             tasks: resources.tasks,
             clock: resources.clock,
             counters: Rc::clone(&resources.counters),
             socket: Rc::clone(&socket),
         };
-        let dispatch = Serves {
+        let dispatch = GatewayInit {
             dispatcher: resources.dispatcher.clone(),
             names: config.names.clone(),
             known_events: config.initial_events.clone(),
@@ -133,7 +133,7 @@
             phase: Cell::new(Phase::Joining),
         });
         if limited {
-            resources.caches.bound_by(Rc::new(FleetLimits(Rc::clone(&fleet))));
+            resources.caches.set_shared_limits(Rc::new(FleetLimits(Rc::clone(&fleet))));
         }
         let (receiver, timers) = (Rc::clone(&fleet), Rc::clone(&fleet));
         resources.tasks.spawn(async move { receiver.receive_datagrams().await }).detach();
@@ -160,7 +160,7 @@
     }
 
     async fn receive_datagrams(&self) {
-        let mut bytes = [0; MOST_DATAGRAM + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             for _ in 0..MAX_DATAGRAMS_PER_TURN {
                 match self.socket.recv_from(&mut bytes).await {
@@ -211,7 +211,7 @@
             // Whatever the core asks for, the others of the process have their turn.
             let at = self.node.borrow().next_wake(now).max(now + MIN_SLEEP);
             self.sleeping_until.set(at);
-            self.clock.by(at, moved).await;
+            self.clock.timeout_at(at, moved).await;
         }
     }
 
@@ -258,7 +258,7 @@
             let node = self.node.borrow();
             let version = node.members.version;
             if self.members_version_sent.replace(version) != version {
-                feed.members(node.members.others().map(|(name, known)| (&**name, known.address)));
+                feed.set_members(node.members.others().map(|(name, known)| (&**name, known.address)));
             }
         }
         if self.discovery_wanted.replace(wanted) != wanted {
@@ -472,7 +472,7 @@
 pub struct DiscoverySubscriber(pub Rc<Fleet>);
 
 impl Subscriber for DiscoverySubscriber {
-    fn after(&self) -> u64 {
+    fn last_event(&self) -> u64 {
         self.0.node.borrow().relay.list.version()
     }
 
@@ -483,20 +483,20 @@
         }
         if let Some(no) = crate::digits(line) {
             let fits = self.0.with_node(|node, now| node.discovery_version(now, no));
-            return if fits { Ok(()) } else { Err(format!("number {no} after {}", self.after())) };
+            return if fits { Ok(()) } else { Err(format!("number {no} after {}", self.last_event())) };
         }
         self.0.with_node(|node, now| node.discovery_event(now, line)).map_err(|e| e.to_string())
     }
 
-    fn wanted(&self) -> impl Future<Output = ()> {
+    fn connection_wanted(&self) -> impl Future<Output = ()> {
         self.0.wait_for_discovery(true)
     }
 
-    fn unwanted(&self) -> impl Future<Output = ()> {
+    fn connection_unwanted(&self) -> impl Future<Output = ()> {
         self.0.wait_for_discovery(false)
     }
 
-    fn ended(&mut self) {
+    fn connection_ended(&mut self) {
         self.0.with_node(|node, now| node.discovery_closed(now));
     }
 }
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -17,7 +17,7 @@
 use kelpcart_gateway::dispatch_api::{Event, ResponderKeys};
 use kelpcart_gateway::dispatcher::Dispatcher;
 use kelpcart_gateway::feed;
-use kelpcart_gateway::fleet::{Asker, Fleet, Means as FleetMeans};
+use kelpcart_gateway::fleet::{DiscoverySubscriber, Fleet, Resources as FleetResources};
 use kelpcart_gateway::sites::{LinkContext, SiteLinks};
 use kelpcart_gateway::{Tasks, logger};
 use std::env;
@@ -50,7 +50,7 @@
         let first = read_fleet_file()?;
         // Set aside for control: whatever else is configured for this machine, it takes no txns.
         if first.feed.as_ref().is_some_and(|f| f.control.is_some()) {
-            let control = feed::run_control(tasks, first, signals, file);
+            let control = feed::run_control(tasks, first, signals, read_fleet_file);
             return async_io::block_on(tasks.run(control)).map_err(|why| format!("{path}: {why}"));
         }
     }
@@ -107,7 +107,7 @@
     caches.spawn_idle_sweep(tasks);
     let (address_changed, address_changes) = async_channel::unbounded();
     let keys = ResponderKeys::default();
-    let means = LinkContext {
+    let link_context = LinkContext {
         tasks,
         clock,
         pool: Rc::clone(&pool),
@@ -115,11 +115,12 @@
         dispatcher: dispatcher.clone(),
         keys: keys.clone(),
     };
-    let whole = |text: &str| Ok(text.to_owned());
-    let copies = files.copies.as_ref().map(|path| read(path, whole)).transpose()?;
-    let start = |path: &String| read(path, |text| SiteLinks::start(means, text, copies.as_deref(), &config));
-    let between = files.sites.as_ref().map(start).transpose()?;
-    let of_fleet = FleetResources {
+    let unparsed = |text: &str| Ok(text.to_owned());
+    let copies = files.copies.as_ref().map(|path| read(path, unparsed)).transpose()?;
+    let start_sites =
+        |path: &String| read(path, |text| SiteLinks::start(link_context, text, copies.as_deref(), &config));
+    let between = files.sites.as_ref().map(start_sites).transpose()?;
+    let fleet_means = FleetResources {
         tasks,
         clock,
         counters: Rc::clone(&counters),
@@ -133,7 +134,7 @@
     let fleet = files.fleet.as_ref().map(start_fleet).transpose()?;
     let address = config.discovery_address;
     match (&fleet, fleet.as_ref().and_then(|f| f.feed.as_ref())) {
-        (_, Some(feed)) => feed.subscribe(tasks, Some((address, moves))),
+        (_, Some(feed)) => feed.subscribe(tasks, Some((address, address_changes))),
         (None, None) => {
             let subscriber = DispatcherSubscriber {
                 last_event: config.last_event,
@@ -152,9 +153,14 @@
         }
         (Some(fleet), None) => {
             let subscriber = DiscoverySubscriber(Rc::clone(fleet));
-            let bulletin =
-                DiscoveryClient { address, moves, clock, counters: Rc::clone(&counters), subscriber };
-            tasks.spawn(bulletin.follow()).detach();
+            let discovery = DiscoveryClient {
+                address,
+                address_changes,
+                clock,
+                counters: Rc::clone(&counters),
+                subscriber,
+            };
+            tasks.spawn(discovery.run()).detach();
         }
     }
     let local_address = listener.get_ref().local_addr().unwrap_or(config.listen);
@@ -190,8 +196,8 @@
                         Ok(address) => _ = address_changed.try_send(address),
                         Err(reason) => log::warn!("{reason}; the bulletin stays where it was"),
                     }
-                    let copies = files.copies.as_ref().map(|of| read(of, whole));
-                    rekeys.iter().for_each(|between| between.reload(copies.clone()));
+                    let copies = files.copies.as_ref().map(|of| read(of, unparsed));
+                    rekey_target.iter().for_each(|between| between.reload(copies.clone()));
                     if let Some((fleet, of)) = fleet.as_ref().zip(files.fleet.as_ref()) {
                         fleet.rekey(read(of, unparsed));
                     }
--- a/gateway/src/sites.rs
+++ b/gateway/src/sites.rs
@@ -66,7 +66,7 @@
             Some(())
         };
         let written = match frame.write_deadline {
-            Some(until) => clock.by(until, write).await.flatten(),
+            Some(until) => clock.timeout_at(until, write).await.flatten(),
             None => write.await,
         };
         if written.is_none() {
--- a/gateway/src/sites/acceptor.rs
+++ b/gateway/src/sites/acceptor.rs
@@ -148,7 +148,7 @@
             self.with_core(|_, _| ());
             let poked = self.wakeup.listen();
             let wake = self.core.borrow().next_wake().max(self.context.clock.now() + MIN_SLEEP);
-            self.context.clock.by(wake, poked).await;
+            self.context.clock.timeout_at(wake, poked).await;
         }
     }
 
@@ -307,7 +307,7 @@
                 SessionAction::Cancel { call } => {
                     self.calls.borrow_mut().remove(&call);
                     // It fails only when the dispatcher has ended, and with it the process.
-                    _ = self.context.dispatcher.try_send(Event::Cancelled { client: self.key, id: call });
+                    _ = self.context.dispatcher.try_send(Event::Cancelled { responder: self.key, id: call });
                     let answer = Arc::new(Answer { outcome: TxnOutcome::Aborted, body: Vec::new() });
                     self.core.borrow_mut().finished(now, call, &answer);
                 }
@@ -368,7 +368,13 @@
         let Some(client) = self.weak_self.upgrade() else { return };
         self.context.counters.add("far requests");
         // It fails only when the dispatcher has ended, and with it the process.
-        _ = self.context.dispatcher.try_send(Event::Request { client, id: call, method, request: ask, at });
+        _ = self.context.dispatcher.try_send(Event::Request {
+            responder: client,
+            id: call,
+            method,
+            request: ask,
+            received_at: at,
+        });
     }
 
     fn control(&self, session: SessionId, frame: Frame) {
@@ -412,14 +418,14 @@
             AnswerBody::None => {}
         }
         (frame.write_deadline, frame._held) =
-            (until, Some(CountGuard::new(&self.context.counters.unwritten)));
+            (until, Some(CountGuard::new(&self.context.counters.unwritten_answers)));
         self.write(session, number, frame, true);
     }
 
     /// What the dispatcher says of a call; each has one answer.
     fn finished(&self, call: Call, ending: TxnOutcome, body: Option<Body>, until: Option<Time>) {
         let Some(once) = self.calls.borrow_mut().remove(&call) else { return };
-        let kept = body.iter().filter(|_| once).flat_map(Body::slices).flatten().copied().collect();
+        let kept = body.iter().filter(|_| once).flat_map(Body::chunks).flatten().copied().collect();
         let answer = Arc::new(Answer { outcome: ending, body: kept });
         let to = self.core.borrow_mut().finished(self.context.clock.now(), call, &answer);
         if let Some((session, number)) = to {
@@ -452,7 +458,7 @@
                 _ => Err("its first word is no hello".to_owned()),
             }
         };
-        let (connection, mut send, mut recv, hello) = match clock.within(HELLO_TIMEOUT, begun).await {
+        let (connection, mut send, mut recv, hello) = match clock.timeout(HELLO_TIMEOUT, begun).await {
             Some(Ok(begun)) => begun,
             other => {
                 let why = other
@@ -511,7 +517,7 @@
     async fn stream(self: Rc<Self>, session: SessionId, mut send: SendStream, mut recv: RecvStream) {
         let clock = self.context.clock;
         let greeted = || self.sessions.borrow().get(&session).is_some_and(|s| s.welcomed.get());
-        let request = match clock.within(REQUEST_TIMEOUT, quic::read(&mut recv)).await {
+        let request = match clock.timeout(REQUEST_TIMEOUT, quic::read(&mut recv)).await {
             Some(Ok(Message::Request(request))) if greeted() => request,
             _ => {
                 self.context.counters.add("far streams without a request");
--- a/gateway/src/sites/copies.rs
+++ b/gateway/src/sites/copies.rs
@@ -390,7 +390,7 @@
             Ok((connection, recv, first))
         };
         // One that gave up before it said anything is no sign of harm.
-        let Some(begun) = clock.within(CONNECTS * 2.0, begun).await else { return Ok(()) };
+        let Some(begun) = clock.timeout(CONNECTS * 2.0, begun).await else { return Ok(()) };
         let (connection, mut recv, initial_window) = begun?;
         let known = self.peers.borrow().len();
         let (holder, id) = self.tell(|node, now| node.greeted(now, &initial_window))?;
--- a/gateway/src/sites/initiator.rs
+++ b/gateway/src/sites/initiator.rs
@@ -113,7 +113,7 @@
             let poked = self.wakeup.listen();
             // Whatever the core asks for, the others of the process have their turn.
             let wake = self.core.borrow().next_wake().max(self.context.clock.now() + MIN_SLEEP);
-            _ = self.context.clock.by(wake, poked).await;
+            _ = self.context.clock.timeout_at(wake, poked).await;
         }
     }
 
@@ -131,8 +131,8 @@
         let want = HopSpec {
             importance: self.settings.importance(&job.rule),
             unrepeatable: job.unrepeatable,
-            size_kb: job.request.size_kb.filter(|_| !job.write),
-            body_bytes: if job.write { job.request.body.len() } else { 0 },
+            size_kb: job.request.size_kb.filter(|_| !job.is_write),
+            body_bytes: if job.is_write { job.request.body.len() } else { 0 },
             deadline: job.deadline,
             sla_deadline: job.sla_deadline,
             path: &job.request.via,
@@ -145,7 +145,7 @@
         self.with_core(|_, _| ());
         // The sender goes only with its word or with the guard.
         let mut ended = told.recv().await.unwrap_or_else(|_| Ends::FarLost.into());
-        ended.at = Some(self.context.clock.now());
+        ended.finished_at = Some(self.context.clock.now());
         self.context.counters.record_end(ended.end);
         ended
     }
@@ -208,7 +208,7 @@
             HopOutcome::Lost => Ends::FarLost.into(),
             HopOutcome::TimedOut => Ends::Late.into(),
         };
-        ended.waited = wait.accept_time;
+        ended.first_byte_wait = wait.accept_time;
         _ = wait.reply.try_send(ended);
     }
 
@@ -243,8 +243,8 @@
             part: ask.part,
             group: ask.group.into(),
             size_kb: ask.size_kb,
-            etag: ask.client_etag.clone().filter(|_| !job.write),
-            body: if job.write { ask.body.clone() } else { Vec::new() },
+            etag: ask.client_etag.clone().filter(|_| !job.is_write),
+            body: if job.is_write { ask.body.clone() } else { Vec::new() },
             time_left_us: left.as_micros(),
             max_age_us: job.fill.as_ref().and_then(|f| f.max_age).map(Span::as_micros),
             path,
@@ -352,14 +352,14 @@
                 return discard(recv, length).await;
             }
             let before = self.context.clock.now();
-            body = self.context.pool.body(length).await;
+            body = self.context.pool.allocate(length).await;
             own = self.context.clock.now() - before;
             let Some(body) = &mut body else {
                 self.with_core(|core, now| turned(core, now, HopOutcome::Lost));
                 return discard(recv, length).await;
             };
             while !body.is_full() {
-                match recv.read(body.space()).await {
+                match recv.read(body.unfilled()).await {
                     Ok(Some(n)) if n > 0 => {
                         body.advance(n);
                         let now = self.context.clock.now();
--- a/scale/src/fleet_net.rs
+++ b/scale/src/fleet_net.rs
@@ -63,7 +63,7 @@
         while let Some(out) = self.node.poll() {
             match out {
                 Output::Datagram(to, bytes) => {
-                    assert!(bytes.len() <= kelpcart_fleet::seal::MOST_DATAGRAM, "{} bytes", bytes.len());
+                    assert!(bytes.len() <= kelpcart_fleet::seal::MAX_DATAGRAM_BYTES, "{} bytes", bytes.len());
                     self.datagrams.push_back((to, bytes));
                 }
                 Output::Event(line) => self.lines.push(line),
--- a/scale/src/ladders/roles.rs
+++ b/scale/src/ladders/roles.rs
@@ -19,7 +19,7 @@
 use kelpcart_fleet::lease::Decision;
 use kelpcart_fleet::node::{Node, Output};
 use kelpcart_fleet::settings::Fleet;
-use kelpcart_fleet::wire::Kind;
+use kelpcart_fleet::wire::BudgetKind;
 use kelpcart_sites::ledger::{Answer, Key, TxnOutcome};
 use serde_json::json;
 use std::collections::{BTreeMap, VecDeque};
--- a/sites/src/initiator.rs
+++ b/sites/src/initiator.rs
@@ -310,7 +310,7 @@
         let bytes = self.expected_bytes(want);
         let l = &mut self.links[link];
         let before = Span::from_millis(self.limits.answer_before_ms);
-        let until = want.deadline.back(before);
+        let until = want.deadline.saturating_sub(before);
         let hop = Hop {
             link,
             importance: want.importance,
@@ -349,7 +349,7 @@
                 self.finish(number, HopOutcome::Full);
             } else {
                 let most = if could { until } else { now + (want.sla_deadline - now) };
-                let due = until.back(needs).min(most).max(now);
+                let due = until.saturating_sub(needs).min(most).max(now);
                 let hop = self.hops.get_mut(&number);
                 if let Some(before) = hop.map(|hop| std::mem::replace(&mut hop.expires_at, due)) {
                     self.by_expiry.remove(&(before, number));
@@ -409,7 +409,7 @@
             };
             // The answer needs its way back: what the far end has is less by a careful round trip.
             let left = hop.deadline - now;
-            let far = hop.deadline.back(l.rtt.timeout().min(left * 0.5)) - now;
+            let far = hop.deadline.saturating_sub(l.rtt.timeout().min(left * 0.5)) - now;
             if far < Span::from_millis(1) {
                 self.finish(first.number, HopOutcome::Full);
                 continue;
