--- a/gateway/src/buffers.rs
+++ b/gateway/src/buffers.rs
@@ -1,6 +1,8 @@
-//! Owns the memory that holds bodies on their way from a cache to a client: buffers of one size, pooled and
-//! counted. A body takes its place whole before its first byte is read, so that bodies half read can't hold each
-//! other up. Must never hand out more than its bound; who asks beyond that waits, and what it reads waits with it.
+//! A bounded pool of fixed-size buffers for bodies on their way from a cache to a client. A body reserves all its buffers
+//! before its first byte is read, so that partly read bodies can't deadlock each other.
+//!
+//! Invariant: no more buffers than the limit are in use; an allocation beyond it waits, which also stops the read from the
+//! cache.
 
 use crate::counters::CountGuard;
 use event_listener::Event;
@@ -18,7 +20,7 @@
 }
 
 impl Pool {
-    /// `bytes`: the most that all bodies together may take.
+    /// `bytes`: memory limit for all bodies together.
     pub fn new(bytes: usize) -> Rc<Pool> {
         let max_buffers = (bytes / BUFFER_BYTES).max(1);
         Rc::new(Pool {
@@ -34,12 +36,12 @@
         self.in_use.get() * BUFFER_BYTES
     }
 
-    /// Somebody waits for room.
+    /// Whether an allocation is waiting for free buffers.
     pub fn has_waiters(&self) -> bool {
         self.waiters.get() > 0
     }
 
-    /// Room for a body, as soon as there is some; `None` if it could never fit.
+    /// Reserves the buffers for a body, waiting until enough are free; `None` if the body exceeds the pool.
     pub async fn allocate(self: &Rc<Pool>, len: usize) -> Option<Body> {
         let n = len.div_ceil(BUFFER_BYTES);
         if n > self.max_buffers {
@@ -59,7 +61,7 @@
     }
 }
 
-/// The bytes of one answer, in order; all of them count only once it is full.
+/// The body of one response. Its bytes are valid only once it is full.
 pub struct Body {
     buffers: Vec<Box<[u8]>>,
     len: usize,
@@ -80,7 +82,7 @@
         self.filled == self.len
     }
 
-    /// Where the next bytes go; empty once the body is full.
+    /// Space for the next bytes; empty once the body is full.
     pub fn unfilled(&mut self) -> &mut [u8] {
         if self.is_full() {
             return &mut [];
@@ -94,7 +96,7 @@
         self.filled = (self.filled + n).min(self.len);
     }
 
-    /// Takes what fits of `bytes` and tells how much that was.
+    /// Appends as many of `bytes` as fit and returns their number.
     pub fn copy_from(&mut self, bytes: &[u8]) -> usize {
         let mut copied = 0;
         while copied < bytes.len() && !self.is_full() {
--- a/gateway/src/caches.rs
+++ b/gateway/src/caches.rs
@@ -1,6 +1,8 @@
-//! Owns the connections to caches, parents and the origin: one hop at a time on each, idle ones kept by member id
-//! and dropped when the member goes or starts anew. Must never send a request twice, nor send one that the module
-//! did not order; whatever goes wrong is reported by its one value in `end` and left to the module.
+//! HTTP connections to caches, parents and the origin: one hop at a time per connection, with a pool of idle connections
+//! per member that is dropped when the member leaves or restarts.
+//!
+//! Invariants: a request is never sent twice, nor without an order of the module. Every failure is reported as one
+//! `ConnectionEnd` and left to the module to handle.
 
 use crate::Tasks;
 use crate::buffers::Pool;
@@ -21,15 +23,17 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// The largest body that is taken from a cache: no object is larger.
+/// Largest response body that is accepted from a cache: no object is larger.
 const MAX_BODY_BYTES: usize = 240_000;
-/// A connection rests this long before it carries another hop: what still follows an answer has come by then, and
-/// is found before it could pass for the next one.
+/// An idle connection is not reused before this delay: stray bytes that follow a response have arrived by then and are
+/// detected, before they could be taken for the next response.
 const REUSE_DELAY: Span = Span::from_millis(20);
 
-/// What a hop has come to: its end should its time be over now, and its waits for the gateway's own means.
+/// State of a running hop.
 struct Progress {
+    /// How the hop ends if its deadline passes now.
     timeout_end: Cell<ConnectionEnd>,
+    /// Time spent waiting for this gateway's own resources.
     local_wait: Cell<Span>,
 }
 
@@ -49,12 +53,12 @@
     started: Option<Time>,
 }
 
-/// What the configuration sets to connections.
+/// Connection limits from the configuration.
 pub struct ConnectionLimits {
     pub connect_timeout: Span,
-    /// Caches close idle ones after this time.
+    /// Caches close idle connections after this time.
     pub idle_timeout: Span,
-    /// Descriptors.
+    /// Limit on open connections, idle ones included; each takes one descriptor.
     pub max_connections: usize,
 }
 
@@ -65,18 +69,18 @@
     limits: ConnectionLimits,
     endpoints: RefCell<BTreeMap<MemberId, Endpoint>>,
     idle: RefCell<BTreeMap<MemberId, Vec<IdleConnection>>>,
-    /// A hop has ended, so that its descriptor may be free.
+    /// Notified when a hop has ended and its descriptor may be free.
     connection_freed: Event,
-    /// Bounds in common with other gateways, where there are any.
+    /// Limits shared with other gateways, if there are any.
     shared_limits: OnceCell<Rc<dyn SharedLimits>>,
 }
 
-/// Tells of the end of a hop, also of one that is taken back.
+/// Notifies on the end of a hop, cancellation included.
 struct NotifyOnDrop<'a>(&'a Event);
 
 impl Drop for NotifyOnDrop<'_> {
     fn drop(&mut self) {
-        // One more each time, also while another is still waking: two ends at once free two.
+        // Wakes one further waiter even if an earlier one has not run yet: two ends free two descriptors.
         self.0.notify_additional(1);
     }
 }
@@ -96,32 +100,37 @@
         })
     }
 
-    /// Connections and fills need a permit from now on.
+    /// From now on connections and fills need a permit.
     pub fn set_shared_limits(&self, limits: Rc<dyn SharedLimits>) {
-        // A second one has no place beside the first.
+        // Only the first call has an effect.
         _ = self.shared_limits.set(limits);
     }
 
-    /// Closes idle connections to some members: others want their places.
+    /// Closes idle connections to the members that `of` selects, so that other gateways can use their permits.
     pub fn close_idle(&self, of: impl Fn(&MemberId) -> bool) {
         self.idle.borrow_mut().retain(|id, _| !of(id));
     }
 
-    /// Closes idle connections well before the caches would, lest one is closed just as it is used.
+    /// Starts a task that closes idle connections well before the caches would: otherwise one may be closed by the cache
+    /// just as it is reused.
     pub fn spawn_idle_sweep(self: &Rc<Self>, tasks: Tasks) {
         let caches = Rc::clone(self);
         let sweep = async move {
             loop {
                 caches.clock.sleep(Span::from_millis(500)).await;
                 let cutoff = caches.clock.now().back(caches.limits.idle_timeout * 0.75);
-                caches.idle.borrow_mut().values_mut().for_each(|all| all.retain(|k| k.idle_since > cutoff));
+                caches
+                    .idle
+                    .borrow_mut()
+                    .values_mut()
+                    .for_each(|all| all.retain(|connection| connection.idle_since > cutoff));
             }
         };
         tasks.spawn(sweep).detach();
     }
 
-    /// News of the list; with `whole`, members that it does not name are gone. Gives those that are not what they were:
-    /// gone, draining, started anew or elsewhere.
+    /// Applies an update of the member list; with `snapshot`, members that it does not name are removed. Returns the members
+    /// that were removed, drain, restarted or changed address.
     pub fn update_members(&self, snapshot: bool, list: &[ListedMember]) -> BTreeSet<MemberId> {
         let (mut endpoints, mut idle) = (self.endpoints.borrow_mut(), self.idle.borrow_mut());
         let mut changed = BTreeSet::new();
@@ -138,9 +147,9 @@
                 changed.insert(m.id.clone());
             }
             match address {
-                // Hops that were ordered before may still be on their way to one that drains.
+                // Keeps the address of a draining member: hops ordered earlier may still be sent to it.
                 Some(address) if m.state != MemberState::Gone => {
-                    // An address is used again: connections to the one that had it before are not the new one's.
+                    // If the address belonged to another member before, connections to that one must not be reused.
                     idle.retain(|id, _| {
                         *id == m.id || endpoints.get(id).is_none_or(|p| p.address != address)
                     });
@@ -157,19 +166,19 @@
         changed
     }
 
-    /// How much is kept, by name.
+    /// Table sizes by name.
     pub fn table_sizes(&self) -> [(&'static str, usize); 2] {
         let idle = self.idle.borrow().values().map(Vec::len).sum();
         [("members with an address", self.endpoints.borrow().len()), ("idle hop connections", idle)]
     }
 
-    /// Runs one hop to its end, which comes by the job's time at the latest.
+    /// Runs one hop to its end, at the latest at its deadline.
     pub async fn run_hop(&self, hop: HopRequest) -> HopResult {
         let progress =
             Progress { timeout_end: Cell::new(ConnectionEnd::LateUnsent), local_wait: Cell::default() };
         let _notify = NotifyOnDrop(&self.connection_freed);
         let run = self.clock.timeout_at(hop.deadline, self.execute(&hop, &progress));
-        // Guards against a first byte at a time at which the hop may not be begun any more.
+        // No first byte may be written after `start_by`.
         let too_late = async {
             self.clock.sleep_until(hop.start_by).await;
             if hop.started.get() {
@@ -184,17 +193,18 @@
         result
     }
 
-    /// Guards members against being held to be slow for what the gateway itself lacks.
+    /// Runs a wait for one of the gateway's own resources and records its duration, which must not count as the member's
+    /// latency. `timeout_end` is the end of the hop if its deadline passes meanwhile.
     async fn track_local_wait<T>(
         &self,
         progress: &Progress,
         timeout_end: ConnectionEnd,
         wait: impl Future<Output = T>,
     ) -> T {
-        let (before, since) = (progress.timeout_end.replace(timeout_end), self.clock.now());
+        let (previous_end, wait_start) = (progress.timeout_end.replace(timeout_end), self.clock.now());
         let output = wait.await;
-        progress.timeout_end.set(before);
-        progress.local_wait.set(progress.local_wait.get() + (self.clock.now() - since));
+        progress.timeout_end.set(previous_end);
+        progress.local_wait.set(progress.local_wait.get() + (self.clock.now() - wait_start));
         output
     }
 
@@ -257,7 +267,7 @@
         }
     }
 
-    /// Reads one answer; tells whether the connection can be used again.
+    /// Reads one response; the flag says whether the connection can be reused.
     async fn read_response(
         &self,
         connection: &mut Connection,
@@ -265,42 +275,42 @@
         progress: &Progress,
     ) -> Result<(HopResult, bool), ConnectionEnd> {
         let malformed = |what: &str| {
-            log::debug!("a cache's answer can't be used: {what}");
+            log::debug!("caches: response discarded and connection closed: {what}");
             ConnectionEnd::Damaged
         };
         let mut buffer = [0; http::MAX_HEAD_BYTES];
         let mut n = 0;
         let (head, used) = loop {
-            let got = connection.stream.read(&mut buffer[n..]).await.map_err(|_| ConnectionEnd::Cut)?;
-            if got == 0 {
+            let read = connection.stream.read(&mut buffer[n..]).await.map_err(|_| ConnectionEnd::Cut)?;
+            if read == 0 {
                 return Err(ConnectionEnd::Cut);
             }
-            n += got;
+            n += read;
             if let Some(found) = http::parse_head(&buffer[..n]).map_err(|d| malformed(d.0))? {
                 break found;
             }
         };
         if head.content_length > MAX_BODY_BYTES {
-            return Err(malformed("too large"));
+            return Err(malformed("body is larger than any object"));
         }
         let body = self
             .track_local_wait(progress, ConnectionEnd::LateForRoom, self.pool.allocate(head.content_length))
             .await;
         let mut body = body.ok_or(ConnectionEnd::Damaged)?;
-        // What follows a whole answer does not make it a bad one; but nothing more is read from there.
+        // Bytes after a complete response do not invalidate it, but the connection is not reused.
         let has_trailing_bytes = body.copy_from(&buffer[used..n]) < n - used;
         while !body.is_full() {
-            let got = connection.stream.read(body.unfilled()).await.map_err(|_| ConnectionEnd::Cut)?;
-            if got == 0 {
+            let read = connection.stream.read(body.unfilled()).await.map_err(|_| ConnectionEnd::Cut)?;
+            if read == 0 {
                 return Err(ConnectionEnd::Cut);
             }
-            body.advance(got);
+            body.advance(read);
         }
         let end = match (head.status, head.declined) {
             (200, _) => ConnectionEnd::Whole,
             (304, _) if has_copy => ConnectionEnd::Current,
-            // Guards a client without a copy from an answer without bytes.
-            (304, _) => return Err(malformed("it confirms a copy that nobody has")),
+            // A client that holds no copy must not get an answer without a body.
+            (304, _) => return Err(malformed("304 for a request without If-None-Match")),
             (404, _) => ConnectionEnd::Lacking,
             (503, true) => ConnectionEnd::Full,
             (504, true) => ConnectionEnd::Over,
@@ -317,14 +327,14 @@
         Ok((result, !head.close && !has_trailing_bytes))
     }
 
-    /// A connection kept from an earlier hop on which nothing has come since, its end included.
+    /// An idle connection that is past `REUSE_DELAY` and on which neither data nor an end of stream is pending.
     fn take_idle(&self, id: &MemberId) -> Option<Connection> {
-        let (mut idle, rested) = (self.idle.borrow_mut(), self.clock.now().back(REUSE_DELAY));
+        let (mut idle, reusable_since) = (self.idle.borrow_mut(), self.clock.now().back(REUSE_DELAY));
         let all = idle.get_mut(id)?;
-        while let Some(last) = all.iter().rposition(|k| k.idle_since <= rested) {
+        while let Some(last) = all.iter().rposition(|connection| connection.idle_since <= reusable_since) {
             let connection = all.remove(last).connection;
-            let quiet = connection.stream.get_ref().peek(&mut [0]);
-            if quiet.is_err_and(|e| e.kind() == ErrorKind::WouldBlock) {
+            let peeked = connection.stream.get_ref().peek(&mut [0]);
+            if peeked.is_err_and(|e| e.kind() == ErrorKind::WouldBlock) {
                 return Some(connection);
             }
             self.counters.add("kept connections found closed");
@@ -355,24 +365,24 @@
             .ok_or(ConnectionEnd::NoSocket)?;
         let mut permit = None;
         if let Some(limits) = self.shared_limits.get() {
-            let permits = limits.acquire_connection(member, self.clock.now() + self.limits.connect_timeout);
-            permit = self.track_local_wait(progress, ConnectionEnd::LateUnsent, permits).await;
+            let acquired = limits.acquire_connection(member, self.clock.now() + self.limits.connect_timeout);
+            permit = self.track_local_wait(progress, ConnectionEnd::LateUnsent, acquired).await;
             if permit.is_none() {
                 self.counters.add("hops without a connection in common");
                 return Err(ConnectionEnd::NoSocket);
             }
         }
-        let limit = self.clock.now() + self.limits.connect_timeout;
+        let deadline = self.clock.now() + self.limits.connect_timeout;
         let guard = CountGuard::new(&self.counters.hop_connections);
         self.counters.add("hop connections opened");
-        let connected = self.clock.timeout_at(limit, Async::<TcpStream>::connect(address)).await;
+        let connected = self.clock.timeout_at(deadline, Async::<TcpStream>::connect(address)).await;
         let stream = connected.ok_or(ConnectionEnd::NoConnection)?.map_err(connect_error)?;
         stream.get_ref().set_nodelay(true).map_err(connect_error)?;
         Ok(Connection { stream, _guard: guard, _permit: permit })
     }
 
-    /// Guards txns at the bound of descriptors against being told off at once by every cache in turn: a hop waits
-    /// for one as it would for its connection.
+    /// Waits for a free descriptor, as part of the connect timeout. If the hop failed at once instead, a txn would exhaust
+    /// all its caches in a moment whenever the limit is reached.
     async fn wait_for_descriptor(&self) {
         while self.counters.hop_connections.get() >= self.limits.max_connections {
             self.close_oldest_idle();
@@ -393,7 +403,7 @@
 }
 
 fn connect_error(e: io::Error) -> ConnectionEnd {
-    // EMFILE and ENFILE have no kind of their own.
+    // 23 is ENFILE and 24 is EMFILE, which have no `ErrorKind` of their own.
     match (e.kind(), e.raw_os_error()) {
         (ErrorKind::AddrNotAvailable, _) | (_, Some(23 | 24)) => ConnectionEnd::NoSocket,
         _ => ConnectionEnd::Refused,
--- a/gateway/src/clients.rs
+++ b/gateway/src/clients.rs
@@ -1,7 +1,9 @@
-//! Owns the connections of clients: accepts them up to a bound, reads their messages, writes answers whole, by one
-//! writer a connection, and closes each of them by one sequence. Must never answer by itself what the module has to
-//! decide, nor pass on what is read after the shutdown of a connection; a client that stops reading, sends nothing
-//! or sends what can't be read costs its own connection only.
+//! Client connections: accepts them up to a limit, decodes their messages, and writes answers through one writer task
+//! per connection.
+//!
+//! Invariants: nothing that is read after the shutdown of a connection reaches the dispatcher; answers that are the
+//! module's to decide are never generated here; a client that stops reading, sends nothing or sends malformed messages
+//! loses only its own connection.
 
 use crate::Tasks;
 use crate::buffers::{Body, Pool};
@@ -22,36 +24,40 @@
 use std::pin::pin;
 use std::rc::Rc;
 
-/// Open requests on a connection, by the protocol.
+/// Maximum number of open requests per connection, set by the protocol.
 const MAX_OPEN_REQUESTS: usize = 32;
-/// Answers that may wait for a connection to take bytes before no more is read from it.
+/// No more is read from a connection while more answers than this wait to be written to it.
 const MAX_UNWRITTEN_ANSWERS: usize = 2 * MAX_OPEN_REQUESTS;
-/// A connection on which something was asked may be idle for this long: usual clients close theirs earlier.
+/// Idle timeout of a connection that has sent a request. Well-behaved clients close theirs earlier.
 const IDLE_TIMEOUT: Span = Span::from_millis(5_000);
-/// From the connection, or from the first byte of a message, to its last: short of the 3 s after which even a
-/// client that sends nothing whole is owed a close.
+/// Time for a complete message, counted from its first byte, or from the connection for the first message. Below the
+/// 3 s within which a client that sends no complete message has to be disconnected.
 const MESSAGE_TIMEOUT: Span = Span::from_millis(2_500);
-/// What a client still sends after the shutdown of its connection is read for this long and this far, lest the answers
-/// before it be lost with a reset.
+/// After the write side is shut down, input is read and discarded for this long: closing a socket with unread input
+/// sends a reset, which may destroy the last answers.
 const LINGER_TIMEOUT: Span = Span::from_millis(300);
+/// Most bytes that are read and discarded before a connection is closed.
 const MAX_DRAIN_BYTES: usize = 1024 * 1024;
-/// A request that crosses a close by less than this is sent again by its client, by the protocol.
+/// By the protocol, a client retransmits a request that was in flight when its connection closed, if the two crossed by
+/// less than this.
 const CROSSING_WINDOW: Span = Span::from_millis(50);
-/// Between two looks at whether a connection that is to end owes nothing.
+/// Interval at which a connection that should close is checked for open requests.
 const CLOSE_POLL_INTERVAL: Span = Span::from_millis(20);
-/// Clients that make room at once: each keeps its place until its close is through.
+/// Most idle clients that are evicted at the same time. Each holds its descriptor until its close is complete.
 const MAX_CONCURRENT_EVICTIONS: usize = 4;
-/// One that takes no bytes may stall for this long, or for the shorter time while bodies are short of memory.
+/// A connection that accepts no bytes for this long is closed.
 const STALL_TIMEOUT: Span = Span::from_millis(5_000);
+/// The same while other bodies wait for buffers, which a stalled reader holds.
 const STALL_TIMEOUT_LOW_MEMORY: Span = Span::from_millis(500);
+/// Interval at which a stalled write, or a client that waits for its last answers, is checked.
 const POLL_INTERVAL: Span = Span::from_millis(250);
 
-/// What is written to a client in one piece.
+/// One message to a client.
 pub struct Frame {
     head: Vec<u8>,
     body: Option<Body>,
     tail: Vec<u8>,
-    /// When nobody waits for it any more, and what goes out then in its place.
+    /// When the client stops waiting, and the id of the request. A frame past this time is replaced by an error answer.
     expiry: Option<(Time, u64)>,
     _guards: [CountGuard; 2],
 }
@@ -61,26 +67,28 @@
     frames: Sender<Frame>,
     open_requests: RefCell<BTreeSet<u64>>,
     last_message_id: Cell<u64>,
-    /// Answers that are not written whole yet.
+    /// Answers that are not completely written yet.
     unwritten_answers: Rc<Cell<usize>>,
+    /// Notified after each written answer.
     written: Event,
-    /// When it came, and when it last sent or was sent something.
     connected_at: Time,
+    /// The last read from or write to the connection.
     last_activity: Cell<Time>,
-    /// It has to make room; the event wakes its reader, which closes it if nothing comes just then.
+    /// Selected to be closed in favour of a new connection, unless input arrives first.
     evicting: Cell<bool>,
+    /// Wakes the reader for an eviction or a shutdown.
     close_requested: Event,
-    /// The sequence of its close has begun.
+    /// The write side has been shut down, or is about to be.
     closing: Cell<bool>,
     counters: Rc<Counters>,
 }
 
 impl Client {
-    fn send_error(&self, id: u64, word: ErrorCode, fields: &[(&str, &str)]) {
-        self.send_answer(id, rpc::encode_error(id, word, fields), None, Vec::new(), None);
+    fn send_error(&self, id: u64, code: ErrorCode, fields: &[(&str, &str)]) {
+        self.send_answer(id, rpc::encode_error(id, code, fields), None, Vec::new(), None);
     }
 
-    /// A request's one answer; none goes out for one that is not open any more.
+    /// Queues the answer to a request. Does nothing if the request is no longer open.
     fn send_answer(
         &self,
         id: u64,
@@ -94,16 +102,16 @@
         }
         let _guards =
             [CountGuard::new(&self.counters.unwritten_answers), CountGuard::new(&self.unwritten_answers)];
-        // It fails only when the connection is gone.
+        // Fails only if the connection is gone.
         _ = self.frames.try_send(Frame { head, body, tail, expiry, _guards });
     }
 
-    /// It owes nothing and is owed nothing: closing its connection loses no request.
+    /// No request is open and no answer is unwritten: closing the connection loses nothing.
     fn is_idle(&self) -> bool {
         self.open_requests.borrow().is_empty() && self.unwritten_answers.get() == 0
     }
 
-    /// Something may still be written to it.
+    /// Whether answers may still be written.
     pub fn is_writable(&self) -> bool {
         !self.closing.get()
     }
@@ -112,7 +120,7 @@
         self.last_message_id.get() > 0
     }
 
-    /// Takes in a message id; `false` if it was used before.
+    /// Opens a request under a message id; `false` if the id is not higher than all earlier ones.
     fn register_message_id(&self, id: u64) -> bool {
         let new = id > self.last_message_id.get();
         if new {
@@ -153,7 +161,7 @@
     }
 }
 
-/// What the tasks of all connections share.
+/// State shared by the tasks of all client connections.
 #[derive(Clone)]
 pub struct Frontend {
     pub tasks: Tasks,
@@ -167,12 +175,12 @@
     pub shutdown_state: Rc<ShutdownState>,
 }
 
-/// How far the front is with its end at a planned restart.
+/// Progress of the frontend's shutdown.
 #[derive(Default)]
 pub struct ShutdownState {
     started: Cell<bool>,
-    notify: Event,
-    /// The listener is closed, with nothing left in its queue.
+    changed: Event,
+    /// The listener is closed and its accept queue is empty.
     listener_closed: Cell<bool>,
 }
 
@@ -181,7 +189,7 @@
 
     fn close(&self) {
         if !self.shutdown_state.started.replace(true) {
-            self.shutdown_state.notify.notify(usize::MAX);
+            self.shutdown_state.changed.notify(usize::MAX);
             self.connected.borrow().values().for_each(|client| _ = client.close_requested.notify(1));
         }
     }
@@ -196,12 +204,12 @@
 }
 
 impl Frontend {
-    /// Takes in clients until the front is to close, and then what still waits in the machine's queue: closing the
-    /// listener would reset it.
+    /// Accepts clients until the shutdown, then empties the kernel's accept queue: closing the listener would reset the
+    /// connections in it.
     pub async fn accept(self, listener: Async<TcpListener>) {
         let mut retry_delay = Span::from_millis(10);
         loop {
-            let shutdown = self.shutdown_state.notify.listen();
+            let shutdown = self.shutdown_state.changed.listen();
             let draining = self.shutdown_state.started.get();
             if !draining {
                 let readable = async { _ = listener.readable().await };
@@ -223,13 +231,13 @@
                         drop(guard);
                     };
                     self.tasks.spawn(task).detach();
-                    // Guards those that are connected against a flood of those that connect.
+                    // A burst of new connections must not starve the established ones.
                     future::yield_now().await;
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock && draining => break,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {}
                 Err(e) => {
-                    log::warn!("a connection can't be accepted: {e}");
+                    log::warn!("clients: accept failed, retrying after a backoff: {e}");
                     self.counters.add("accepts failed");
                     self.clock.sleep(retry_delay).await;
                     retry_delay = (retry_delay * 2.0).min(Span::from_millis(1_000));
@@ -240,8 +248,9 @@
         self.shutdown_state.listener_closed.set(true);
     }
 
-    /// Guards other clients against one that opens connections and leaves them idle: at the bound the one idle
-    /// longest makes room, those first that never asked. With none idle, new ones wait in the machine's queue.
+    /// At the connection limit, evicts the client that has been idle longest, preferring clients that never sent a
+    /// request, so that idle connections can't keep others out. If none is idle, new connections stay in the kernel's
+    /// accept queue.
     fn evict_idle_client(&self) {
         let connected = self.connected.borrow();
         if connected.values().filter(|c| c.evicting.get()).count() >= MAX_CONCURRENT_EVICTIONS {
@@ -257,7 +266,7 @@
 
     async fn serve_connection(&self, stream: Async<TcpStream>) {
         let id = self.keys.next();
-        // Without it answers only come later.
+        // A failure only adds latency.
         _ = stream.get_ref().set_nodelay(true);
         let (sender, receiver) = async_channel::unbounded();
         let connected_at = self.clock.now();
@@ -279,14 +288,14 @@
         let mut writer = pin!(self.write_loop(&stream, &client, &receiver));
         let end = future::or(self.read_loop(&stream, &client), writer.as_mut()).await;
         match end {
-            // Guards the answer that is half written against the end: the one writer goes on to the last of them.
+            // Keeps the writer running until the last answer: a partly written one must not be cut off.
             ConnectionEnd::PeerDamaged => {
                 self.abort_open_requests(&client).await;
                 writer.await;
                 self.close_connection(&stream, &client).await;
             }
             ConnectionEnd::PeerSilent => self.close_connection(&stream, &client).await,
-            // There is nobody to close for.
+            // The peer is gone or does not read: closing in order has no effect.
             _ => {}
         }
         receiver.close();
@@ -295,7 +304,7 @@
         self.connected.borrow_mut().remove(&id);
     }
 
-    /// The end of one that sent what can't be read: each of its open requests gets an answer that promises nothing.
+    /// Answers every open request of a client that sent malformed input with `Lost`: whether it ran is unknown.
     async fn abort_open_requests(&self, client: &Client) {
         _ = self.dispatcher.send(DispatchEvent::Disconnected { responder: client.id }).await;
         let open: Vec<u64> = client.open_requests.borrow().iter().copied().collect();
@@ -303,9 +312,8 @@
         client.frames.close();
     }
 
-    /// The one sequence by which a connection is closed that is not broken: nothing more is written, and what comes
-    /// from here on is thrown away, up to a bound. Guards the last answers against the reset that a close over unread
-    /// bytes sends after them, and what crosses the close against being passed on.
+    /// Closes an intact connection: shuts down the write side, then discards input up to a limit. Without that, closing
+    /// with unread input would send a reset that may destroy the last answers. Discarded requests are never executed.
     async fn close_connection(&self, stream: &Async<TcpStream>, client: &Client) {
         client.closing.set(true);
         if stream.get_ref().shutdown(Shutdown::Write).is_ok() {
@@ -314,7 +322,7 @@
         }
     }
 
-    /// Whether a connection that is to end can do so now: it is owed nothing, and nothing comes in this moment.
+    /// Whether a connection that should close can close now, with no open request and no pending input, and how it ends.
     fn try_close(
         &self,
         stream: &Async<TcpStream>,
@@ -322,7 +330,7 @@
         has_partial_message: bool,
     ) -> Option<ConnectionEnd> {
         let now = self.clock.now();
-        // One that came last has its first request on the way, half a message its other half.
+        // The first request of a new connection, or the rest of a partial message, may be in flight.
         let first_request_pending = !client.has_sent_request()
             && !client.evicting.get()
             && now < client.connected_at + CROSSING_WINDOW;
@@ -345,12 +353,12 @@
     async fn read_loop(&self, mut stream: &Async<TcpStream>, client: &Rc<Client>) -> ConnectionEnd {
         let mut buffer: Vec<u8> = Vec::new();
         let mut chunk = vec![0; 16 * 1024];
-        // When what is held began to come, or the connection.
+        // Arrival of the first buffered byte, or of the connection.
         let mut message_start = self.clock.now();
         loop {
-            // Guards the others against one that sends at full speed: they have their turn after each piece.
+            // Lets other tasks run after each chunk, so that a client sending at full speed does not starve them.
             future::yield_now().await;
-            // Guards memory against a client that asks on and on and takes no answer.
+            // Backpressure: bounds the memory held by a client that sends requests and reads no answers.
             while client.unwritten_answers.get() > MAX_UNWRITTEN_ANSWERS {
                 let written = client.written.listen();
                 if client.unwritten_answers.get() > MAX_UNWRITTEN_ANSWERS {
@@ -378,7 +386,7 @@
             let n = match future::or(read, close_requested).await {
                 Some(Some(Ok(0) | Err(_))) => return ConnectionEnd::PeerLeft,
                 Some(Some(Ok(n))) => n,
-                // Nothing more is taken from one that sends half a message; what it is owed still goes out.
+                // An incomplete message timed out: no more input is accepted, but answers to open requests are written.
                 Some(None) if message_due && message_start + MESSAGE_TIMEOUT <= self.clock.now() => {
                     return self.wait_until_answered(stream, client).await;
                 }
@@ -410,15 +418,15 @@
                         }
                         len
                     }
-                    Err((fault, len)) => {
+                    Err((error, len)) => {
                         self.counters.add("client messages refused");
-                        log::debug!("a client's message is refused: {fault:?}");
-                        let (DecodeError::Malformed { id } | DecodeError::Invalid { id, .. }) = fault;
+                        log::debug!("clients: malformed or invalid message rejected: {error:?}");
+                        let (DecodeError::Malformed { id } | DecodeError::Invalid { id, .. }) = error;
                         let Some(id) = id.filter(|id| client.register_message_id(*id)) else {
                             return ConnectionEnd::PeerDamaged;
                         };
                         client.invalid(id);
-                        if matches!(fault, DecodeError::Malformed { .. }) {
+                        if matches!(error, DecodeError::Malformed { .. }) {
                             return ConnectionEnd::PeerDamaged;
                         }
                         len
@@ -436,7 +444,7 @@
         }
     }
 
-    /// Waits until a client has all that it is owed; what it sends meanwhile is thrown away, but that it leaves is seen.
+    /// Waits until all answers are written. Input is discarded meanwhile, but a disconnect is noticed.
     async fn wait_until_answered(&self, mut stream: &Async<TcpStream>, client: &Client) -> ConnectionEnd {
         let (mut chunk, mut budget) = (vec![0; 16 * 1024], MAX_DRAIN_BYTES);
         while !client.is_idle() {
@@ -454,7 +462,7 @@
         ConnectionEnd::PeerSilent
     }
 
-    /// `false`: the connection can't go on.
+    /// Returns `false` if the connection has to be closed.
     async fn handle_message(&self, client: &Rc<Client>, message: Message, at: Time) -> bool {
         let event = match message {
             Message::Cancel { ids } => {
@@ -489,7 +497,7 @@
                 }
             }
         };
-        // It fails only when the dispatcher has ended, and with it the process.
+        // Fails only if the dispatcher has ended, and the process with it.
         _ = self.dispatcher.send(event).await;
         true
     }
@@ -502,7 +510,7 @@
     ) -> ConnectionEnd {
         while let Ok(mut frame) = frames.recv().await {
             if let Some((_, id)) = frame.expiry.filter(|(deadline, _)| *deadline < self.clock.now()) {
-                // Nobody waits for these bytes: they would only keep the buffers and the line busy.
+                // The client has stopped waiting: the body would only occupy buffers and bandwidth.
                 self.counters.add("answers too late to write");
                 (frame.head, frame.body) = (rpc::encode_error(id, ErrorCode::Lost, &[]), None);
                 frame.tail.clear();
@@ -531,7 +539,7 @@
             let written: Option<io::Result<usize>> =
                 self.clock.timeout(POLL_INTERVAL, stream.write_vectored(slices)).await;
             match written {
-                // Guards the bodies of others: what a stopped reader pins is freed the sooner they wait for it.
+                // A stalled reader pins buffers; they are freed sooner while other bodies wait for them.
                 None => {
                     let limit =
                         if self.pool.has_waiters() { STALL_TIMEOUT_LOW_MEMORY } else { STALL_TIMEOUT };
@@ -550,7 +558,7 @@
     }
 }
 
-/// How a connection that nobody uses ends; `None`: something has come, so that it is used.
+/// How an idle connection ends; `None` if input is pending, so that the connection is in use.
 fn check_idle_socket(stream: &Async<TcpStream>) -> Option<ConnectionEnd> {
     match stream.get_ref().peek(&mut [0]) {
         Ok(1..) => None,
@@ -559,7 +567,7 @@
     }
 }
 
-/// Throws away what still comes, up to a bound.
+/// Reads and discards input up to `MAX_DRAIN_BYTES`.
 async fn drain(mut stream: &Async<TcpStream>) {
     let (mut chunk, mut budget) = (vec![0; 16 * 1024], MAX_DRAIN_BYTES);
     while let Ok(n @ 1..) = stream.read(&mut chunk).await {
--- a/gateway/src/clock.rs
+++ b/gateway/src/clock.rs
@@ -1,5 +1,5 @@
-//! Owns the gateway's one source of time: the Unix time read once at the start, carried on by a clock that never
-//! runs back. Must never be asked for a time by another way; sleeping is by the same clock.
+//! The gateway's only source of time and timers: the Unix time at the start of the process plus the elapsed monotonic
+//! time, so that it never runs backwards.
 
 use async_io::Timer;
 use futures_lite::future;
@@ -31,7 +31,7 @@
         self.sleep_until(self.now() + span).await;
     }
 
-    /// What `work` gives, or `None` when it is not done by `at`.
+    /// Runs `work` until `at`; `None` if it has not completed by then.
     pub async fn timeout_at<T>(&self, at: Time, work: impl Future<Output = T>) -> Option<T> {
         let late = async {
             self.sleep_until(at).await;
@@ -40,7 +40,7 @@
         future::or(async { Some(work.await) }, late).await
     }
 
-    /// What `work` gives, or `None` when it takes longer than the span.
+    /// Runs `work` for at most `span`; `None` if it takes longer.
     pub async fn timeout<T>(&self, span: Span, work: impl Future<Output = T>) -> Option<T> {
         self.timeout_at(self.now() + span, work).await
     }
--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -1,5 +1,7 @@
-//! Reads the configuration: all of it once, before anything listens, and the bulletin's address each time it is
-//! replaced. Owns the names in it; must never hold a value that the operators did not give.
+//! Parses the configuration: all of it at startup, before the listener is opened, and only the discovery service's address
+//! (`bulletin`) on a reload. Also parses discovery events, which refer to names of the configuration.
+//!
+//! Invariant: every value comes from the operators; none is made up here.
 
 use kelpcart::hash_prefix::PrefixSet;
 use kelpcart::interface::{Member, Settings};
@@ -16,19 +18,20 @@
     pub memory_limit: usize,
     pub descriptor_limit: usize,
     pub discovery_address: SocketAddr,
-    /// The events of the start, and the number of the last.
+    /// Discovery events that are applied at startup.
     pub initial_events: Vec<DiscoveryEvent>,
+    /// The number of the last of `initial_events`.
     pub last_event: u64,
     pub settings: Settings,
     pub names: Names,
-    /// Idle connections to caches are closed by these after this time.
+    /// Caches close idle connections after this time.
     pub idle_timeout: Span,
     pub max_open_txns: usize,
-    /// The longest time that a client waits.
+    /// The longest time limit of any remap rule.
     pub max_time_limit: Span,
 }
 
-/// Names that stand for the settings' places.
+/// Names of remap rules, zones and member kinds; the position of a name is its index in the settings.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     pub rules: Vec<String>,
@@ -36,14 +39,14 @@
     pub kinds: Vec<String>,
 }
 
-/// An event of the bulletin.
+/// An event of the discovery service.
 #[derive(Clone, Debug)]
 pub enum DiscoveryEvent {
     Roster {
         snapshot: bool,
         list: Vec<ListedMember>,
     },
-    /// Of what `names` covers nothing is good any more that is older than `issued_ms`, in ms since 1970.
+    /// Invalidates all copies of the objects in `names` that are older than `issued_ms` (ms since the Unix epoch).
     Purge {
         names: PrefixSet,
         issued_ms: u64,
@@ -53,14 +56,14 @@
 #[derive(Clone, Debug)]
 pub struct ListedMember {
     pub member: Member,
-    /// `None` where it is not told or can't be read: such a member can't be reached.
+    /// `None` if it is missing or invalid: the member is then unreachable.
     pub address: Option<SocketAddr>,
 }
 
 impl Config {
     pub fn read(json: &str) -> ParseResult<Config> {
-        let all: Value = serde_json::from_str(json).map_err(|e| format!("not JSON: {e}"))?;
-        let all = all.as_object().ok_or("not an object")?;
+        let all: Value = serde_json::from_str(json).map_err(|e| format!("not valid JSON: {e}"))?;
+        let all = all.as_object().ok_or("not a JSON object")?;
         let in_section = |what: &str, e: String| format!("{what}: {e}");
         let settings_object = object(all, "settings")?;
         let names = Names {
@@ -80,7 +83,7 @@
         Ok(Config {
             name: text(all, "name")?.to_owned(),
             listen: address(all, "listen")?,
-            seed: hex(text(all, "seed")?).ok_or("seed is not a number in hex digits")?,
+            seed: hex(text(all, "seed")?).ok_or("seed is not a hex number")?,
             memory_limit: int(limits, "memory_mb")? as usize * 1024 * 1024,
             descriptor_limit: int(limits, "sockets")? as usize,
             discovery_address: address(all, "bulletin")?,
@@ -89,28 +92,30 @@
             settings: settings(settings_object).map_err(|e| in_section("settings", e))?,
             idle_timeout: span(policy_limits, "ConnIdleUs").map_err(|e| in_section("settings", e))?,
             max_open_txns: int(policy_limits, "MaxOpen").map_err(|e| in_section("settings", e))? as usize,
-            max_time_limit: Span::from_micros(deadlines.max().ok_or("settings: no class has DeadlineUs")?),
+            max_time_limit: Span::from_micros(
+                deadlines.max().ok_or("settings: no entry of Classes has DeadlineUs")?,
+            ),
             names,
         })
     }
 }
 
-/// The address of the bulletin, the one thing that may change on the way.
+/// The address of the discovery service, the only setting that a reload may change.
 pub fn read_discovery_address(json: &str) -> ParseResult<SocketAddr> {
-    let all: Value = serde_json::from_str(json).map_err(|e| format!("not JSON: {e}"))?;
-    address(all.as_object().ok_or("not an object")?, "bulletin")
+    let all: Value = serde_json::from_str(json).map_err(|e| format!("not valid JSON: {e}"))?;
+    address(all.as_object().ok_or("not a JSON object")?, "bulletin")
 }
 
-/// The events of the start as they are written.
+/// The initial events as unparsed JSON values.
 pub fn read_initial_events(json: &str) -> ParseResult<Vec<Value>> {
-    let all: Value = serde_json::from_str(json).map_err(|e| format!("not JSON: {e}"))?;
-    let known = object(all.as_object().ok_or("not an object")?, "known")?;
+    let all: Value = serde_json::from_str(json).map_err(|e| format!("not valid JSON: {e}"))?;
+    let known = object(all.as_object().ok_or("not a JSON object")?, "known")?;
     list(known, "items").map(|items| items.to_vec())
 }
 
-/// The number of an event and what it says; `None` for kinds of event not known here.
+/// Parses an event's number and content; the content is `None` for an unknown kind of event.
 pub fn parse_event(item: &Value, names: &Names) -> ParseResult<(u64, Option<DiscoveryEvent>)> {
-    let item = item.as_object().ok_or("not an event")?;
+    let item = item.as_object().ok_or("event is not a JSON object")?;
     let number = int(item, "no")?;
     if item.contains_key("roster") {
         let roster = object(item, "roster")?;
@@ -123,16 +128,18 @@
         return Ok((number, None));
     }
     let recall = object(item, "recall")?;
-    let object = optional(recall, "item", |r, n| hex(text(r, n)?).ok_or("item is not hex digits".into()))?;
+    let object = optional(recall, "item", |r, n| hex(text(r, n)?).ok_or("item is not a hex number".into()))?;
     let group = optional(recall, "lot", int)?;
-    let names =
-        object.map(PrefixSet::object).or(group.map(PrefixSet::group)).ok_or("recall names nothing")?;
+    let names = object
+        .map(PrefixSet::object)
+        .or(group.map(PrefixSet::group))
+        .ok_or("recall has neither item nor lot")?;
     Ok((number, Some(DiscoveryEvent::Purge { names, issued_ms: int(recall, "issued")? })))
 }
 
 fn parse_listed_member(entry: &Value, names: &Names) -> ParseResult<ListedMember> {
-    let entry = entry.as_object().ok_or("an endpoint is not an object")?;
-    // A place that the settings don't name is one of its own: no zone or kind is taken for another.
+    let entry = entry.as_object().ok_or("an entry of endpoints is not an object")?;
+    // An unknown name maps to the index after the last known one, so that it never counts as a known zone or kind.
     let index_of = |name: &str, of: &[String]| {
         let value = entry.get(name).and_then(Value::as_str);
         value.and_then(|t| of.iter().position(|n| n == t)).unwrap_or(of.len())
@@ -155,13 +162,13 @@
 fn read_names(body: &Fields, name: &str) -> ParseResult<Vec<String>> {
     let name_of = |v: &Value| {
         let name_value = v.as_str().or_else(|| v.get("Name")?.as_str());
-        name_value.map(str::to_owned).ok_or_else(|| format!("{name} holds one without a name"))
+        name_value.map(str::to_owned).ok_or_else(|| format!("{name} has an entry without a name"))
     };
     list(body, name)?.iter().map(name_of).collect()
 }
 
 fn address(body: &Fields, name: &str) -> ParseResult<SocketAddr> {
-    text(body, name)?.parse().map_err(|_| format!("{name} is not an address"))
+    text(body, name)?.parse().map_err(|_| format!("{name} is not a socket address"))
 }
 
 fn hex(text: &str) -> Option<u64> {
--- a/gateway/src/connection_end.rs
+++ b/gateway/src/connection_end.rs
@@ -1,72 +1,74 @@
-//! Owns every way in which a connection can end, or the hop that it carries, and what each means to the module: the
-//! mapping stands here and nowhere else. Must never call a hop not run unless that is proven: no connection
-//! came up, the request was not written whole, or the cache said so.
+//! All the ways in which a connection, or the hop on it, can end, and the only mapping of them to the module's `HopStatus`.
+//!
+//! Invariant: a hop is never reported as not run unless that is proven: no connection was established, the request was
+//! not completely written, or the cache said so.
 
 use kelpcart::interface::HopStatus;
 
+/// The variant names are part of the counters' and log lines' text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ConnectionEnd {
-    /// 200: the bytes, whole.
+    /// Status 200 with a complete body.
     Whole,
-    /// 304: the client's own copy is the one.
+    /// Status 304: the client's copy is current.
     Current,
-    /// 404.
+    /// Status 404: the cache lacks the object.
     Lacking,
-    /// 503 with the word that it never ran.
+    /// Status 503 with `X-Declined`: the txn did not run.
     Full,
-    /// 504 with the word that it never ran.
+    /// Status 504 with `X-Declined`: the txn did not run.
     Over,
-    /// 500, or any other answer that proves nothing.
+    /// Status 500 or any other; whether the txn ran is unknown.
     Errored,
-    /// No connection: refused, or the network said no.
+    /// No connection: refused, or a network error.
     Refused,
-    /// No connection within the connect limit.
+    /// No connection within the connect timeout.
     NoConnection,
-    /// The own descriptors are used up, or the member has no address.
+    /// No descriptor or permit was available here, or the member has no address.
     NoSocket,
-    /// The hop's time was over before its request was written whole.
+    /// The hop's deadline passed before its request was completely written.
     LateUnsent,
-    /// Taken back before its first byte: news has changed what it was ordered on, or it may not begin any more.
+    /// Cancelled before its first byte: a discovery event invalidated the decision, or the latest start time passed.
     Overtaken,
-    /// The connection ended before the request was written whole.
+    /// The connection ended before the request was completely written.
     CutUnsent,
-    /// A connection kept from earlier was found closed before the request was written whole.
+    /// A reused idle connection turned out to be closed before the request was completely written.
     KeptClosed,
-    /// The connection ended after that, before the answer was whole.
+    /// The connection ended after the request was written and before the response was complete.
     Cut,
-    /// The answer can't be read or is larger than allowed.
+    /// The response is malformed or larger than allowed.
     Damaged,
-    /// The hop's time was over.
+    /// The hop's deadline passed after the request was written.
     Late,
-    /// It was over while the gateway had no room for the answer's body.
+    /// The deadline passed while this gateway had no buffers for the response body.
     LateForRoom,
-    /// Taken back by the module.
+    /// Cancelled by the module or by the client.
     Withdrawn,
-    /// A link to another site is down or silent, or the gateway there leaves: nothing was sent.
+    /// The link to another site is down or silent, or the gateway there is shutting down: nothing was sent.
     FarDown,
-    /// The link has no room, or it can't cross in its time: nothing was sent.
+    /// The link has no capacity, or the txn can't cross it before its deadline: nothing was sent.
     FarFull,
-    /// The gateway there has no room, or leaves: nothing of it has run.
+    /// The remote gateway has no capacity or is shutting down: the txn did not run.
     FarTurned,
-    /// It has crossed that site before, or too many.
+    /// The txn has crossed that site before, or too many sites.
     FarLoop,
-    /// It was sent, and the gateway there says that it never ran and never will.
+    /// It was sent, and the remote gateway confirms that it did not run and will not run.
     FarNever,
-    /// It was sent, and what became of it will not be known.
+    /// It was sent, and its outcome can't be determined.
     FarLost,
-    /// Rejected there: another try is harmless.
+    /// Rejected by the remote gateway: a retry is safe.
     FarRejected,
-    /// Aborted there.
+    /// Aborted by the remote gateway.
     FarAborted,
-    /// The gateway there can't use it; it went nowhere.
+    /// The remote gateway considers the request invalid and did not forward it.
     FarInvalid,
-    /// A client or the bulletin closed, or broke off.
+    /// A client or the discovery service closed or reset the connection.
     PeerLeft,
-    /// Nothing came from it for longer than it may be silent.
+    /// The peer's idle timeout passed.
     PeerSilent,
-    /// It stopped reading what was written to it.
+    /// The peer stopped reading.
     PeerStalled,
-    /// What it sent can't be read.
+    /// The peer sent malformed data.
     PeerDamaged,
 }
 
@@ -105,7 +107,7 @@
         ConnectionEnd::PeerDamaged,
     ];
 
-    /// `None`: the connection carried no hop.
+    /// `None` for ends of connections that carry no hops.
     pub fn hop_status(self) -> Option<HopStatus> {
         Some(match self {
             ConnectionEnd::Whole | ConnectionEnd::Current => HopStatus::Completed,
@@ -116,7 +118,7 @@
             | ConnectionEnd::FarRejected
             | ConnectionEnd::FarInvalid => HopStatus::TurnedAway,
             ConnectionEnd::Errored | ConnectionEnd::FarAborted => HopStatus::Errored,
-            // An answer that can't be read is one all the same: its sender is alive and took the txn.
+            // A malformed response still shows that the member is alive and took the txn.
             ConnectionEnd::Damaged => HopStatus::Spoilt,
             ConnectionEnd::Refused | ConnectionEnd::NoConnection | ConnectionEnd::CutUnsent => {
                 HopStatus::Unreachable
@@ -130,7 +132,7 @@
             ConnectionEnd::Overtaken => HopStatus::Overtaken,
             ConnectionEnd::Cut | ConnectionEnd::FarLost => HopStatus::Broken,
             ConnectionEnd::Late => HopStatus::TimedOut,
-            // Given up here for a reason of the gateway's own: nothing is told of the member.
+            // Given up for a reason local to this gateway: says nothing about the member.
             ConnectionEnd::Withdrawn | ConnectionEnd::LateForRoom => HopStatus::Withdrawn,
             ConnectionEnd::PeerLeft
             | ConnectionEnd::PeerSilent
@@ -139,7 +141,7 @@
         })
     }
 
-    /// The answer came whole, so that the connection can carry another request.
+    /// Whether the response was complete, so that the connection can carry another request.
     pub fn leaves_connection_usable(self) -> bool {
         matches!(
             self,
--- a/gateway/src/counters.rs
+++ b/gateway/src/counters.rs
@@ -1,5 +1,4 @@
-//! Owns the numbers of what the gateway takes in, sends and answers. Must never decide anything: nothing reads a
-//! count but the lines that are written on SIGUSR1 and at the exit.
+//! Event counters and gauges, logged on SIGUSR1 and at exit. No decision depends on an event counter.
 
 use crate::connection_end::ConnectionEnd;
 use std::cell::{Cell, RefCell};
@@ -11,12 +10,13 @@
 pub struct Counters {
     counts: RefCell<BTreeMap<&'static str, u64>>,
     ends: RefCell<BTreeMap<ConnectionEnd, u64>>,
-    /// Answers handed to connections and not yet written.
+    /// Answers that are queued on connections and not yet written.
     pub unwritten_answers: Rc<Cell<usize>>,
-    /// Descriptors of clients, and of hops with those kept for later ones.
+    /// Descriptors in use by clients.
     pub client_connections: Rc<Cell<usize>>,
+    /// Descriptors in use by hop connections, idle ones included.
     pub hop_connections: Rc<Cell<usize>>,
-    /// How much the tables of the gateway held when they were last asked.
+    /// Sizes of the gateway's tables when they were last queried.
     pub table_sizes: RefCell<Vec<(&'static str, usize)>>,
 }
 
@@ -33,14 +33,14 @@
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "now: clients {}, hops {}", self.client_connections.get(), self.hop_connections.get())?;
-        self.table_sizes.borrow().iter().try_for_each(|(what, n)| write!(f, ", {what} {n}"))?;
+        self.table_sizes.borrow().iter().try_for_each(|(name, n)| write!(f, ", {name} {n}"))?;
         write!(f, "; in all")?;
-        self.counts.borrow().iter().try_for_each(|(what, n)| write!(f, ", {what} {n}"))?;
+        self.counts.borrow().iter().try_for_each(|(name, n)| write!(f, ", {name} {n}"))?;
         self.ends.borrow().iter().try_for_each(|(end, n)| write!(f, ", end {end:?} {n}"))
     }
 }
 
-/// Counts a thing as there until it is dropped.
+/// Increments a gauge and decrements it on drop.
 pub struct CountGuard(Rc<Cell<usize>>);
 
 impl CountGuard {
--- a/gateway/src/discovery.rs
+++ b/gateway/src/discovery.rs
@@ -1,6 +1,8 @@
-//! Follows the bulletin: its events reach the dispatcher in the order of their numbers, each once, also when its address
-//! is changed on the way. Must never pass on an event after a gap, nor take silence for news: it connects anew and
-//! asks for what follows the last good one.
+//! Client of the discovery service (`bulletin` on the wire and in settings).
+//!
+//! Invariants: events are delivered in the order of their numbers and exactly once, also across a change of the service's
+//! address; no event is delivered after a gap. On a gap, a malformed line or silence the client reconnects and asks for
+//! the events after the last one it delivered.
 
 use crate::clock::Clock;
 use crate::config::{Names, parse_event};
@@ -14,34 +16,39 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
+/// A longer line ends the connection.
 const MAX_LINE_BYTES: usize = 1024 * 1024;
-/// It writes a line each second; this long without a whole one, and the connection is held to be dead. A long line has
-/// as long again for each piece of it that has come.
+/// The service writes a line each second. A connection without a complete line for this long is considered dead; for each
+/// read chunk of an incomplete long line the timeout is extended by the same time.
 const IDLE_TIMEOUT: Span = Span::from_millis(2_000);
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 const CONNECT_TIMEOUT: Span = Span::from_millis(500);
+/// First and largest delay between two connection attempts; it doubles until a line is accepted.
 const RECONNECT_BACKOFF: std::ops::Range<Span> = Span::from_millis(50)..Span::from_millis(400);
 
-// What it has to tell counts as told 2 s after a break and 4 s after it stops: one try may fail before that.
+// Events must arrive within 2 s after a disconnect and within 4 s after the service falls silent, even if the first
+// reconnect attempt fails.
 const MAX_ATTEMPT_US: u64 = CONNECT_TIMEOUT.as_micros() + RECONNECT_BACKOFF.end.as_micros();
 const _: () =
     assert!(2 * MAX_ATTEMPT_US < 2_000_000 && IDLE_TIMEOUT.as_micros() + 2 * MAX_ATTEMPT_US < 4_000_000);
 
-/// Who hears the lines. What comes after a gap or can't be read ends the connection.
+/// Receives the lines of the discovery service.
 pub trait Subscriber {
-    /// The number of the last event that is known.
+    /// The number of the last event that was received.
     fn last_event(&self) -> u64;
+    /// An error, such as a malformed line or a gap in the numbers, ends the connection.
     fn on_line(&mut self, line: &[u8]) -> Result<(), String>;
-    /// Comes when a connection is wanted, and when one that stands is not wanted any more.
+    /// Completes when a connection is wanted.
     fn connection_wanted(&self) -> impl Future<Output = ()>;
+    /// Completes when an established connection is no longer wanted.
     fn connection_unwanted(&self) -> impl Future<Output = ()>;
-    /// A connection has ended, or did not come up.
+    /// A connection has ended or could not be established.
     fn connection_ended(&mut self) {}
 }
 
 pub struct DiscoveryClient<S> {
     pub address: SocketAddr,
-    /// Further addresses, as the configuration comes to name them.
+    /// New addresses of the service, from reloads of the configuration.
     pub address_changes: Receiver<SocketAddr>,
     pub clock: Clock,
     pub counters: Rc<Counters>,
@@ -68,7 +75,7 @@
                 self.counters.record_end(end);
                 let after = self.subscriber.last_event();
                 if end == ConnectionEnd::PeerDamaged || after > before && end != ConnectionEnd::Withdrawn {
-                    log::warn!("the bulletin's connection ended ({end:?}); asking again after {after}");
+                    log::warn!("discovery: connection ended ({end:?}); resubscribing after event {after}");
                 }
                 self.subscriber.connection_ended();
                 backoff = if healthy {
@@ -83,12 +90,12 @@
             if self.address != current {
                 backoff = RECONNECT_BACKOFF.start;
                 let after = self.subscriber.last_event();
-                log::info!("the bulletin is now followed at {}, after {after}", self.address);
+                log::info!("discovery: service now followed at {}, after event {after}", self.address);
             }
         }
     }
 
-    /// `healthy` becomes true with the first line that can be used.
+    /// Runs one connection to its end. `healthy` becomes true with the first accepted line.
     async fn read(&mut self, healthy: &mut bool) -> ConnectionEnd {
         let mut stream =
             match self.clock.timeout(CONNECT_TIMEOUT, Async::<TcpStream>::connect(self.address)).await {
@@ -105,7 +112,7 @@
         let (mut buffer, mut chunk, mut last_line_at) =
             (Vec::new(), vec![0; READ_CHUNK_BYTES], self.clock.now());
         loop {
-            // Guards against one that stands and sends a byte now and then, but nothing that can be used.
+            // Counted from the last complete line: a connection that only trickles bytes must time out, too.
             let idle_deadline = last_line_at + IDLE_TIMEOUT * (1 + buffer.len() / READ_CHUNK_BYTES) as f64;
             let read = async { Some(self.clock.timeout_at(idle_deadline, stream.read(&mut chunk)).await) };
             let unwanted = async {
@@ -124,7 +131,7 @@
             while let Some(end) = buffer[scanned.max(used)..].iter().position(|&b| b == b'\n') {
                 let end = scanned.max(used) + end;
                 if let Err(reason) = self.subscriber.on_line(&buffer[used..end]) {
-                    log::warn!("a line of the bulletin can't be used: {reason}");
+                    log::warn!("discovery: a line can't be used, reconnecting: {reason}");
                     return ConnectionEnd::PeerDamaged;
                 }
                 *healthy = true;
@@ -139,9 +146,9 @@
     }
 }
 
-/// Passes events on to the dispatcher; a connection is always wanted.
+/// Delivers events to the dispatcher; a connection is always wanted.
 pub struct DispatcherSubscriber {
-    /// The number of the last event that was passed on.
+    /// The number of the last event that was delivered.
     pub last_event: u64,
     pub names: Names,
     pub counters: Rc<Counters>,
@@ -163,8 +170,9 @@
         if line.trim_ascii().is_empty() {
             return Ok(());
         }
-        let value: serde_json::Value = serde_json::from_slice(line).map_err(|e| format!("not JSON: {e}"))?;
-        let gap = |number| format!("number {number} after {}", self.last_event);
+        let value: serde_json::Value =
+            serde_json::from_slice(line).map_err(|e| format!("not valid JSON: {e}"))?;
+        let gap = |number| format!("gap in the event numbers: {number} after {}", self.last_event);
         if let Some(number) = value.as_u64() {
             return if number > self.last_event { Err(gap(number)) } else { Ok(()) };
         }
@@ -176,7 +184,7 @@
             self.last_event = number;
             self.counters.add("bulletin events");
             if let Some(event) = event {
-                // It fails only when the dispatcher has ended, and with it the process.
+                // Fails only if the dispatcher has ended, and the process with it.
                 _ = self.dispatcher.try_send(Event::Discovery(event));
             }
         }
--- a/gateway/src/dispatch_api.rs
+++ b/gateway/src/dispatch_api.rs
@@ -1,6 +1,8 @@
-//! Where fronts and carriers meet the dispatcher: what a txn asks, whom it is answered to, and how a member is reached.
-//! Fronts decode into `Event`s and carry out what a `Caller` is told; carriers run hops. Must never know a protocol,
-//! nor decide: the dispatcher and all fronts and carriers depend on this, and none of them on another.
+//! Interface between the dispatcher and its frontends and transports. Frontends decode requests into `Event`s and implement
+//! `Responder` for the answers; transports run hops.
+//!
+//! Invariant: this module knows no protocol and takes no decision. The dispatcher, the frontends and the transports depend
+//! on it and not on each other.
 
 use crate::buffers::Body;
 use crate::config::DiscoveryEvent;
@@ -12,47 +14,50 @@
 use std::pin::Pin;
 use std::rc::Rc;
 
-/// What a txn asks for, as its front read it.
+/// A txn's request as decoded by its frontend.
 #[derive(Debug, Default, PartialEq)]
 pub struct Request {
-    /// The client's own id, as it was sent and as a number.
+    /// The id that the client chose, as it was sent.
     pub request_id: String,
+    /// `request_id` as a number.
     pub request_number: u64,
-    /// The object, as it was sent and as a number.
+    /// The object's id, as it was sent.
     pub object_name: String,
+    /// `object_name` as a number.
     pub object: u64,
     pub part: u64,
     pub group: u8,
     pub timeout_ms: u32,
-    /// The size in KB.
     pub size_kb: Option<f64>,
-    /// The tag of a copy that the client holds.
+    /// The entity tag of the copy that the client holds.
     pub client_etag: Option<String>,
-    /// The mark by which caches know a repeat of a keyed txn, as it was sent.
+    /// The key by which caches recognise a repeat of a keyed txn, as it was sent.
     pub idempotency_key: Option<String>,
     pub body: Vec<u8>,
-    /// The oldest copy that the asker takes, where it says so.
+    /// Maximum age of the copy that the requester accepts, if it sets one.
     pub max_age: Option<Span>,
-    /// The sites that it has crossed, oldest first.
+    /// The sites that the txn has crossed, oldest first.
     pub via: Vec<String>,
 }
 
-/// How a front is told what became of a txn; each is called once at most for an id.
+/// Receives the final answers of a frontend's requests. At most one method is called per message id.
 pub trait Responder {
-    /// Unique among all callers of the process.
+    /// Unique among all responders of the process.
     fn key(&self) -> u64;
-    /// Without a body the asker's own copy is the one. After `until` nobody waits for it.
+    /// The txn completed. Without a body the requester's own copy is current. After `deadline` the requester no longer
+    /// waits.
     fn serve(&self, id: u64, body: Option<Body>, deadline: Time);
-    /// Another try is harmless, and welcome after the span where one is given.
+    /// The txn did not run and may safely be retried, after the given span if there is one.
     fn reject(&self, id: u64, retry_after: Option<Span>);
-    /// What has run is not known.
+    /// Whether the txn ran is unknown.
     fn abort(&self, id: u64);
-    /// The request itself can't be used; it went nowhere.
+    /// The request is invalid and was not forwarded.
     fn invalid(&self, id: u64);
+    /// Answers a health check.
     fn ready(&self, id: u64, ready: bool);
 }
 
-/// Gives each caller its own key, whatever its front.
+/// Allocates responder keys for all frontends.
 #[derive(Clone, Default)]
 pub struct ResponderKeys(Rc<Cell<u64>>);
 
@@ -88,7 +93,7 @@
         result: HopResult,
     },
     Discovery(DiscoveryEvent),
-    /// A sign of life apart from hops.
+    /// Evidence other than a hop that a member is alive.
     MemberAlive {
         member: MemberId,
     },
@@ -99,16 +104,16 @@
 /// One hop, as the module ordered it.
 pub struct HopRequest {
     pub member: MemberId,
-    /// Its first byte goes out by then, or none does.
+    /// The first byte is sent by this time, or the hop does not start.
     pub start_by: Time,
-    /// Set just before its first byte: from there on what was ordered can't be taken for never sent.
+    /// Set just before the first byte is sent: from then on the hop can't be reported as never sent.
     pub started: Rc<Cell<bool>>,
     pub deadline: Time,
-    /// When the txn's SLA time is over.
+    /// The end of the txn's SLA time.
     pub sla_deadline: Time,
     pub rule: Rc<str>,
     pub is_write: bool,
-    /// It must not run twice.
+    /// The txn must not run twice.
     pub unrepeatable: bool,
     pub request: Rc<Request>,
     pub fill: Option<Fill>,
@@ -117,12 +122,13 @@
 pub struct HopResult {
     pub end: ConnectionEnd,
     pub cache_status: Option<CacheStatus>,
+    /// The cache's own wait for the first byte of a fill, as it reports it.
     pub first_byte_wait: Option<Span>,
     pub load_report: Option<Vec<u8>>,
     pub body: Option<Body>,
-    /// When it ended at the socket; `None` where no task reports it.
+    /// When the hop ended at the socket; `None` if no task ran it.
     pub finished_at: Option<Time>,
-    /// How long the hop waited for what the gateway itself lacked.
+    /// Time the hop spent waiting for this gateway's own resources.
     pub local_wait: Span,
 }
 
@@ -142,40 +148,40 @@
 
 pub type HopFuture = Pin<Box<dyn Future<Output = HopResult>>>;
 
-/// Work beside that of the dispatcher.
+/// A component that runs beside the dispatcher and takes part in its shutdown.
 pub trait Service {
-    /// The process is told to stop.
+    /// A shutdown of the process has begun; requests are still accepted.
     fn shutdown(&self);
-    /// Nothing more comes: what is owed goes out, and then connections end.
+    /// Stop accepting requests: write pending answers, then close all connections.
     fn close(&self) {}
     fn is_closed(&self) -> bool {
         true
     }
-    /// How much is kept, by name.
+    /// Table sizes by name.
     fn table_sizes(&self) -> Vec<(&'static str, usize)>;
 }
 
-/// A way to some members other than a connection of HTTP to each.
+/// Carries hops to members that are not reached by HTTP connections.
 pub trait Transport: Service {
-    /// Members that are reached by it.
+    /// Whether this transport carries the hops to a member.
     fn reaches(&self, member: &MemberId) -> bool;
-    /// Runs one hop to its end, which comes by the job's time at the latest; dropped, the hop is given up.
+    /// Runs one hop to its end, at the latest at its deadline. Dropping the future cancels the hop.
     fn hop(&self, request: HopRequest) -> HopFuture;
 }
 
-/// Given back when it is dropped.
+/// Permission to use a shared resource; released on drop.
 pub trait Permit {
-    /// What it was given for is done, and need not be done again by another gateway.
+    /// The work is done, and another gateway need not repeat it.
     fn complete(&mut self);
 }
 
 pub type PermitFuture = Pin<Box<dyn Future<Output = Option<Box<dyn Permit>>>>>;
 
-/// Bounds that hold for several gateways together. It only narrows what the module has ordered: a hop for which there
-/// is no permit in time ends as never sent.
+/// Limits shared by several gateways. They only restrict what the module has ordered: a hop that gets no permit in time
+/// ends as never sent.
 pub trait SharedLimits {
-    /// For one connection to a member; `None`: there is none in time.
+    /// Permit for one connection to a member; resolves to `None` if there is none by the deadline.
     fn acquire_connection(&self, member: &MemberId, deadline: Time) -> PermitFuture;
-    /// For a fill of the object through a member; `None` at once where fills are not counted now.
+    /// Permit for a fill of the object through a member; `None` if fills are not limited at present.
     fn acquire_fill(&self, request: &HopRequest) -> Option<PermitFuture>;
 }
--- a/gateway/src/dispatcher.rs
+++ b/gateway/src/dispatcher.rs
@@ -1,7 +1,8 @@
-//! The one task that owns the module, and the table of open txns. Everything reaches it through one queue; it calls
-//! the module's inputs, pulls its decisions until there is none, carries them out and sleeps until the module's
-//! next time. Must never decide in the module's place, give a txn two final answers, or let it have none: what
-//! still comes for one that has ended is told to the module and goes no further.
+//! The task that owns the decision module and the table of open txns. All events reach it through one queue; it feeds
+//! them to the module, executes the module's decisions until none is left and sleeps until the module's next wake-up.
+//!
+//! Invariants: every txn gets exactly one final answer; a hop result that arrives after its txn was answered is
+//! reported to the module and never to the client; the dispatcher takes no routing decision of its own.
 
 use crate::Tasks;
 use crate::caches::Caches;
@@ -21,23 +22,25 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// After SIGTERM: requests still come for this long; all is answered this long before the longest wait and the
-/// time given on top of it are over; bytes written get this long to leave.
+/// Requests are still accepted for this long after SIGTERM: clients learn of the shutdown only with delay.
 const SHUTDOWN_ACCEPT_PERIOD: Span = Span::from_millis(700);
+/// Open txns are aborted this long before the shutdown deadline, so that their answers can still be written.
 const SHUTDOWN_ABORT_MARGIN: Span = Span::from_millis(250);
+/// Time for written bytes to leave the socket buffers before the process exits. Also the polling interval for
+/// completion during a shutdown.
 const FLUSH_PERIOD: Span = Span::from_millis(50);
-/// The longest wait that a planned restart allows for.
+/// Upper bound of the time that a planned restart waits for open txns, beside `SHUTDOWN_ACCEPT_PERIOD`.
 const MAX_SHUTDOWN_WAIT: Span = Span::from_millis(3_000);
-/// A client that leaves this shortly before its time is over has waited for it.
+/// A client that disconnects or cancels this close to a hop's deadline counts as having waited for it: the hop timed out.
 const TIMEOUT_TOLERANCE: Span = Span::from_millis(20);
 
-/// What the dispatcher knows of a remap rule.
+/// The attributes of a remap rule that the dispatcher needs.
 #[derive(Clone)]
 struct Rule {
     name: Rc<str>,
     is_write: bool,
     unrepeatable: bool,
-    /// The SLA time, and by what multiple of the txn's own sending time it grows.
+    /// The SLA time, and the multiple of the txn's transfer time that is added to it.
     sla: (Span, f64),
 }
 
@@ -46,7 +49,6 @@
     message_id: u64,
     rule: usize,
     request: Rc<Request>,
-    /// When its SLA time is over.
     sla_deadline: Time,
     deadline: Time,
     hop_count: u32,
@@ -67,26 +69,27 @@
     tasks: Tasks,
     caches: Rc<Caches>,
     transports: Vec<Rc<dyn Transport>>,
-    /// What is told of a stop and asked for its sizes.
+    /// Notified of a shutdown and queried for table sizes.
     services: Vec<Rc<dyn Service>>,
-    /// Members that carriers reach, listed beside those of the bulletin.
+    /// Members reached through transports; they are added to every snapshot of the discovery service.
     transport_members: Vec<ListedMember>,
     counters: Rc<Counters>,
     queue: (Sender<Event>, Receiver<Event>),
-    /// Ends that no task reports: of hops never begun, or taken back.
+    /// Results of hops that no task reports: never started, or cancelled.
     local_results: VecDeque<(TxnId, u32, ConnectionEnd)>,
     open_txns: BTreeMap<TxnId, OpenTxn>,
+    /// Open txns by responder key and message id.
     by_message: BTreeMap<(u64, u64), TxnId>,
-    /// Open txns by the clients' own ids.
+    /// Open txns by the request id that the client chose.
     by_request_number: BTreeSet<(u64, TxnId)>,
     active_hops: BTreeMap<(TxnId, u32), ActiveHop>,
     last_txn_id: TxnId,
     rules: Vec<Rule>,
-    /// KB a second of one transfer to a client; zero where it is not told.
+    /// Transfer rate to one client; zero if it is not configured.
     client_rate_kb_per_s: f64,
     max_hops: u32,
     max_open_txns: usize,
-    /// Bytes of the bodies of open writes, and their bound.
+    /// Body bytes of all open writes, at most `max_held_write_bytes`.
     held_write_bytes: usize,
     max_held_write_bytes: usize,
     max_time_limit: Span,
@@ -102,23 +105,23 @@
         counters: Rc<Counters>,
         queue: (Sender<Event>, Receiver<Event>),
     ) -> Dispatcher {
-        let set = config.settings;
+        let settings = config.settings;
         let rule = |(name, r): (&String, &RemapRule)| Rule {
             name: Rc::from(name.as_str()),
             is_write: r.is_write,
             unrepeatable: r.effect != Effect::Repeatable,
             sla: (r.sla, r.sla_size_factor),
         };
-        let rules = config.names.rules.iter().zip(&set.rules).map(rule);
+        let rules = config.names.rules.iter().zip(&settings.rules).map(rule);
         let mut dispatcher = Dispatcher {
             rules: rules.collect(),
-            client_rate_kb_per_s: set.client_rate,
-            max_hops: set.max_hops,
+            client_rate_kb_per_s: settings.client_rate,
+            max_hops: settings.max_hops,
             max_open_txns: config.max_open_txns,
             held_write_bytes: 0,
             max_held_write_bytes: config.memory_limit / 8,
             max_time_limit: config.max_time_limit,
-            gateway: Gateway::new(set, config.seed, clock.now()),
+            gateway: Gateway::new(settings, config.seed, clock.now()),
             clock,
             tasks,
             caches,
@@ -141,7 +144,7 @@
         dispatcher
     }
 
-    /// Adds a way to members of its own; they stay listed whatever the bulletin says.
+    /// Adds a transport and the members that it reaches. Snapshots of the discovery service do not remove them.
     pub fn add_transport(&mut self, transport: Rc<dyn Transport>, members: Vec<ListedMember>) {
         self.services.push(transport.clone());
         self.transports.push(transport);
@@ -153,7 +156,8 @@
         self.services.push(service);
     }
 
-    /// Ends some time after `Stop`, with all answered.
+    /// Runs until a shutdown is complete: every txn is answered and every service is closed, or the shutdown deadline
+    /// has passed.
     pub async fn run(mut self) {
         loop {
             let now = self.clock.now();
@@ -163,16 +167,16 @@
                 if now + SHUTDOWN_ABORT_MARGIN >= end {
                     self.abort_all(now);
                 }
-                // Requests cross the close of the connection they come on, and what crosses is still served: the
-                // work goes on until every connection has ended.
+                // A request may be in flight while its connection is being closed. It is still served, so the
+                // dispatcher keeps running until every connection has ended.
                 if now - at >= SHUTDOWN_ACCEPT_PERIOD {
-                    self.services.iter().for_each(|b| b.close());
+                    self.services.iter().for_each(|service| service.close());
                 }
-                let quiet = self.open_txns.is_empty() && self.counters.unwritten_answers.get() == 0;
-                let quiet = quiet
+                let drained = self.open_txns.is_empty() && self.counters.unwritten_answers.get() == 0;
+                let drained = drained
                     && now - at >= SHUTDOWN_ACCEPT_PERIOD
-                    && self.services.iter().all(|b| b.is_closed());
-                if quiet || now + FLUSH_PERIOD >= end {
+                    && self.services.iter().all(|service| service.is_closed());
+                if drained || now + FLUSH_PERIOD >= end {
                     self.clock.sleep(FLUSH_PERIOD).await;
                     return self.dump_counters();
                 }
@@ -209,12 +213,12 @@
             Event::Shutdown => {
                 log::info!("told to stop, {} txns open", self.open_txns.len());
                 self.shutdown_at.get_or_insert(self.clock.now());
-                self.services.iter().for_each(|b| b.shutdown());
+                self.services.iter().for_each(|service| service.shutdown());
             }
         }
     }
 
-    /// Writes the counters, with the size of every table that could grow with the day.
+    /// Logs the counters and the size of every table that could grow without bound over a long run.
     fn dump_counters(&self) {
         let own = [
             ("txns open", self.open_txns.len()),
@@ -223,7 +227,7 @@
             ("hops out", self.active_hops.len()),
             ("bytes of writes", self.held_write_bytes),
         ];
-        let services = self.services.iter().flat_map(|b| b.table_sizes());
+        let services = self.services.iter().flat_map(|service| service.table_sizes());
         let all = own.into_iter().chain(self.caches.table_sizes()).chain(services);
         let all = all.chain(self.gateway.table_sizes(self.clock.now()));
         *self.counters.table_sizes.borrow_mut() = all.collect();
@@ -239,15 +243,15 @@
                 }
                 let changed = self.caches.update_members(snapshot, &list);
                 self.gateway.update_members(now, snapshot, list.into_iter().map(|l| l.member).collect());
-                let by = |m: &MemberId| changed.contains(m);
+                let is_changed = |m: &MemberId| changed.contains(m);
                 self.cancel_waiting_hops(|_, active| {
-                    by(&active.member) || active.source.as_ref().is_some_and(by)
+                    is_changed(&active.member) || active.source.as_ref().is_some_and(is_changed)
                 });
             }
             DiscoveryEvent::Purge { names, issued_ms } => {
-                // The end of its millisecond, lest a copy made in the same one passes for newer.
-                let at = Time::from_micros(issued_ms.saturating_add(1).saturating_mul(1_000));
-                self.gateway.purge(now, names.clone(), now - at);
+                // Rounded up to the end of the millisecond: a copy made within it must not pass for newer.
+                let issued_at = Time::from_micros(issued_ms.saturating_add(1).saturating_mul(1_000));
+                self.gateway.purge(now, names.clone(), now - issued_at);
                 self.cancel_waiting_hops(|request, _| {
                     names.contains(object_hash(request.object))
                         || names.contains(group_hash(request.group.into()))
@@ -256,13 +260,14 @@
         }
     }
 
-    /// Takes back hops that wait for a descriptor, a connection or a permit and that news has changed: what was true
-    /// when a hop was ordered has to be true when its first byte is written.
-    fn cancel_waiting_hops(&mut self, hit: impl Fn(&Request, &ActiveHop) -> bool) {
+    /// Cancels hops that still wait for a descriptor, a connection or a permit and that `hit` selects. What the module
+    /// assumed when it ordered a hop must still hold when the hop's first byte is written.
+    fn cancel_waiting_hops(&mut self, is_affected: impl Fn(&Request, &ActiveHop) -> bool) {
         let open = |txn| self.open_txns.get(&txn).map(|open: &OpenTxn| &*open.request);
-        let waits = self.active_hops.iter().filter(|(_, active)| !active.started.get());
-        let hits = waits.filter(|(key, active)| open(key.0).is_some_and(|request| hit(request, active)));
-        for (txn, hop) in hits.map(|(key, _)| *key).collect::<Vec<_>>() {
+        let waiting = self.active_hops.iter().filter(|(_, active)| !active.started.get());
+        let affected =
+            waiting.filter(|(key, active)| open(key.0).is_some_and(|request| is_affected(request, active)));
+        for (txn, hop) in affected.map(|(key, _)| *key).collect::<Vec<_>>() {
             self.counters.add("waiting hops overtaken by news");
             self.cancel_hop(txn, hop, ConnectionEnd::Overtaken);
         }
@@ -280,17 +285,17 @@
             self.counters.add("unknown methods");
             return responder.invalid(message_id);
         };
-        let write = self.rules[rule].is_write;
-        // Guards caches from two txns under one id, and from bodies that nobody reads.
-        let same =
+        let is_write = self.rules[rule].is_write;
+        // Caches must never see two objects under one request id, nor a read with a body, which they would not consume.
+        let same_id =
             self.by_request_number.range((request.request_number, 0)..=(request.request_number, TxnId::MAX));
-        let other =
-            same.map(|(_, txn)| &self.open_txns[txn].request).any(|open| open.object != request.object);
-        if other || !write && !request.body.is_empty() {
+        let names_other_object =
+            same_id.map(|(_, txn)| &self.open_txns[txn].request).any(|open| open.object != request.object);
+        if names_other_object || !is_write && !request.body.is_empty() {
             self.counters.add("requests at odds with their method or id");
             return responder.invalid(message_id);
         }
-        // The bounds of the process itself: nothing has run, so that another try is harmless.
+        // Limits of this process. No hop was started, so the client may safely retry.
         if self.open_txns.len() >= self.max_open_txns
             || self.held_write_bytes + request.body.len() > self.max_held_write_bytes
         {
@@ -299,17 +304,17 @@
         }
         self.last_txn_id += 1;
         let (txn, now) = (self.last_txn_id, self.clock.now());
-        // Nobody waits longer than the settings say: what claims to would only stay in the tables.
+        // Capped by the settings: a longer timeout would only keep the entry in the tables.
         let deadline = received_at + Span::from_millis(request.timeout_ms.into()).min(self.max_time_limit);
         let (object, group, part, size) =
             (request.object, request.group.into(), request.part, request.size_kb);
         let (time_left, max_age) = (deadline - now, request.max_age);
-        let sending = request
+        let transfer_s = request
             .size_kb
             .filter(|_| self.client_rate_kb_per_s > 0.0)
             .map_or(0.0, |kb| kb / self.client_rate_kb_per_s);
         let (sla, size_factor) = self.rules[rule].sla;
-        let sla_deadline = received_at + sla + Span::from_secs_f64(sending * size_factor);
+        let sla_deadline = received_at + sla + Span::from_secs_f64(transfer_s * size_factor);
         self.held_write_bytes += request.body.len();
         self.by_message.insert((responder.key(), message_id), txn);
         self.by_request_number.insert((request.request_number, txn));
@@ -325,13 +330,11 @@
                 hop_count: 0,
             },
         );
-        self.gateway.submit(
-            now,
-            Txn { id: txn, rule, object, group, part, is_write: write, size, time_left, max_age },
-        );
+        self.gateway
+            .submit(now, Txn { id: txn, rule, object, group, part, is_write, size, time_left, max_age });
     }
 
-    /// Takes a txn off the table: from here on it can't be answered again.
+    /// Removes a txn from all tables. Afterwards it can't be answered again.
     fn remove_txn(&mut self, txn: TxnId) -> Option<OpenTxn> {
         let open = self.open_txns.remove(&txn)?;
         self.by_message.remove(&(open.responder.key(), open.message_id));
@@ -340,16 +343,16 @@
         Some(open)
     }
 
-    /// Closes a txn that is not served, and counts and traces how it ended.
+    /// Removes a txn that is not served, and counts and traces how it ended.
     fn finish_unserved(&mut self, now: Time, txn: TxnId, counted: &'static str) -> Option<OpenTxn> {
         let open = self.remove_txn(txn)?;
         self.counters.add(counted);
         let left = (open.deadline - now).as_micros();
-        log::trace!("{counted}: txn {txn} after {} hops, {left} us left", open.hop_count);
+        log::trace!("{counted}: txn {txn} after {} hops, {left} us before its deadline", open.hop_count);
         Some(open)
     }
 
-    /// The client does not wait any more: what is out for it is given up.
+    /// The client no longer waits for the answer: removes the txn and cancels its hops.
     fn cancel_txn(&mut self, key: (u64, u64)) {
         let Some(txn) = self.by_message.get(&key).copied() else { return };
         self.remove_txn(txn);
@@ -361,18 +364,22 @@
             .range((txn, 0)..=(txn, u32::MAX))
             .map(|(key, hop)| (key.1, hop.deadline))
             .collect();
-        for (hop, until) in hops {
+        for (hop, deadline) in hops {
             self.cancel_hop(
                 txn,
                 hop,
-                if now + TIMEOUT_TOLERANCE >= until { ConnectionEnd::Late } else { ConnectionEnd::Withdrawn },
+                if now + TIMEOUT_TOLERANCE >= deadline {
+                    ConnectionEnd::Late
+                } else {
+                    ConnectionEnd::Withdrawn
+                },
             );
         }
     }
 
     fn cancel_hop(&mut self, txn: TxnId, hop: u32, end: ConnectionEnd) {
         let Some(active) = self.active_hops.get_mut(&(txn, hop)) else { return };
-        // One that has ended has its outcome in the queue already.
+        // The result of a finished task is already in the queue.
         if let Some(task) = active.task.take_if(|task| !task.is_finished()) {
             drop(task);
             self.counters.record_end(end);
@@ -392,11 +399,12 @@
         }
         let link_load = result.load_report.as_deref().and_then(|report| http::load_value(report, "x1"));
         let first_byte = result.first_byte_wait.filter(|waited| *waited > Span::ZERO);
-        // At the socket, and without the gateway's own waits: neither is the member's slowness.
+        // Measured at the socket and without waits for this gateway's own resources, which are not the member's latency.
         let duration = result.finished_at.unwrap_or(now).back(result.local_wait) - active.ordered_at;
         let (answered, cache_status) = (!self.open_txns.contains_key(&txn), result.cache_status);
         log::trace!(
-            "txn {txn} hop {hop} at {} finished: end {:?}, cache status {cache_status:?}, {} us, link load {link_load:?}, txn answered {answered}",
+            "txn {txn} hop {hop} at member {} ended {:?} after {} us: cache status {cache_status:?}, \
+             link load {link_load:?}, txn answered {answered}",
             active.member,
             result.end,
             duration.as_micros()
@@ -424,15 +432,15 @@
                 self.start_hop(now, txn, member, fill, [start_by, deadline]);
             }
             Decision::Cancel { txn, hop } => self.cancel_hop(txn, hop, ConnectionEnd::Withdrawn),
-            Decision::Reject { txn, retry_after: come_back } => {
+            Decision::Reject { txn, retry_after } => {
                 let Some(open) = self.finish_unserved(now, txn, "txns rejected") else { return };
-                open.responder.reject(open.message_id, come_back);
+                open.responder.reject(open.message_id, retry_after);
             }
             Decision::Abort { txn } => {
                 let Some(open) = self.finish_unserved(now, txn, "txns aborted") else { return };
                 open.responder.abort(open.message_id);
             }
-            // The bulletin is followed from the start.
+            // The subscription to the discovery service exists from the start.
             Decision::Subscribe => {}
         }
     }
@@ -451,7 +459,7 @@
         let deadline = limit.min(open.deadline);
         let Rule { name: rule, is_write, unrepeatable, .. } = self.rules[open.rule].clone();
         log::trace!(
-            "txn {txn} hop {hop} to {member} by {rule}, filled from {:?}",
+            "txn {txn} hop {hop} to member {member}: rule {rule}, fill source {:?}",
             fill.as_ref().map(|f| &*f.source)
         );
         let sla_deadline = open.sla_deadline;
@@ -477,7 +485,7 @@
             task =
                 Some(match self.transports.iter().find(|transport| transport.reaches(&hop_request.member)) {
                     Some(transport) => {
-                        // What a carrier has taken over may cross at any time.
+                        // A transport may send the request at any time after this call.
                         started.set(true);
                         self.spawn_hop(txn, hop, transport.hop(hop_request))
                     }
@@ -500,12 +508,12 @@
         let queue = self.queue.0.clone();
         self.tasks.spawn(async move {
             let result = running.await;
-            // It fails only when the dispatcher has ended, and with it the process.
+            // Fails only if the dispatcher has ended, and the process with it.
             _ = queue.try_send(Event::HopFinished { txn, hop, result });
         })
     }
 
-    /// The restart can't wait longer: what is still open gets an answer that promises nothing.
+    /// Aborts all open txns at the shutdown deadline: whether their hops ran is unknown.
     fn abort_all(&mut self, now: Time) {
         for txn in self.open_txns.keys().copied().collect::<Vec<_>>() {
             if let Some(open) = self.finish_unserved(now, txn, "txns aborted at the stop") {
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,4 +1,4 @@
-//! The gateway on sockets: everything round the decision module that talks to clients, caches and the bulletin.
+//! The gateway process around the decision module: connections to clients, caches and the discovery service.
 
 pub mod buffers;
 pub mod caches;
@@ -19,15 +19,15 @@
 
 use async_executor::LocalExecutor;
 
-/// The one thread's tasks; it lives as long as the process.
+/// Executor of the process's only thread.
 pub type Tasks = &'static LocalExecutor<'static>;
 
-/// A whole number written in digits and nothing else.
+/// Parses an unsigned integer that consists of decimal digits only.
 pub fn digits<T: std::str::FromStr>(text: &[u8]) -> Option<T> {
     text.iter().all(u8::is_ascii_digit).then(|| number(text))?
 }
 
-/// A number as a field of a peer's message holds it.
+/// Parses a number from a field of a peer's message; surrounding whitespace is ignored.
 pub fn number<T: std::str::FromStr>(text: &[u8]) -> Option<T> {
     std::str::from_utf8(text).ok()?.trim().parse().ok()
 }
--- a/gateway/src/logger.rs
+++ b/gateway/src/logger.rs
@@ -1,5 +1,5 @@
-//! Writes log lines to standard error, one write a line. Must never hold a line back or take part in the work; at
-//! the default level there is no line a txn. `KELPCART_LOG` names another level.
+//! Logger to standard error, with one unbuffered write per line. `KELPCART_LOG` sets the level; at the default level
+//! (`info`) there are no per-txn lines.
 
 use log::{LevelFilter, Log, Metadata, Record};
 use std::io::Write;
@@ -13,7 +13,7 @@
 
     fn log(&self, record: &Record) {
         let line = format!("{} {}\n", record.level().as_str().to_ascii_lowercase(), record.args());
-        // With standard error gone there is nobody to tell.
+        // A failed write to standard error can't be reported anywhere.
         _ = std::io::stderr().write_all(line.as_bytes());
     }
 
@@ -23,6 +23,6 @@
 pub fn start() {
     let level = std::env::var("KELPCART_LOG").ok().and_then(|level| level.parse().ok());
     log::set_max_level(level.unwrap_or(LevelFilter::Info));
-    // A second start changes nothing.
+    // Fails only if a logger is already set.
     _ = log::set_logger(&StderrLogger);
 }
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -1,6 +1,9 @@
-//! Starts one gateway: reads the environment and the configuration, listens, runs until SIGTERM and ends when all
-//! is answered; SIGHUP has the bulletin's address read again. Must never listen before the configuration is whole
-//! and signals are heeded, nor elsewhere than it is told.
+//! Entry point of the gateway: reads the environment and the configuration, listens, and runs until SIGTERM or SIGINT, then
+//! exits once all txns are answered. SIGHUP reloads the discovery service's address and the fleet and copies files; SIGUSR1
+//! logs the counters.
+//!
+//! Invariants: the listener is opened only after signal handlers are installed and the configuration is valid, and only at
+//! the configured address.
 
 use async_executor::LocalExecutor;
 use async_io::Async;
@@ -25,7 +28,8 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 
-/// Descriptors that neither clients nor hops may take: the listener, the bulletin, signals, standard streams.
+/// Descriptors reserved for the listener, the discovery connection, signals and the standard streams; neither clients nor
+/// hops may use them.
 const RESERVED_DESCRIPTORS: usize = 16;
 
 fn main() -> ExitCode {
@@ -40,15 +44,15 @@
 }
 
 fn start() -> Result<(), String> {
-    // Before all else: what comes while the configuration is read must not end the process by its default.
+    // Installed first: the default action of a signal that arrives while the configuration is read would end the process.
     let signals = Signals::new([Signal::Term, Signal::Int, Signal::Usr1, Signal::Hup]);
-    let signals = signals.map_err(|e| format!("signals: {e}"))?;
+    let signals = signals.map_err(|e| format!("cannot install signal handlers: {e}"))?;
     let tasks: Tasks = Box::leak(Box::new(LocalExecutor::new()));
     let variable = |name: &str| env::var(name).ok();
     if let Some(path) = variable("KELPCART_FLEET") {
         let read_fleet_file = || read(&path, |text| FleetFile::read(text).map_err(|e| e.to_string()));
         let first = read_fleet_file()?;
-        // Set aside for control: whatever else is configured for this machine, it takes no txns.
+        // A control machine serves no txns, whatever else is configured for it.
         if first.feed.as_ref().is_some_and(|f| f.control.is_some()) {
             let control = feed::control(tasks, first, signals, read_fleet_file);
             return async_io::block_on(tasks.run(control)).map_err(|why| format!("{path}: {why}"));
@@ -57,21 +61,22 @@
     let path = env::var("NODE_CONFIG").map_err(|_| "NODE_CONFIG is not set")?;
     let mut config = read(&path, Config::read)?;
     if let Ok(listen) = env::var("NODE_LISTEN") {
-        config.listen = listen.parse().map_err(|_| "NODE_LISTEN is not an address")?;
+        config.listen = listen.parse().map_err(|_| "NODE_LISTEN is not a socket address")?;
     }
     let listener = Async::<TcpListener>::bind(config.listen);
-    let listener = listener.map_err(|e| format!("{}: {e}", config.listen))?;
+    let listener = listener.map_err(|e| format!("cannot listen on {}: {e}", config.listen))?;
     let (sites, fleet) = (variable("KELPCART_SITES"), variable("KELPCART_FLEET"));
     let files = Files { sites, fleet, copies: variable("KELPCART_COPIES") };
     if files.copies.is_some() && files.sites.is_none() {
         return Err(
-            "KELPCART_COPIES: copies are kept of what other sites send, and KELPCART_SITES names none".into(),
+            "KELPCART_COPIES is set, but it needs KELPCART_SITES: copies are kept of txns from other sites"
+                .into(),
         );
     }
     async_io::block_on(tasks.run(run(tasks, &path, files, config, listener, signals)))
 }
 
-/// What the environment names beside the configuration.
+/// Paths of the optional configuration files, from the environment.
 struct Files {
     sites: Option<String>,
     fleet: Option<String>,
@@ -93,7 +98,7 @@
 ) -> Result<(), String> {
     let (clock, counters) = (Clock::start(), Rc::new(Counters::default()));
     let (dispatcher, events) = async_channel::unbounded();
-    // Clients hold a third of the descriptors at most; some of theirs may still be closing.
+    // Clients get a third of the descriptors, and a margin for connections that are still closing.
     let max_clients = config.descriptor_limit / 3 + RESERVED_DESCRIPTORS / 2;
     let max_hop_connections =
         config.descriptor_limit.saturating_sub(max_clients + RESERVED_DESCRIPTORS).max(1);
@@ -194,7 +199,9 @@
                 Ok(Signal::Hup) => {
                     match read(path, config::read_discovery_address) {
                         Ok(address) => _ = address_changed.try_send(address),
-                        Err(reason) => log::warn!("{reason}; the bulletin stays where it was"),
+                        Err(reason) => log::warn!(
+                            "reload failed: {reason}; the discovery service's address stays where it was"
+                        ),
                     }
                     let copies = files.copies.as_ref().map(|of| read(of, unparsed));
                     rekey_target.iter().for_each(|between| between.reread(copies.clone()));
@@ -203,7 +210,7 @@
                     }
                 }
                 Ok(_) => _ = dispatcher.send(Event::Shutdown).await,
-                Err(e) => log::warn!("signals: {e}"),
+                Err(e) => log::warn!("cannot read a signal, ignored: {e}"),
             }
         }
         future::pending().await
--- a/gateway/src/rpc.rs
+++ b/gateway/src/rpc.rs
@@ -1,23 +1,25 @@
-//! Reads and writes MessagePack-RPC, without I/O. Must never panic on what a client sends, nor hold more than one
-//! frame of the bounded length; what the frames mean to the gateway is decided elsewhere.
+//! Codec for MessagePack-RPC, without I/O. How the gateway reacts to a message is decided by the caller.
+//!
+//! Invariants: no input of a client causes a panic; at most one frame of `MAX_FRAME_BYTES` has to be buffered.
 
 use crate::dispatch_api::Request;
 use crate::{digits, number};
 
-/// A body of 48,000 bytes with its fields fits; more is no request.
+/// Fits a body of `MAX_BODY_BYTES` with all fields; a longer frame is no valid request.
 pub const MAX_FRAME_BYTES: usize = 64 * 1024;
-/// A write's body.
+/// Largest body of a write.
 const MAX_BODY_BYTES: usize = 48_000;
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 256;
-/// Values in a frame and their nesting.
+/// Most values in a frame.
 const MAX_VALUES: usize = 256;
+/// Deepest nesting of values in a frame.
 const MAX_DEPTH: usize = 6;
 
 #[derive(Debug, PartialEq, Eq)]
 pub enum DecodeError {
-    /// The bytes are no MessagePack, or more than a frame may hold: nothing after them can be trusted.
+    /// Not MessagePack, or beyond the limits of a frame: the position of the next frame is unknown.
     Malformed { id: Option<u64> },
-    /// A whole message, but none that is known here.
+    /// A complete frame that holds no valid message.
     Invalid { id: Option<u64>, reason: &'static str },
 }
 
@@ -48,7 +50,7 @@
 }
 
 enum ReadError {
-    /// The bytes so far are good, and not enough.
+    /// Valid so far, but more bytes are needed.
     Incomplete,
     Malformed,
 }
@@ -110,7 +112,7 @@
             0xd0..=0xd3 => {
                 let n = 1 << (tag - 0xd0);
                 let bits = self.read_uint(n)?;
-                // A negative number is none that is known here.
+                // No field of the protocol takes a negative number.
                 Ok(if bits >> (n * 8 - 1) == 0 { Value::Int(bits) } else { Value::Other })
             }
             0xd4..=0xd8 => self.skip_other(1 + (1 << (tag - 0xd4))),
@@ -147,20 +149,20 @@
     }
 }
 
-/// The message at the start of `bytes` and its length; `None` while it is not whole.
+/// Decodes the message at the start of `bytes` and returns it with its length; `None` while it is incomplete.
 pub fn decode_message(bytes: &[u8]) -> Result<Option<(Message, usize)>, (DecodeError, usize)> {
     let mut reader = Reader { bytes, position: 0, value_count: 0 };
     match reader.read_value(0) {
         Ok(value) => match interpret(&value) {
             Ok(message) => Ok(Some((message, reader.position))),
-            Err(fault) => Err((fault, reader.position)),
+            Err(error) => Err((error, reader.position)),
         },
         Err(ReadError::Incomplete) if bytes.len() < MAX_FRAME_BYTES => Ok(None),
         Err(_) => Err((DecodeError::Malformed { id: request_id_of_prefix(bytes) }, bytes.len())),
     }
 }
 
-/// The id of a request of which only the start could be read.
+/// The message id of a request of which only the start can be decoded.
 fn request_id_of_prefix(bytes: &[u8]) -> Option<u64> {
     let rest = bytes.strip_prefix(&[0x94, 0x00])?;
     Reader { bytes: rest, position: 0, value_count: 0 }.read_value(0).ok()?.int()
@@ -168,22 +170,22 @@
 
 fn interpret(value: &Value) -> Result<Message, DecodeError> {
     let invalid = |id, reason| DecodeError::Invalid { id, reason };
-    let Value::Array(parts) = value else { return Err(invalid(None, "no message")) };
+    let Value::Array(parts) = value else { return Err(invalid(None, "frame is not an array")) };
     match parts.as_slice() {
         [Value::Int(0), Value::Int(id), method, Value::Array(params)] => {
             let method = method.bytes().and_then(|m| std::str::from_utf8(m).ok());
-            let method = method.ok_or(invalid(Some(*id), "no method"))?;
+            let method = method.ok_or(invalid(Some(*id), "method is not a string"))?;
             if method == "check" {
                 return Ok(Message::HealthCheck { id: *id });
             }
             let request = parse_request(params).map_err(|reason| invalid(Some(*id), reason))?;
             Ok(Message::Request { id: *id, method: method.to_owned(), request: Box::new(request) })
         }
-        [Value::Int(0), Value::Int(id), ..] => Err(invalid(Some(*id), "no request")),
+        [Value::Int(0), Value::Int(id), ..] => Err(invalid(Some(*id), "malformed request")),
         [Value::Int(2), method, Value::Array(ids)] if method.bytes() == Some(b"interrupt") => {
             Ok(Message::Cancel { ids: ids.iter().filter_map(Value::int).collect() })
         }
-        _ => Err(invalid(None, "no message")),
+        _ => Err(invalid(None, "unknown message type")),
     }
 }
 
@@ -192,47 +194,59 @@
         [Value::Map(fields)] => (fields, &[][..]),
         [Value::Map(fields), Value::Nil] => (fields, &[][..]),
         [Value::Map(fields), Value::Bytes(body)] => (fields, *body),
-        _ => return Err("no fields"),
+        _ => return Err("parameters are not a map and an optional body"),
     };
     let is_duplicate = |i: usize| fields[..i].iter().any(|(name, _)| name.bytes() == fields[i].0.bytes());
     if body.len() > MAX_BODY_BYTES || (0..fields.len()).any(is_duplicate) {
-        return Err("too long a body, or a field twice");
+        return Err("body too long, or duplicate field");
     }
     let mut request = Request { body: body.to_vec(), ..Request::default() };
     let (mut part, mut group, mut timeout) = (None, None, None);
     for (name, value) in fields {
         let (Some(name), Some(value)) = (name.bytes(), value.bytes()) else {
-            return Err("a field is no text");
+            return Err("field name or value is not a string");
         };
         match name {
-            b"req" => (request.request_id, request.request_number) = parse_hex_id(value).ok_or("no req")?,
-            b"subject" => (request.object_name, request.object) = parse_hex_id(value).ok_or("no subject")?,
+            b"req" => {
+                (request.request_id, request.request_number) =
+                    parse_hex_id(value).ok_or("req is not 16 hex digits")?
+            }
+            b"subject" => {
+                (request.object_name, request.object) =
+                    parse_hex_id(value).ok_or("subject is not 16 hex digits")?
+            }
             b"slice" => part = digits::<u32>(value),
             b"set" => group = digits(value),
             b"timeout" => timeout = digits(value).filter(|ms| *ms > 0),
-            b"need" => request.size_kb = Some(parse_size_kb(value).ok_or("no need")?),
-            b"seen" => request.client_etag = Some(parse_hex_id(value).ok_or("no seen")?.0),
-            b"opkey" => request.idempotency_key = Some(parse_idempotency_key(value).ok_or("no opkey")?),
-            b"resent" if value != b"1" => return Err("no resent"),
+            b"need" => {
+                request.size_kb = Some(parse_size_kb(value).ok_or("need is not a positive decimal number")?)
+            }
+            b"seen" => request.client_etag = Some(parse_hex_id(value).ok_or("seen is not 16 hex digits")?.0),
+            b"opkey" => {
+                request.idempotency_key = Some(
+                    parse_idempotency_key(value).ok_or("opkey is empty, too long or not printable ASCII")?,
+                )
+            }
+            b"resent" if value != b"1" => return Err("resent is not 1"),
             _ => {}
         }
     }
-    request.part = part.ok_or("no slice")?.into();
-    request.group = group.ok_or("no set")?;
-    request.timeout_ms = timeout.ok_or("no timeout")?;
+    request.part = part.ok_or("slice is missing or not a number")?.into();
+    request.group = group.ok_or("set is missing or not a number up to 255")?;
+    request.timeout_ms = timeout.ok_or("timeout is missing or not a positive number")?;
     if request.request_id.is_empty() || request.object_name.is_empty() {
-        return Err("no req or subject");
+        return Err("req or subject is missing");
     }
     Ok(request)
 }
 
-/// A size in KB: digits with a point at most, and more than nothing.
+/// A positive size in KB in plain decimal notation: no sign and no exponent.
 fn parse_size_kb(value: &[u8]) -> Option<f64> {
     let valid = value.iter().all(|b| b.is_ascii_digit() || *b == b'.');
     number(value).filter(|kb: &f64| valid && kb.is_finite() && *kb > 0.0)
 }
 
-/// A mark goes on unchanged in a head's line, which it must not break.
+/// Printable ASCII without spaces only: the key is copied unchanged into an HTTP header, which it must not break.
 fn parse_idempotency_key(value: &[u8]) -> Option<String> {
     let valid =
         (1..=MAX_IDEMPOTENCY_KEY_BYTES).contains(&value.len()) && value.iter().all(u8::is_ascii_graphic);
@@ -245,7 +259,7 @@
     valid.then(|| u64::from_str_radix(text, 16).ok()).flatten().map(|n| (text.to_owned(), n))
 }
 
-/// How an answer names what became of the request.
+/// Error name in the answer to a request that was not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorCode {
     Backoff,
@@ -297,7 +311,7 @@
     out
 }
 
-/// What stands before and after the body of a served answer.
+/// The bytes before and after the body in the answer to a served request.
 pub fn encode_served(id: u64, len: usize, not_modified: bool) -> (Vec<u8>, Vec<u8>) {
     let mut head = encode_response_start(id);
     head.extend_from_slice(&[0xc0, 0x92, 0xc6]);
--- a/gateway/tests/loopback.rs
+++ b/gateway/tests/loopback.rs
@@ -665,7 +665,9 @@
     let mut gateway = Gateway::start(&config(&members, bulletin.address, 64));
     let asked: Vec<String> = (0..5).map(|_| bulletin.asked()).collect();
     assert_eq!(asked, ["after 1\n", "after 2\n", "after 2\n", "after 2\n", "after 3\n"]);
-    for why in ["number 9 after 2", "endpoints is missing", "number 7 after 2", "not JSON"] {
+    for why in
+        ["event numbers: 9 after 2", "endpoints is missing", "event numbers: 7 after 2", "not valid JSON"]
+    {
         let line = (0..2).map(|_| gateway.line()).find(|l| l.contains("can't be used")).unwrap();
         assert!(line.contains(why), "{line}");
     }
