--- a/gateway/tests/closing.rs
+++ b/gateway/tests/closing.rs
@@ -1,6 +1,6 @@
-//! Where the end of a client's connection crosses what comes on it. The front runs in the test's own thread and the
-//! test plays the dispatcher, so that each case is forced by the order of events: what the test writes before it lets the
-//! front run again has come, and what it writes after it has seen the end of the connection has crossed it.
+//! Races between the close of a client connection and requests in flight on it. The frontend runs on the test's thread and
+//! the test plays the dispatcher, which makes each race deterministic: bytes written before the frontend runs again have
+//! arrived, and bytes written after the test has seen the end of the connection have crossed the close.
 
 use async_channel::Receiver;
 use async_executor::LocalExecutor;
@@ -18,7 +18,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// Longer than anything here may take: it ends a test that hangs and decides none.
+/// Ends a test that hangs; far longer than any step takes.
 const PATIENCE: Span = Span::from_millis(20_000);
 
 struct World {
@@ -29,7 +29,7 @@
     clock: Clock,
 }
 
-/// What the dispatcher is given of a txn.
+/// A request as the dispatcher receives it.
 struct Asked {
     caller: Rc<dyn Responder>,
     id: u64,
@@ -48,12 +48,12 @@
                     return Asked { caller: client, id, ask };
                 }
                 Event::Disconnected { .. } => {}
-                _ => panic!("something else came"),
+                _ => panic!("unexpected event"),
             }
         }
     }
 
-    /// Whether nothing but the ends of connections was passed on.
+    /// Whether no event but disconnects was forwarded.
     fn nothing_asked(&self) -> bool {
         std::iter::from_fn(|| self.events.try_recv().ok()).all(|e| matches!(e, Event::Disconnected { .. }))
     }
@@ -64,7 +64,7 @@
         asked.caller.serve(asked.id, Some(body), self.clock.now() + PATIENCE);
     }
 
-    /// Comes, asks once and is served.
+    /// A client that has been served once and is idle.
     async fn resting(&self) -> Client {
         let mut client = self.connect();
         client.ask(1);
@@ -74,7 +74,7 @@
         client
     }
 
-    /// Waits in the machine's queue until the front runs.
+    /// The connection stays in the kernel's accept queue until the frontend runs.
     fn connect(&self) -> Client {
         Client { stream: Async::new(TcpStream::connect(self.address).unwrap()).unwrap(), clock: self.clock }
     }
@@ -85,9 +85,9 @@
     clock: Clock,
 }
 
-/// The bytes of a served answer beside those of its body, for small ids.
+/// Length of a served answer without its body, for small ids.
 const SERVED: usize = 11;
-/// Those of an answer that promises nothing.
+/// Length of a `Lost` answer, for small ids.
 const LOST: usize = 11;
 
 fn request(id: u8, object: u8) -> Vec<u8> {
@@ -106,7 +106,7 @@
 }
 
 impl Client {
-    /// All of it is in the machine's hands when this returns.
+    /// The kernel has accepted all bytes when this returns.
     fn write(&self, bytes: &[u8]) {
         self.stream.get_ref().write_all(bytes).unwrap();
     }
@@ -122,7 +122,7 @@
         bytes
     }
 
-    /// The other side has ended the connection, and not by a reset.
+    /// Waits for the end of the connection; `true` if it is an orderly close and no reset.
     async fn is_ended(&mut self) -> bool {
         let mut byte = [0];
         let read = self.stream.read(&mut byte);
@@ -152,7 +152,7 @@
         shutdown_state: Rc::default(),
     };
     tasks.spawn(front.clone().accept(listener)).detach();
-    // In the queue of tasks with the front's: they take turns.
+    // On the same executor as the frontend's tasks, so that they take turns.
     let test = tasks.spawn(test(World { front, events, address, pool, clock }));
     block_on(tasks.run(test));
 }
@@ -164,10 +164,10 @@
                 self.clock.sleep(Span::from_millis(1)).await;
             }
         };
-        self.clock.timeout(PATIENCE, closed).await.expect("the front never closed");
+        self.clock.timeout(PATIENCE, closed).await.expect("the frontend never closed");
     }
 
-    /// Lets everything run that can.
+    /// Lets all runnable tasks run.
     async fn settle(&self) {
         for _ in 0..100 {
             future::yield_now().await;
@@ -194,7 +194,7 @@
 
 #[test]
 fn a_request_that_comes_between_the_word_and_the_last_look_is_served() {
-    // After one turn the front's reader has the word and has not looked yet.
+    // After one turn the frontend's reader has received the close request and has not yet checked its socket.
     for turns in 0..=1 {
         play(9, async move |world: World| {
             let client = world.resting().await;
@@ -216,18 +216,18 @@
         client.ask(2);
         let asked = world.asked().await;
         world.serve(&asked, 3_000).await;
-        // The answer is in the machine's hands and not read yet.
+        // The answer is in the kernel's buffers and not read yet.
         while world.front.counters.unwritten_answers.get() > 0 {
             world.settle().await;
         }
         world.front.close();
-        // Writes as long as the connection takes it: the first of these may come before the close.
+        // Until the frontend has shut down its write side: the next request crosses the close.
         while world.front.connected.borrow().values().any(|c| c.is_writable()) {
             future::yield_now().await;
         }
         client.ask(3);
         client.take(SERVED + 3_000).await;
-        assert!(client.is_ended().await, "a reset, which may take answers with it");
+        assert!(client.is_ended().await, "the connection was reset, which may destroy answers");
         client.write(&request(4, 4));
         client.leave();
         world.closed().await;
@@ -264,7 +264,7 @@
             assert!(client.is_ended().await);
         }
         world.closed().await;
-        // Nobody comes to a connection that would never be read.
+        // No client can connect any more: its connection would never be read.
         let refused = TcpStream::connect(world.address).unwrap_err();
         assert_eq!(refused.kind(), ErrorKind::ConnectionRefused);
     });
@@ -302,7 +302,7 @@
 fn damage_does_not_cut_the_answer_that_is_half_written() {
     play(9, async |world: World| {
         let mut client = world.connect();
-        // More than the machine takes for one that does not read.
+        // More than the kernel buffers for a client that does not read.
         let n = 30;
         (1..=n).for_each(|id| client.ask(id));
         for _ in 1..=n {
@@ -313,7 +313,7 @@
         client.ask(n + 1);
         let open = world.asked().await;
         client.write(&[0xc1; 8]);
-        // What is open is given up, with an answer that promises nothing.
+        // The open request is abandoned and answered with `Lost`.
         assert!(
             matches!(world.event().await, Event::Disconnected { responder: client } if client == open.caller.key())
         );
@@ -324,7 +324,7 @@
         let answer = client.take(LOST).await;
         assert_eq!(answer[..5], [0x94, 0x01, n + 1, 0x92, 0xa4], "{answer:?}");
         assert!(client.is_ended().await);
-        // Its own answer comes too late: a txn gets one.
+        // The dispatcher's own answer comes too late and is dropped: a txn gets one answer.
         open.caller.reject(open.id, None);
     });
 }
@@ -336,7 +336,7 @@
         client.ask(1);
         let asked = world.asked().await;
         client.write(&request(2, 2)[..20]);
-        // Until nothing more is taken from it.
+        // Until the message timeout has passed, after which no more input is accepted.
         world.clock.sleep(Span::from_millis(3_000)).await;
         client.leave();
         assert!(
--- a/gateway/tests/common/mod.rs
+++ b/gateway/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A client of a near gateway, and what a process holds, for tests of several processes. No test depends on how fast the machine is: all limits are long,
-//! and each step waits for its sign.
+//! A gateway client and process inspection for the tests with several processes. The tests do not depend on the machine's
+//! speed: all timeouts are long, and each step waits until its effect is visible.
 #![allow(dead_code, reason = "each test file uses its part")]
 
 use kelpcart_rig::caches::Site;
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Longer than anything here may take: it ends a test that hangs and decides none.
+/// Ends a test that hangs; far longer than any step takes.
 pub const PATIENCE: Duration = Duration::from_secs(25);
 
 pub fn len(_: u64) -> usize {
@@ -22,11 +22,11 @@
     Path::new(env!("CARGO_BIN_EXE_kelpcart"))
 }
 
-/// Waits for a line of a gateway's log; with how often it stands there.
+/// Waits until at least `times` lines of a gateway's log contain `what`.
 pub fn wait_for(gateway: &Gateway, what: &str, times: usize) {
     let began = Instant::now();
     while gateway.log().iter().filter(|l| l.contains(what)).count() < times {
-        assert!(began.elapsed() < PATIENCE, "{what} never came: {:#?}", gateway.log());
+        assert!(began.elapsed() < PATIENCE, "{what} did not appear in the log: {:#?}", gateway.log());
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -46,7 +46,7 @@
         Client { stream, held: Vec::new(), next: 0 }
     }
 
-    /// Its id.
+    /// Sends a request and returns its trace id.
     pub fn ask(&mut self, rule: &str, object: u64) -> u64 {
         self.next += 1;
         let trace = TRACES.fetch_add(1, Ordering::SeqCst);
@@ -81,8 +81,8 @@
         }
     }
 
-    /// A book that runs at the central store and is held there; its id. On a busy machine the link may be suspected for a
-    /// moment and the first tries rejected: those have not run.
+    /// Sends a write that runs at the central store and is held there; returns its trace id. On a busy machine the link may
+    /// briefly be suspected and the first attempts rejected: those have not run.
     pub fn held_book(&mut self, site: &Site) -> u64 {
         site.hold(true);
         let (began, before) = (Instant::now(), site.writes());
@@ -101,7 +101,7 @@
         }
     }
 
-    /// A txn that is tried until it is served: the link may still have to prove itself.
+    /// Retries a txn until it is served: the link may not be trusted yet.
     pub fn served(&mut self, rule: &str, object: u64) -> (u64, Answer) {
         let began = Instant::now();
         loop {
@@ -116,7 +116,7 @@
     }
 }
 
-/// What a process holds: its threads, and its sockets of UDP.
+/// The number of threads and of UDP sockets of a process.
 pub fn held(id: u32) -> (usize, usize) {
     let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap();
     let threads = status.lines().find_map(|l| l.strip_prefix("Threads:")?.trim().parse().ok()).unwrap();
--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -1,4 +1,5 @@
-//! The gateway as a process where two events cross, forced by their order: each step waits for the sign of the last.
+//! Race conditions of the gateway process, made deterministic: each step waits until the effect of the previous one is
+//! visible.
 
 mod stand_ins;
 
@@ -15,7 +16,7 @@
         move |_| {
             let mut hops = hops.lock().unwrap();
             *hops += 1;
-            // The first may have run.
+            // The first hop ends without a response: it may have run.
             if *hops == 1 { Reply::SendAndClose(Vec::new()) } else { ok(b"done") }
         }
     });
@@ -40,14 +41,14 @@
     assert_eq!(client.answer().body, b"done");
 }
 
-/// A gateway with a descriptor for one hop, and a txn of an edge cache that holds it: every other hop waits.
+/// A gateway with one descriptor for hops, which a txn at an edge cache occupies: every other hop waits.
 struct Full {
     gateway: Gateway,
     edge: Cache,
     release: std::sync::mpsc::Sender<()>,
     bulletin: Bulletin,
     client: Client,
-    /// The last event that the bulletin has told.
+    /// The number of the last discovery event.
     no: u64,
 }
 
@@ -58,7 +59,7 @@
         let members = [&[Member("e1", "box", edge.address)], more].concat();
         let mut all = config(&members, bulletin.address, 64);
         all["limits"]["sockets"] = json!(33);
-        // Longer than the test's patience: no wait ends by itself.
+        // Longer than the test's timeout, so that no wait ends by itself.
         all["settings"]["PolicyLimits"]["ConnectTimeoutUs"] = json!(60_000_000);
         edit(&mut all);
         let gateway = Gateway::start(&all);
@@ -73,7 +74,7 @@
         while self.gateway.now()[what] != n {}
     }
 
-    /// One more hop waits from here on.
+    /// Waits until one more hop is waiting for a descriptor.
     fn waits(&mut self) {
         self.wait_until("hops out", 2);
     }
@@ -92,7 +93,7 @@
     full.client.ask("commit", 2, 30_000, b"x");
     full.waits();
     full.tell(json!([endpoint(&member, "draining")]));
-    // It never ran and goes nowhere: the client may come again, and hears so at once.
+    // The write has not run and has no other member to go to: it is rejected at once, so that the client can retry.
     assert_eq!(full.client.answer().word.as_deref(), Some("Backoff"));
     full.release.send(()).unwrap();
     assert_eq!(full.client.answer().body, b"held");
@@ -153,7 +154,7 @@
     assert_eq!(full.client.answer().body, b"held");
     full.client.ask("commit", 2, 30_000, b"x");
     origin.came();
-    // Waits for the descriptor of the write's first hop, and holds it from that one's end on.
+    // Waits for the descriptor of the write's first hop and takes it when that hop ends.
     full.client.ask("segment", 3, 30_000, &[]);
     full.waits();
     cut.send(()).unwrap();
@@ -191,12 +192,12 @@
     bulletin.asked();
     let first = bulletin.last.lock().unwrap().as_ref().unwrap().try_clone().unwrap();
     let asked = || bulletin.told.recv_timeout(Duration::from_millis(50)).is_ok();
-    // One byte of an endless line now and then, for longer than anybody waits.
+    // Bytes of an endless line at intervals below the idle timeout, for longer than that timeout.
     let asks_again = (0..400).any(|_| {
         _ = (&first).write_all(b" ");
         asked()
     });
-    assert!(asks_again, "it hangs on one that says nothing");
+    assert!(asks_again, "the client stays on a connection that delivers no complete line");
 }
 
 #[test]
@@ -209,7 +210,7 @@
     bulletin.asked();
     bulletin.tell(&json!({"no": 2, "recall": {"lot": 200, "issued": 1}}).to_string());
     while gateway.now()["purges kept"] != 1 {}
-    // As it was told before: the protocol's numbers run on, also on a move, so that this is old.
+    // An event number that was already delivered: numbers also continue across address changes, so this one is ignored.
     bulletin.tell(&change(1, json!([endpoint(&member, "removed")])));
     bulletin.tell("1");
     bulletin.tell(&json!({"no": 3, "recall": {"lot": 201, "issued": 1}}).to_string());
@@ -227,7 +228,7 @@
     let mut all = config(&[Member("o", "origin", nobody())], down, 64);
     all["limits"]["sockets"] = json!(33);
     let gateway = Gateway::start_limited(&all);
-    // More than there are descriptors, while nobody answers at the bulletin's address.
+    // More clients than descriptors, while the discovery service is unreachable.
     let flood: Vec<Client> = (0..60).map(|_| Client::of(&gateway)).collect();
     let mut client = Client::of(&gateway);
     assert!(client.check());
@@ -252,7 +253,7 @@
     let mut command = Command::new(env!("CARGO_BIN_EXE_kelpcart"));
     command.env_remove("NODE_LISTEN").env_remove("KELPCART_LOG").env("NODE_CONFIG", &path);
     let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
-    // It comes up once the other side has it open, and so waits for the configuration.
+    // Opening the FIFO for writing blocks until the gateway has opened it for reading: it is now reading its configuration.
     let mut file = std::fs::OpenOptions::new().write(true).open(&path).unwrap();
     let kill = format!("kill -s USR1 {}", child.id());
     assert!(Command::new("sh").args(["-c", &kill]).status().unwrap().success());
@@ -270,7 +271,7 @@
 fn a_configuration_of_another_deployment_starts_and_serves() {
     let edge = Cache::start(|_| ok(b"x"));
     let mut all = config(&[Member("e1", "box", edge.address), Member("o", "origin", nobody())], nobody(), 64);
-    // Zones without number, no parents, and nothing said of what is not there; words that are not known here.
+    // Hundreds of zones, no parents, optional settings left out, and unknown settings.
     let settings = all["settings"].as_object_mut().unwrap();
     settings["Zones"] = (0..500).map(|n| format!("zone {n}")).collect::<Vec<_>>().into();
     settings["Locality"] = json!(400);
@@ -302,7 +303,7 @@
     let edge = Cache::start(|seen| {
         let body = bytes_of("whole", 240_000);
         let whole = answer("200 OK", "", &body);
-        // Two that stop in the middle, each with the room of half of what there is.
+        // Two responses that stop in the middle; each holds half of the available memory.
         let stops = ["/x/segment/0000000000000001/3", "/x/segment/0000000000000002/3"];
         let stops = stops.iter().any(|path| seen.head.contains(path));
         Reply::Send(if stops { whole[..1_000].to_vec() } else { whole })
@@ -324,7 +325,7 @@
         }
     }
     assert_eq!(served, [(whole, true)]);
-    // Their connections are closed, and nothing of them is left.
+    // Their connections are closed, and no hop is left.
     edge.closed();
     edge.closed();
     assert_eq!(gateway.now()["hops out"], 0);
@@ -332,14 +333,14 @@
 
 #[test]
 fn a_client_that_closes_its_half_has_gone() {
-    // The protocol knows no half-closed clients: one that closed is not waiting, and nothing more is begun for it.
+    // The protocol has no half-closed connections: a client that has closed its write side counts as disconnected.
     let (edge, _release) = Cache::holding(b"x");
     let mut gateway = Gateway::with_edge(&edge);
     let mut client = Client::of(&gateway);
     client.ask("segment", 1, 15_000, &[]);
     edge.came();
     client.stream.shutdown(std::net::Shutdown::Write).unwrap();
-    // Its hop is given up.
+    // Its hop is cancelled.
     while gateway.now()["hops out"] > 0 {}
     assert!(client.is_closed());
 }
--- a/gateway/tests/loopback.rs
+++ b/gateway/tests/loopback.rs
@@ -1,5 +1,5 @@
-//! The gateway as a process, between stand-ins on loopback: caches, a bulletin and clients that do as they should,
-//! and as they should not.
+//! End-to-end tests of the gateway process on loopback, with stub caches, a stub discovery service and clients, both
+//! well-behaved and misbehaving.
 
 mod stand_ins;
 
@@ -69,7 +69,7 @@
     assert_eq!((answer.word, answer.body), (None, vec![]));
     assert_eq!(answer.fields.get("current").map(String::as_str), Some("1"));
     assert_eq!(edge.came().field("If-None-Match"), Some("4be0c1927d55a6f3"));
-    // Guards a client without a copy from an empty one.
+    // A client without a copy must not get an answer without a body.
     client.ask_with("segment", &base, &[]);
     assert!(client.answer().word.is_some());
 }
@@ -125,7 +125,7 @@
     let short = b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_vec();
     let chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n".to_vec();
     let endless = [b"HTTP/1.1 200 OK\r\nX: ".to_vec(), vec![b'x'; 20_000]].concat();
-    // It never ends; what is wrong with it is known by its first line.
+    // The head never ends, but its first header line is already malformed.
     let unended = b"HTTP/1.1 200 OK\r\nno colon\r\n".to_vec();
     let bad = [huge, chunked, endless, unended, b"no HTTP at all\r\n\r\n".to_vec()];
     for (bad, cut) in bad.into_iter().map(|b| (b, false)).chain([(short, true)]) {
@@ -157,7 +157,7 @@
 
 #[test]
 fn damaged_answers_are_no_silence() {
-    // Guards a cache that answers from being passed over as one that does not.
+    // A cache that sends malformed responses must not be treated as unreachable.
     let left = AtomicUsize::new(4);
     let edge = Cache::start(move |_| {
         let spoilt = left.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |n| n.checked_sub(1)).is_ok();
@@ -209,7 +209,7 @@
             let path = format!("/x/segment/{object:016x}/3");
             assert_eq!(String::from_utf8(client.answer().body).unwrap(), path);
             edge.came();
-            // Nothing more is read from there.
+            // The connection is not reused.
             edge.closed();
         }
     }
@@ -230,7 +230,7 @@
 #[test]
 fn a_kept_connection_is_used_again_once_it_has_rested() {
     assert_eq!(connections_for(9, Duration::from_millis(60)), 1);
-    // Guards a txn from bytes that still follow the answer to another.
+    // Within the reuse delay a new connection is opened: stray bytes of one response must not reach another txn.
     assert!(connections_for(60, Duration::ZERO) > 1);
 }
 
@@ -260,7 +260,7 @@
     let gateway = Gateway::with_edge(&edge);
     let mut usual = Client::of(&gateway);
     assert!(usual.check());
-    // Nothing, half a message, one that trickles in, and half a message behind a txn that is open.
+    // No input, a partial message, a message that trickles in, and a partial message after an open request.
     let mut bad = [(); 4].map(|()| Client::of(&gateway));
     bad[1].send(&[0x94, 0x00]);
     let trickles = bad[2].stream.try_clone().unwrap();
@@ -275,7 +275,7 @@
     edge.came();
     assert!(bad[..3].iter_mut().all(Client::is_closed));
     assert!(usual.check());
-    // What is owed still goes out.
+    // The answer to the open request is still written.
     release.send(()).unwrap();
     assert_eq!(bad[3].answer().body, b"x");
     assert!(bad[3].is_closed() && usual.is_closed());
@@ -285,12 +285,12 @@
 fn a_refusal_reaches_a_client_that_sends_on() {
     let gateway = Gateway::start(&config(&[], nobody(), 64));
     let mut client = Client::of(&gateway);
-    // The start of a request whose body claims 60 MB, and a little of it.
+    // The start of a request with a declared body length of 60 MB, and a small part of the body.
     let endless = [b"\x94\x00\x07\xa7segment\x92\x80\xc6\x03\x93\x87\x00".to_vec(), vec![0; 64 * 1024]];
     client.send(&endless.concat());
     let answer = client.answer();
     assert_eq!((answer.id, answer.word.as_deref()), (7, Some("Invalid")));
-    // An end and no reset, which could overtake the refusal.
+    // An orderly close: a reset could destroy the error answer.
     assert_eq!(client.stream.read(&mut [0]).unwrap(), 0);
 }
 
@@ -306,7 +306,7 @@
     assert_eq!((answer.id, answer.word.as_deref()), (second, Some("Invalid")));
     release.send(()).unwrap();
     assert_eq!(client.answer().id, first);
-    // Once that is answered the id is free.
+    // The request id can be reused once its request is answered.
     client.ask_again("segment", 2, 15_000, &[]);
     release.send(()).unwrap();
     assert_eq!(client.answer().body, b"x");
@@ -317,7 +317,7 @@
     let gateway = Gateway::start(&config(&[], nobody(), 64));
     let flood = TcpStream::connect(gateway.address).unwrap();
     let mut usual = Client::of(&gateway);
-    // These are owed no answer, so that nothing but its turn holds their reader up.
+    // These messages get no answer, so that only fair scheduling limits their reader.
     let many = b"\x93\x02\xa9interrupt\x91\x01".repeat(4_096);
     thread::spawn(move || while (&flood).write_all(&many).is_ok() {});
     for _ in 0..20 {
@@ -337,7 +337,7 @@
     edge.closed();
     let second = client.ask("segment", 2, 3_000, &[]);
     assert_eq!(client.answer().id, second);
-    // The same for a client that goes.
+    // The same when the client disconnects.
     edge.came();
     client.ask("segment", 1, 15_000, &[]);
     edge.came();
@@ -354,7 +354,7 @@
     let answer = client.answer();
     assert!(answer.id == id && answer.word.is_some());
     edge.closed();
-    // One that may have run is not called harmless.
+    // A write that may have run must not be rejected, which would mean that a retry is safe.
     let members = [Member("e1", "box", nobody()), Member("o", "origin", edge.address)];
     let gateway = Gateway::start(&config(&members, nobody(), 64));
     let mut client = Client::of(&gateway);
@@ -373,7 +373,7 @@
     }
     assert!(client.check());
     (0..8).for_each(|_| _ = edge.came());
-    // The module's view, the dispatcher's and the sockets': eight of the sixteen wait for a descriptor.
+    // The views of the module, the dispatcher and the sockets agree: eight of sixteen hops wait for a descriptor.
     let now = gateway.now();
     assert_eq!((now["hops decided on"], now["hops out"], now["hops"], now["clients"]), (16, 16, 8, 1));
     assert_eq!(edge.came_so_far(), 0);
@@ -416,12 +416,12 @@
             fill,
         })
     };
-    // No room for the body: the answer is there, and the time runs out.
+    // No buffers for the body: the response has arrived, and the deadline passes.
     let held = block_on(pool.allocate(2 * buffers::BUFFER_BYTES));
     release.send(()).unwrap();
     assert_eq!(block_on(hop(Span::from_millis(300))).end, ConnectionEnd::LateForRoom);
     drop(held);
-    // No descriptor until the first hop ends.
+    // The second hop gets no descriptor until the first one ends.
     let both = future::zip(hop(second * 20.0), hop(second * 20.0));
     let later = async {
         clock.sleep(Span::from_millis(100)).await;
@@ -450,7 +450,7 @@
     let edge = Cache::start(|_| ok(b"x"));
     let gateway = Gateway::with_edge(&edge);
     let mut good = Client::of(&gateway);
-    // No MessagePack; a length no frame may have; a nesting without end.
+    // Not MessagePack, a length beyond any frame, and unbounded nesting.
     let nested = vec![0x91; 5_000];
     for bytes in [&b"\xc1"[..], b"\xc6\xff\xff\xff\xff", b"\xdd\xff\xff\xff\xff", &nested] {
         let mut bad = Client::of(&gateway);
@@ -469,14 +469,14 @@
     // A read with a body.
     let id = bad.ask("segment", 1, 3_000, b"x");
     assert_eq!((bad.answer().id, edge.came_so_far()), (id, 0));
-    // Wrong types in a whole frame.
+    // A complete frame with wrong types.
     bad.next += 1;
     let id = bad.next - 1;
     bad.send(&[0x94, 0x00, id, 0xa1, b'x', 0x91, 0x07]);
     assert_eq!(bad.answer().id, u64::from(id));
     bad.ask("segment", 1, 3_000, &[]);
     assert_eq!(bad.answer().body, b"x");
-    // An id that was used before.
+    // A message id that was used before.
     bad.next -= 1;
     bad.ask("segment", 1, 3_000, &[]);
     assert!(bad.is_closed());
@@ -489,14 +489,14 @@
     let bytes = bytes_of("stalled", 240_000);
     let held = bytes.clone();
     let edge = Cache::start(move |_| ok(&held));
-    // Room for some bodies only: fewer than the stopped reader asks for.
+    // Memory for fewer bodies than the stalled reader requests.
     let gateway = Gateway::start(&edge_config(&edge, &[("/limits/memory_mb", 8)]));
     let mut stopped = Client::of(&gateway);
     for object in 0..32 {
         stopped.ask("segment", object, 15_000, &[]);
     }
     let mut good = Client::of(&gateway);
-    // It may be rejected while there is no room, and is served once the other is given up.
+    // Requests may be rejected while memory is short; they are served once the stalled reader is disconnected.
     let (start, mut served) = (Instant::now(), 0);
     while served < 4 {
         good.ask("segment", 1, 15_000, &[]);
@@ -517,7 +517,7 @@
     let mut stopped = Client::of(&gateway);
     let (mut id, mut sent) = (0_u32, 0);
     loop {
-        // Each owes a longer answer than it is long itself.
+        // Each of these gets an answer that is longer than the request.
         let some: Vec<u8> = (0..1_000)
             .flat_map(|_| {
                 id += 1;
@@ -528,8 +528,8 @@
             break;
         }
         sent += some.len();
-        // What the machine holds for both sides is far less.
-        assert!(sent < 64 << 20, "a stopped reader is read on");
+        // The kernel buffers of both sides are far smaller.
+        assert!(sent < 64 << 20, "the gateway keeps reading from a client that reads no answers");
     }
 }
 
@@ -541,13 +541,13 @@
     let first = good.ask("segment", 1, 15_000, &[]);
     let mut rests = Client::of(&gateway);
     assert!(rests.check());
-    // Twice what there are descriptors for.
+    // Twice as many as there are descriptors.
     let flood: Vec<Client> = (0..96).map(|_| Client::of(&gateway)).collect();
     let mut late = Client::of(&gateway);
     assert!(late.check());
     gateway.signal("USR1");
     assert!(gateway.line().contains("idle clients closed for room"));
-    // Those that never asked make room before those that did.
+    // Clients that never sent a request are evicted before those that did.
     assert!(rests.check());
     release.send(()).unwrap();
     assert_eq!(good.answer().id, first);
@@ -566,7 +566,7 @@
     assert!(gateway.line().contains("requests 1"));
     gateway.signal("TERM");
     while other.check() {}
-    // New connections still come, and are served.
+    // New connections are still accepted and served.
     let mut newcomer = Client::of(&gateway);
     assert!(!newcomer.check());
     release.send(()).unwrap();
@@ -630,11 +630,11 @@
     client.ask("segment", 1, 3_000, &[]);
     assert_eq!(client.answer().body, b"x");
     bulletin.tell(&change(2, json!([endpoint(&new, "up"), endpoint(&old, "removed")])));
-    // The one kept for the member that has gone is closed, though somebody listens at its address.
+    // The idle connection of the removed member is closed, although its address belongs to another member now.
     cache.closed();
     client.ask("segment", 1, 3_000, &[]);
     assert_eq!(client.answer().body, b"x");
-    // The same for one that drains, and for one that has started anew.
+    // The same for a member that drains and for one that has restarted.
     bulletin.tell(&change(3, json!([endpoint(&new, "draining"), endpoint(&old, "up")])));
     cache.closed();
     client.ask("segment", 1, 3_000, &[]);
@@ -652,7 +652,7 @@
     let first = change(2, json!([endpoint(&e1, "draining"), endpoint(&e2, "up")]));
     let issued = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64 - 5_000;
     let purge = json!({"no": 3, "recall": {"lot": 17, "issued": issued}}).to_string();
-    // A gap, a line that is no event, a number that is ahead, and what was asked for in two pieces.
+    // A gap in the numbers, a malformed event, a number ahead of the events, and the missing event after a repeated one.
     let gap = change(9, json!([endpoint(&e2, "removed")]));
     let lines = vec![
         format!("{first}\n{gap}\n"),
@@ -675,7 +675,7 @@
     for object in 0..8 {
         client.ask("segment", object, 3_000, &[]);
         assert_eq!(client.answer().body, b"x");
-        // Nothing from before the purge of its group, and anything since.
+        // The maximum age rules out exactly the copies from before the purge of the group.
         let age: u64 = caches[1].came().field("X-Max-Age-Ms").unwrap().parse().unwrap();
         assert!((4_900..60_000).contains(&age));
     }
@@ -696,7 +696,7 @@
         let mut anew = endpoint(&e1, "up");
         anew["since_ms"] = json!(no);
         at.tell(&change(no, json!([anew])));
-        // The event has come: the connections of the member are those to one that is no more.
+        // The member restarted by this event: once it is applied, connections to the member are closed.
         cache.closed();
     };
     assert_eq!(old.asked(), "after 1\n");
@@ -717,14 +717,14 @@
 
 #[test]
 fn a_bulletin_that_breaks_off_is_asked_again_without_growing_waits() {
-    // Waits that grow, if only to their bound, would take longer than all patience here.
+    // With a growing backoff, even a bounded one, the test would exceed its timeout.
     const BREAKS: usize = 64;
     let bulletin = Bulletin::start(vec!["1\n".to_owned(); BREAKS]);
     let _gateway = Gateway::start(&config(&[], bulletin.address, 64));
     let start = Instant::now();
     for _ in 0..BREAKS {
         assert_eq!(bulletin.asked(), "after 1\n");
-        // In the middle of an event: it has not been told.
+        // An incomplete event does not count as delivered.
         bulletin.write("{\"no\":2,\"recall\":{\"lot\":17,");
         bulletin.cut();
     }
@@ -740,7 +740,7 @@
     let mut client = Client::of(&gateway);
     assert_eq!(gateway.now()["members left out"], 0);
     for object in 0..24 {
-        // What is at home at the one that nobody can reach is served by the other.
+        // Objects of the unreachable cache are served by the other one.
         client.ask("segment", object, 3_000, &[]);
         _ = client.answer();
     }
@@ -766,7 +766,7 @@
     bulletin.asked();
     let mut sizes = |days: std::ops::Range<u64>| {
         for no in days {
-            // A new cache at the address of the last, a new client, and a new object.
+            // A new cache at the address of the previous one, a new client and a new object.
             let [new, old] = [no, no - 1].map(|n| format!("e{n}"));
             let [new, old] = [(&new, "up"), (&old, "removed")].map(|(id, state)| {
                 let mut at = endpoint(&Member("", "box", cache.address), state);
@@ -786,7 +786,7 @@
     assert!(many <= few + 8, "{few} then {many}");
 }
 
-/// What a stand-in does with the nth request, by chance.
+/// A stub cache's response, selected by a random number.
 fn misbehave(chance: u8, body: &[u8]) -> Reply {
     match chance % 11 {
         0 => Reply::Send(answer("404 Not Found", "X-Result: src_lacks\r\n", b"")),
@@ -801,11 +801,12 @@
     }
 }
 
-/// Whether it is a write, its object, and whether it is interrupted.
+/// Whether the request is a write, its object, and whether it is cancelled.
 type Asked = (bool, u8, u8);
 
-/// Whatever caches do, each txn gets one answer, or none at most if it was interrupted, also at a planned restart;
-/// what is served is whole; no effect happens twice, and none that may have happened is rejected.
+/// Checks the txn rules against randomly misbehaving caches, with or without a planned restart: each txn gets exactly one
+/// answer, or at most one if it was cancelled; bodies are complete; no write runs twice, and no write that may have run is
+/// rejected.
 fn random_day(stop: bool, chances: Vec<u8>, asks: Vec<Asked>) -> bool {
     let ran: Arc<Mutex<BTreeMap<String, u32>>> = Arc::default();
     let count = Arc::new(Mutex::new(0));
@@ -853,7 +854,7 @@
             if stop {
                 break;
             }
-            // Nothing follows the answer to this.
+            // No answer may follow the one to this health check.
             checked = Some(client.ask_check());
         }
         let answer = client.answer();
@@ -873,7 +874,7 @@
         }
     }
     if !stop {
-        // What is answered is on no table any more, and the module's hops are those on the sockets.
+        // Answered txns are in no table, and no hop is left in the module or on the sockets.
         let now = gateway.now();
         let open =
             ["txns open", "txns by message", "txns by id", "txns decided on", "hops out", "hops decided on"];
--- a/gateway/tests/parsers.rs
+++ b/gateway/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! The parsers, fed whole, split and damaged input; the pool of buffers; what each end of a connection means.
+//! The parsers on complete, split and corrupted input, the buffer pool, and the mapping of connection ends to hop statuses.
 
 use futures_lite::future::{block_on, poll_once};
 use kelpcart::Span;
@@ -41,7 +41,7 @@
     out
 }
 
-/// Feeds bytes as they might come: in pieces, parsing as far as is whole each time.
+/// Feeds bytes in pieces as a socket might deliver them, decoding all complete messages after each piece.
 fn fed(bytes: &[u8], cuts: &[usize]) -> (Vec<Message>, Option<DecodeError>) {
     let (mut held, mut all, mut rest) = (Vec::new(), Vec::new(), bytes);
     let mut cuts = cuts.iter();
@@ -97,7 +97,7 @@
                 let at = at % bytes.len();
                 bytes[at] = with;
             }
-            // What is read is the same however it was split.
+            // The result does not depend on how the input was split.
             fed(&bytes, &cuts) == fed(&bytes, &[])
         },
     );
@@ -180,7 +180,7 @@
     };
     assert_eq!((whole, len), (told, HEAD.len()));
     assert!((0..HEAD.len()).all(|n| http::parse_head(&HEAD[..n]) == Ok(None)));
-    // Interim ones before it belong to it; the connection is not to be used again.
+    // Preceding interim responses count towards the length, and the connection is not reused.
     let interim = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 P\r\n\r\n";
     let both = [interim, HEAD].concat();
     let (head, len) = http::parse_head(&both).unwrap().unwrap();
@@ -218,7 +218,7 @@
         "HTTP/1.1 101 Switching Protocols\r\nContent-Length: 0",
     ] {
         assert!(http::parse_head(format!("{bad}\r\n\r\n").as_bytes()).is_err(), "{bad}");
-        // All but a missing length is told by its line, whatever still comes.
+        // All errors but a missing length are reported as soon as the offending line is complete.
         let last = bad == "HTTP/1.1 200 OK";
         assert_eq!(http::parse_head(format!("{bad}\r\n").as_bytes()).is_err(), !last, "{bad}");
     }
@@ -263,7 +263,7 @@
         };
         String::from_utf8(request.encode()).unwrap()
     };
-    // 0 would lift the limit; more than what is left would let an older copy pass.
+    // 0 would mean no limit, and rounding up would admit an older copy.
     assert!(head(3).contains("\r\nX-Max-Age-Ms: 1\r\n"));
     let all = head(1_500_999);
     assert_eq!(
@@ -338,7 +338,7 @@
             assert_eq!(body.copy_from(&rest[..n]), n);
             rest = &rest[n..];
         }
-        // Nothing beyond its length gets in.
+        // Nothing is written beyond the body's length.
         body.is_full() && body.copy_from(b"more") == 0 && body.chunks().collect::<Vec<_>>().concat() == bytes
     });
 }
--- a/gateway/tests/schedules.rs
+++ b/gateway/tests/schedules.rs
@@ -1,7 +1,9 @@
-//! Random schedules of what clients, the bulletin and caches do to a gateway, by seed: connections opened, closed and left
-//! half way, requests sent and taken back, members that drain, go and start anew, purges, answers that are good, bad,
-//! cut or held, a planned stop. The rules are checked by what the stand-ins saw, which shares nothing with the gateway;
-//! every check is by the order of events: what a client asked after the gateway had taken in a piece of news.
+//! Seeded random schedules of client, discovery and cache behaviour against a gateway process: connections that are opened,
+//! closed and abandoned, requests that are sent and cancelled, members that drain, leave and restart, purges, responses that
+//! are valid, malformed, truncated or delayed, and a planned shutdown.
+//!
+//! The rules are checked against the records of the stubs, which share no state with the gateway, and only by the order of
+//! events: a request that was sent after the gateway had applied a discovery event must respect that event.
 
 mod stand_ins;
 
@@ -11,21 +13,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Condvar, Mutex};
 
-/// What is done, to which client or member, and how.
+/// The kind of action, the client or member it applies to, and its parameter.
 type Step = (u8, u8, u16);
 
 const EDGES: [&str; 4] = ["e1", "e2", "e3", "e4"];
 const BODY: usize = 20_000;
 const MOST_CLIENTS: usize = 5;
 
-/// What the stand-ins for caches have seen, and how they are to answer.
+/// Record of the stub caches, and the state that controls their responses.
 #[derive(Default)]
 struct Seen {
-    /// How often each effect ran.
+    /// How often each write ran.
     ran: BTreeMap<String, u32>,
-    /// Hops by the txn's own id: where to, filled from where, and whether older copies were ruled out.
+    /// Hops: request id, member, fill source, and whether a maximum age was set.
     hops: Vec<(String, &'static str, Option<String>, bool)>,
-    /// Answers that are held go out once this has grown.
+    /// Held responses are sent once this has grown.
     released: u64,
     over: bool,
 }
@@ -41,7 +43,7 @@
         let source = request.field("X-Fill-From").map(str::to_owned);
         let aged = request.field("X-Max-Age-Ms").is_some();
         seen.hops.push((trace.clone(), id, source, aged));
-        // The same answer to the same hop, whatever comes first.
+        // Derived from the request id and hop number, so that a hop gets the same response in any order of events.
         let chance = mix(seed ^ u64::from_str_radix(&trace, 16).unwrap() << 8 ^ before);
         if chance >> 32 & 3 == 0 {
             let until = seen.released + 1;
@@ -61,7 +63,7 @@
     (n ^ n >> 29).wrapping_mul(0xbf58_476d_1ce4_e5b9) ^ n >> 32
 }
 
-/// What a cache does with a hop, and whether that has run.
+/// A stub cache's response to a hop, and whether the hop ran.
 fn reply(chance: u64, body: &[u8]) -> (Reply, bool) {
     let good = answer("200 OK", "X-Result: hit\r\n", body);
     match chance % 16 {
@@ -79,17 +81,17 @@
     }
 }
 
-/// What is known of a txn when it is asked.
+/// A request that was sent.
 struct Asked {
     path: String,
-    /// A write's own bytes.
+    /// The body of a write, unique to it; empty for reads.
     effect: String,
 }
 
 struct Connection {
     client: Client,
     open: BTreeMap<u64, Asked>,
-    /// Taken back: an answer that was on its way may come.
+    /// Cancelled requests: an answer that was already in flight may still arrive.
     may: BTreeMap<u64, Asked>,
 }
 
@@ -102,9 +104,9 @@
     purged: BTreeSet<u64>,
     no: u64,
     effects: u32,
-    /// Those that were rejected: they must not have run, nor run later.
+    /// Rejected writes: they must not have run, nor run later.
     rejected: Vec<String>,
-    /// All that was asked, by its own id: members that nothing of it may go to, and whether its object was purged before.
+    /// All requests by request id: members that must not get a hop of it, and whether its object was purged before.
     all: BTreeMap<String, (BTreeSet<&'static str>, bool)>,
 }
 
@@ -126,7 +128,7 @@
         (day, caches)
     }
 
-    /// Tells and waits until the gateway has taken it in.
+    /// Sends an event and waits until the gateway has applied it.
     fn tell(&mut self, line: &str) {
         self.bulletin.tell(line);
         while self.gateway.in_all("bulletin events") < self.no as usize - 1 {}
@@ -137,7 +139,7 @@
         let (member, now) = self.members.get_mut(id).unwrap();
         *now = state;
         if state == "up" {
-            // From here on a further hop may go there.
+            // From now on hops may go to this member again.
             self.all.values_mut().for_each(|(closed, _)| _ = closed.remove(id));
         }
         let mut entry = endpoint(member, state);
@@ -165,7 +167,7 @@
                     c.may.insert(id, asked);
                 }
             }
-            // With requests open, answers unread and at times half a message sent.
+            // Disconnects with open requests, unread answers and at times a partial message.
             10 if n > 0 => {
                 let mut left = self.connections.swap_remove(at);
                 if what % 2 == 0 {
@@ -174,7 +176,7 @@
             }
             11 => {
                 let state = ["up", "draining", "removed", "up"][usize::from(what) % 4];
-                // One that starts anew did so long enough ago to be warm.
+                // A restart is far enough in the past for the cache to be warm.
                 self.list(edge, state, u64::from(what % 4 == 3) * 1_000);
             }
             12 => {
@@ -214,7 +216,7 @@
         self.shared.1.notify_all();
     }
 
-    /// Reads a connection's next answer; `true` if it is that of a check.
+    /// Reads a connection's next answer; `true` if it is the answer to a health check.
     fn read(&mut self, at: usize) -> bool {
         let c = &mut self.connections[at];
         let answer = c.client.answer();
@@ -222,7 +224,7 @@
             return true;
         }
         let asked = c.open.remove(&answer.id).or_else(|| c.may.remove(&answer.id));
-        let asked = asked.unwrap_or_else(|| panic!("a second answer, or one to nothing: {}", answer.id));
+        let asked = asked.unwrap_or_else(|| panic!("answer to a request that is not open: {}", answer.id));
         self.check(&asked, &answer);
         false
     }
@@ -232,22 +234,22 @@
         let ran = seen.ran.get(&asked.effect).copied().unwrap_or(0);
         match answer.word.as_deref() {
             None => {
-                assert!(answer.body == bytes_of(&asked.path, BODY), "not what a cache gave for it");
-                assert!(asked.effect.is_empty() || ran == 1, "{} served and ran {ran} times", asked.effect);
+                assert!(answer.body == bytes_of(&asked.path, BODY), "body differs from the cache's response");
+                assert!(asked.effect.is_empty() || ran == 1, "{} was served and ran {ran} times", asked.effect);
             }
             Some("Backoff") => {
-                assert!(asked.effect.is_empty() || ran == 0, "{} rejected, though it ran", asked.effect);
+                assert!(asked.effect.is_empty() || ran == 0, "{} was rejected, though it ran", asked.effect);
                 self.rejected.push(asked.effect.clone());
             }
             Some(word) => assert_eq!(word, "Lost"),
         }
     }
 
-    /// All that is owed is answered.
+    /// Waits until all open requests are answered.
     fn settle(&mut self) {
         for at in 0..self.connections.len() {
             while !self.connections[at].open.is_empty() {
-                // A held answer may be followed by another one's: of the next hop.
+                // The txn's next hop may be held, too.
                 self.release();
                 if self.connections[at].client.has_answer() {
                     self.read(at);
@@ -264,7 +266,7 @@
         if stop {
             assert!(self.gateway.child.wait().unwrap().success());
         } else {
-            // What is answered, left or taken back is on no table any more.
+            // Txns that were answered, abandoned or cancelled are in no table.
             let tables = ["txns open", "txns by message", "txns by id", "txns decided on"];
             while !tables.iter().all(|what| self.gateway.now()[*what] == 0) {}
             self.release();
@@ -275,16 +277,16 @@
         let mut seen = self.shared.0.lock().unwrap();
         seen.over = true;
         self.shared.1.notify_all();
-        assert!(seen.ran.values().all(|&n| n == 1), "an effect happened twice: {:?}", seen.ran);
+        assert!(seen.ran.values().all(|&n| n == 1), "a write ran twice: {:?}", seen.ran);
         for effect in self.rejected.iter().filter(|effect| !effect.is_empty()) {
-            assert!(!seen.ran.contains_key(effect), "{effect} was rejected, and ran");
+            assert!(!seen.ran.contains_key(effect), "{effect} was rejected, but ran");
         }
         for (trace, to, source, aged) in &seen.hops {
             let (closed, purged) = &self.all[trace];
-            assert!(!closed.contains(to), "{trace} went to {to}, which was leaving when it was asked");
+            assert!(!closed.contains(to), "{trace} went to {to}, which was draining or removed when it was sent");
             let from = source.as_deref().is_some_and(|source| closed.contains(source));
-            assert!(!from, "{trace} was filled from {source:?}, which was leaving when it was asked");
-            assert!(!purged || *aged, "{trace} may get what was purged before it was asked");
+            assert!(!from, "{trace} was filled from {source:?}, which was draining or removed when it was sent");
+            assert!(!purged || *aged, "{trace} allows a copy that was purged before it was sent");
         }
     }
 }
@@ -300,7 +302,7 @@
 
 #[test]
 fn random_schedules_keep_the_rules() {
-    // Another seed is a hunt; the suite plays this one.
+    // SCHEDULES_SEED explores other schedules; the suite uses a fixed one.
     let seed = std::env::var("SCHEDULES_SEED").map_or(23, |seed| seed.parse().unwrap());
     let seeded = Gen::from_size_and_seed(320, seed);
     QuickCheck::new().rng(seeded).tests(16).quickcheck(keeps_the_rules as fn(bool, u64, Vec<Step>) -> bool);
--- a/gateway/tests/stand_ins/mod.rs
+++ b/gateway/tests/stand_ins/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins on loopback for all that a gateway talks to, and the gateway as a process between them.
+//! Test doubles on loopback for caches, the discovery service and clients, and the gateway process under test.
 #![allow(dead_code, reason = "each test file uses its part")]
 
 use serde_json::{Value, json};
@@ -12,12 +12,12 @@
 use std::thread;
 use std::time::Duration;
 
-/// Longer than anything here may take: it ends a test that hangs and decides none.
+/// Ends a test that hangs; far longer than any step takes.
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
 pub type Script = dyn Fn(&Seen) -> Reply + Send + Sync;
 
-/// A request as it came to a stand-in.
+/// A request that a stub cache received.
 #[derive(Clone, Debug)]
 pub struct Seen {
     pub head: String,
@@ -42,11 +42,11 @@
     Closed,
 }
 
-/// A stand-in for a cache, a parent or the origin.
+/// A stub cache, parent or origin.
 pub struct Cache {
     pub address: SocketAddr,
     pub news: Receiver<News>,
-    /// Connections so far.
+    /// Number of connections accepted so far.
     pub connected: Arc<AtomicUsize>,
 }
 
@@ -70,7 +70,7 @@
         Cache { address, news, connected }
     }
 
-    /// One that answers each request when it is told to.
+    /// Answers each request when a message is sent on the returned channel.
     pub fn holding(body: &'static [u8]) -> (Cache, Sender<()>) {
         let (release, released) = channel();
         let released = Mutex::new(released);
@@ -81,7 +81,7 @@
         (cache, release)
     }
 
-    /// One that ends each connection, with no answer, when it is told to.
+    /// Closes each connection without a response when a message is sent on the returned channel.
     pub fn cutting() -> (Cache, Sender<()>) {
         let (cut, told) = channel();
         let told = Mutex::new(told);
@@ -104,7 +104,7 @@
         while !matches!(self.news.recv_timeout(PATIENCE).unwrap(), News::Closed) {}
     }
 
-    /// Waits until the other side's machine has the end of every connection that was closed here.
+    /// Waits until the peer's kernel has acknowledged the FIN of every connection that was closed here.
     pub fn wait_for_acknowledged_ends(&self) {
         let port = format!(":{:04X}", self.address.port());
         let sent_only = |line: &str| {
@@ -150,7 +150,7 @@
     }
 }
 
-/// An address at which nobody listens.
+/// An address without a listener.
 pub fn nobody() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
@@ -164,7 +164,7 @@
     Reply::Send(answer("200 OK", "ETag: 12ab\r\nX-Born-Ms: 1\r\nX-Result: hit\r\nX-Stats: x1:0.5\r\n", body))
 }
 
-/// What every stand-in holds for a part of an object.
+/// The body that every stub cache serves for a path.
 pub fn bytes_of(path: &str, len: usize) -> Vec<u8> {
     path.bytes().cycle().enumerate().map(|(i, b)| b ^ (i / 7) as u8).take(len).collect()
 }
@@ -179,7 +179,7 @@
 
 pub fn config(members: &[Member], bulletin: SocketAddr, memory_mb: u64) -> Value {
     let class = |name: &str, effect: &str| {
-        // So long an SLA time that a busy machine makes nothing late.
+        // Long enough that no txn misses its SLA time on a busy machine.
         json!({"Name": name, "Repeat": effect, "DedupScope": "all", "MemorySpanUs": 0, "SloUs": 20_000_000,
             "AimStretch": 1.5, "DeadlineUs": 30_000_000})
     };
@@ -204,7 +204,7 @@
     })
 }
 
-/// With a single edge cache, nobody in the other places, and some numbers set by their paths.
+/// A configuration with a single edge cache, an unreachable origin, and numbers to set by their JSON paths.
 pub fn edge_config(edge: &Cache, numbers: &[(&str, u64)]) -> Value {
     let members = [Member("e1", "box", edge.address), Member("o", "origin", nobody())];
     let mut all = config(&members, nobody(), 64);
@@ -214,10 +214,10 @@
     all
 }
 
-/// A gateway that is ended with the test.
+/// A gateway process that is killed on drop.
 pub struct Gateway {
     pub child: Child,
-    /// The path of its configuration.
+    /// The path of its configuration file.
     pub config: String,
     pub address: SocketAddr,
     pub log: BufReader<std::process::ChildStderr>,
@@ -242,7 +242,7 @@
         Gateway::begun(spawn(config))
     }
 
-    /// One that gets no more descriptors than the configuration says.
+    /// Limits the process's descriptors to the number in the configuration.
     pub fn start_limited(config: &Value) -> Gateway {
         let mut command = Command::new("sh");
         let limit = format!("ulimit -n {}; exec \"$0\"", config["limits"]["sockets"]);
@@ -258,7 +258,7 @@
         Gateway { child, config, address, log }
     }
 
-    /// One with a single edge cache, and nobody in the other places.
+    /// A gateway with a single edge cache and an unreachable origin.
     pub fn with_edge(edge: &Cache) -> Gateway {
         Gateway::start(&edge_config(edge, &[]))
     }
@@ -268,13 +268,13 @@
         assert!(Command::new("sh").args(["-c", &kill]).status().unwrap().success());
     }
 
-    /// Replaces the configuration and tells of it.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn replace(&self, config: &str) {
         std::fs::write(&self.config, config).unwrap();
         self.signal("HUP");
     }
 
-    /// What the counters say there is now.
+    /// The current gauges and table sizes of the counter log line.
     pub fn now(&mut self) -> BTreeMap<String, usize> {
         self.signal("USR1");
         let line = loop {
@@ -288,7 +288,7 @@
         now.split(", ").map(|size| pair(size).unwrap()).collect()
     }
 
-    /// What the counters say there has been in all.
+    /// The total of one event counter.
     pub fn in_all(&mut self, what: &str) -> usize {
         self.signal("USR1");
         loop {
@@ -316,16 +316,16 @@
 pub struct Client {
     pub stream: TcpStream,
     pub next: u8,
-    /// Its last txn's own id.
+    /// The request id of the last request.
     pub req: String,
 }
 
 #[derive(Debug, PartialEq)]
 pub struct Answer {
     pub id: u64,
-    /// Of an error.
+    /// The name of the error, if it is one.
     pub word: Option<String>,
-    /// Of a served txn; for a check one byte, 1 for true.
+    /// The body of a served txn; for a health check one byte, 1 for ready.
     pub body: Vec<u8>,
     pub fields: BTreeMap<String, String>,
 }
@@ -411,7 +411,7 @@
         self.bytes(n).iter().fold(0, |all, &b| all << 8 | usize::from(b))
     }
 
-    /// Text, a body, a number or a truth value.
+    /// Reads a string, a binary, an integer or a boolean.
     pub fn value(&mut self) -> Vec<u8> {
         let len = match self.byte() {
             tag @ 0xa0..=0xbf => usize::from(tag & 0x1f),
@@ -421,7 +421,7 @@
             0xcd => return self.bytes(2),
             0xc6 => self.big(4),
             0xda => self.big(2),
-            tag => panic!("an answer holds {tag:#x}"),
+            tag => panic!("unexpected MessagePack tag in an answer: {tag:#x}"),
         };
         self.bytes(len)
     }
@@ -448,12 +448,12 @@
                 assert_eq!(self.byte(), 0xc0);
                 fields
             }
-            tag => panic!("an answer holds {tag:#x}"),
+            tag => panic!("unexpected MessagePack tag in an answer: {tag:#x}"),
         };
         Answer { id, word, body, fields }
     }
 
-    /// Something is there to read, after a moment at most.
+    /// Whether input arrives within 5 ms.
     pub fn has_answer(&mut self) -> bool {
         self.stream.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
         let peeked = self.stream.peek(&mut [0]);
@@ -474,7 +474,8 @@
     out.extend(text.as_bytes());
 }
 
-/// A stand-in for the bulletin: on each connection it tells the line that came and writes the next lines.
+/// A stub discovery service: for each connection it reports the subscription line that it received and sends the next of
+/// the given texts.
 pub struct Bulletin {
     pub address: SocketAddr,
     pub told: Receiver<String>,
@@ -503,7 +504,7 @@
         self.told.recv_timeout(PATIENCE).unwrap()
     }
 
-    /// Writes on the last connection.
+    /// Writes to the latest connection.
     pub fn write(&self, text: &str) {
         self.last.lock().unwrap().as_ref().unwrap().write_all(text.as_bytes()).unwrap();
     }
