--- a/gateway/tests/closing.rs
+++ b/gateway/tests/closing.rs
@@ -19,10 +19,10 @@
 use std::rc::Rc;
 
 /// Ends a test that hangs; far longer than any step takes.
-const PATIENCE: Span = Span::from_millis(20_000);
+const TEST_TIMEOUT: Span = Span::from_millis(20_000);
 
-struct World {
-    front: Frontend,
+struct Fixture {
+    frontend: Frontend,
     events: Receiver<Event>,
     address: SocketAddr,
     pool: Rc<Pool>,
@@ -30,22 +30,22 @@
 }
 
 /// A request as the dispatcher receives it.
-struct Asked {
-    caller: Rc<dyn Responder>,
+struct ForwardedRequest {
+    responder: Rc<dyn Responder>,
     id: u64,
-    ask: Box<Request>,
+    request: Box<Request>,
 }
 
-impl World {
-    async fn event(&self) -> Event {
-        self.clock.timeout(PATIENCE, self.events.recv()).await.expect("an event").unwrap()
+impl Fixture {
+    async fn next_event(&self) -> Event {
+        self.clock.timeout(TEST_TIMEOUT, self.events.recv()).await.expect("an event").unwrap()
     }
 
-    async fn asked(&self) -> Asked {
+    async fn next_request(&self) -> ForwardedRequest {
         loop {
-            match self.event().await {
-                Event::Request { responder: client, id, request: ask, .. } => {
-                    return Asked { caller: client, id, ask };
+            match self.next_event().await {
+                Event::Request { responder, id, request, .. } => {
+                    return ForwardedRequest { responder, id, request };
                 }
                 Event::Disconnected { .. } => {}
                 _ => panic!("unexpected event"),
@@ -54,23 +54,23 @@
     }
 
     /// Whether no event but disconnects was forwarded.
-    fn nothing_asked(&self) -> bool {
+    fn nothing_forwarded(&self) -> bool {
         std::iter::from_fn(|| self.events.try_recv().ok()).all(|e| matches!(e, Event::Disconnected { .. }))
     }
 
-    async fn serve(&self, asked: &Asked, len: usize) {
+    async fn serve(&self, request: &ForwardedRequest, len: usize) {
         let mut body = self.pool.allocate(len).await.unwrap();
         body.copy_from(&vec![7; len]);
-        asked.caller.serve(asked.id, Some(body), self.clock.now() + PATIENCE);
+        request.responder.serve(request.id, Some(body), self.clock.now() + TEST_TIMEOUT);
     }
 
     /// A client that has been served once and is idle.
-    async fn resting(&self) -> Client {
+    async fn idle_client(&self) -> Client {
         let mut client = self.connect();
-        client.ask(1);
-        let asked = self.asked().await;
-        self.serve(&asked, 3).await;
-        client.take(SERVED + 3).await;
+        client.send_request(1);
+        let request = self.next_request().await;
+        self.serve(&request, 3).await;
+        client.read(SERVED_OVERHEAD_BYTES + 3).await;
         client
     }
 
@@ -86,11 +86,11 @@
 }
 
 /// Length of a served answer without its body, for small ids.
-const SERVED: usize = 11;
+const SERVED_OVERHEAD_BYTES: usize = 11;
 /// Length of a `Lost` answer, for small ids.
-const LOST: usize = 11;
+const LOST_ANSWER_BYTES: usize = 11;
 
-fn request(id: u8, object: u8) -> Vec<u8> {
+fn encode_request(id: u8, object: u8) -> Vec<u8> {
     let mut out = vec![0x94, 0x00, id, 0xa7];
     out.extend(b"segment");
     let (req, subject) = (format!("{id:016x}"), format!("{object:016x}"));
@@ -111,64 +111,64 @@
         self.stream.get_ref().write_all(bytes).unwrap();
     }
 
-    fn ask(&self, id: u8) {
-        self.write(&request(id, id));
+    fn send_request(&self, id: u8) {
+        self.write(&encode_request(id, id));
     }
 
-    async fn take(&mut self, n: usize) -> Vec<u8> {
+    async fn read(&mut self, n: usize) -> Vec<u8> {
         let mut bytes = vec![0; n];
         let read = self.stream.read_exact(&mut bytes);
-        self.clock.timeout(PATIENCE, read).await.expect("bytes").unwrap();
+        self.clock.timeout(TEST_TIMEOUT, read).await.expect("bytes").unwrap();
         bytes
     }
 
     /// Waits for the end of the connection; `true` if it is an orderly close and no reset.
-    async fn is_ended(&mut self) -> bool {
+    async fn is_closed_cleanly(&mut self) -> bool {
         let mut byte = [0];
         let read = self.stream.read(&mut byte);
-        matches!(self.clock.timeout(PATIENCE, read).await.expect("an end"), Ok(0))
+        matches!(self.clock.timeout(TEST_TIMEOUT, read).await.expect("an end"), Ok(0))
     }
 
-    fn leave(&self) {
+    fn disconnect(&self) {
         self.stream.get_ref().shutdown(std::net::Shutdown::Both).unwrap();
     }
 }
 
-fn play<F: Future<Output = ()> + 'static>(most: usize, test: impl FnOnce(World) -> F) {
+fn run_with_frontend<F: Future<Output = ()> + 'static>(max_clients: usize, test: impl FnOnce(Fixture) -> F) {
     let tasks: Tasks = Box::leak(Box::new(LocalExecutor::new()));
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
     let address = listener.get_ref().local_addr().unwrap();
     let (dispatcher, events) = async_channel::unbounded();
     let (clock, pool) = (Clock::start(), Pool::new(64 << 20));
-    let front = Frontend {
+    let frontend = Frontend {
         tasks,
         clock,
         counters: Rc::<Counters>::default(),
         pool: Rc::clone(&pool),
         dispatcher,
-        max_clients: most,
+        max_clients,
         connected: Rc::default(),
         keys: ResponderKeys::default(),
         shutdown_state: Rc::default(),
     };
-    tasks.spawn(front.clone().accept(listener)).detach();
+    tasks.spawn(frontend.clone().accept(listener)).detach();
     // On the same executor as the frontend's tasks, so that they take turns.
-    let test = tasks.spawn(test(World { front, events, address, pool, clock }));
+    let test = tasks.spawn(test(Fixture { frontend, events, address, pool, clock }));
     block_on(tasks.run(test));
 }
 
-impl World {
-    async fn closed(&self) {
+impl Fixture {
+    async fn wait_until_closed(&self) {
         let closed = async {
-            while !self.front.is_closed() {
+            while !self.frontend.is_closed() {
                 self.clock.sleep(Span::from_millis(1)).await;
             }
         };
-        self.clock.timeout(PATIENCE, closed).await.expect("the frontend never closed");
+        self.clock.timeout(TEST_TIMEOUT, closed).await.expect("the frontend never closed");
     }
 
     /// Lets all runnable tasks run.
-    async fn settle(&self) {
+    async fn run_all_tasks(&self) {
         for _ in 0..100 {
             future::yield_now().await;
         }
@@ -178,17 +178,17 @@
 
 #[test]
 fn a_request_that_has_come_when_the_front_closes_is_served_first() {
-    play(9, async |world: World| {
-        let mut client = world.resting().await;
-        client.ask(2);
-        world.front.close();
-        let asked = world.asked().await;
-        world.settle().await;
-        assert!(!world.front.is_closed());
-        world.serve(&asked, 3).await;
-        client.take(SERVED + 3).await;
-        assert!(client.is_ended().await);
-        world.closed().await;
+    run_with_frontend(9, async |fixture: Fixture| {
+        let mut client = fixture.idle_client().await;
+        client.send_request(2);
+        fixture.frontend.close();
+        let request = fixture.next_request().await;
+        fixture.run_all_tasks().await;
+        assert!(!fixture.frontend.is_closed());
+        fixture.serve(&request, 3).await;
+        client.read(SERVED_OVERHEAD_BYTES + 3).await;
+        assert!(client.is_closed_cleanly().await);
+        fixture.wait_until_closed().await;
     });
 }
 
@@ -196,151 +196,151 @@
 fn a_request_that_comes_between_the_word_and_the_last_look_is_served() {
     // After one turn the frontend's reader has received the close request and has not yet checked its socket.
     for turns in 0..=1 {
-        play(9, async move |world: World| {
-            let client = world.resting().await;
-            world.settle().await;
-            world.front.close();
+        run_with_frontend(9, async move |fixture: Fixture| {
+            let client = fixture.idle_client().await;
+            fixture.run_all_tasks().await;
+            fixture.frontend.close();
             for _ in 0..turns {
                 future::yield_now().await;
             }
-            client.ask(2);
-            assert_eq!(world.asked().await.id, 2);
+            client.send_request(2);
+            assert_eq!(fixture.next_request().await.id, 2);
         });
     }
 }
 
 #[test]
 fn what_comes_after_the_shutdown_is_not_passed_on_and_resets_nothing() {
-    play(9, async |world: World| {
-        let mut client = world.resting().await;
-        client.ask(2);
-        let asked = world.asked().await;
-        world.serve(&asked, 3_000).await;
+    run_with_frontend(9, async |fixture: Fixture| {
+        let mut client = fixture.idle_client().await;
+        client.send_request(2);
+        let request = fixture.next_request().await;
+        fixture.serve(&request, 3_000).await;
         // The answer is in the kernel's buffers and not read yet.
-        while world.front.counters.unwritten_answers.get() > 0 {
-            world.settle().await;
+        while fixture.frontend.counters.unwritten_answers.get() > 0 {
+            fixture.run_all_tasks().await;
         }
-        world.front.close();
+        fixture.frontend.close();
         // Until the frontend has shut down its write side: the next request crosses the close.
-        while world.front.connected.borrow().values().any(|c| c.is_writable()) {
+        while fixture.frontend.connected.borrow().values().any(|c| c.is_writable()) {
             future::yield_now().await;
         }
-        client.ask(3);
-        client.take(SERVED + 3_000).await;
-        assert!(client.is_ended().await, "the connection was reset, which may destroy answers");
-        client.write(&request(4, 4));
-        client.leave();
-        world.closed().await;
-        assert!(world.nothing_asked());
+        client.send_request(3);
+        client.read(SERVED_OVERHEAD_BYTES + 3_000).await;
+        assert!(client.is_closed_cleanly().await, "the connection was reset, which may destroy answers");
+        client.write(&encode_request(4, 4));
+        client.disconnect();
+        fixture.wait_until_closed().await;
+        assert!(fixture.nothing_forwarded());
     });
 }
 
 #[test]
 fn half_a_message_at_the_close_gets_its_other_half() {
-    play(9, async |world: World| {
-        let client = world.resting().await;
-        let whole = request(2, 2);
+    run_with_frontend(9, async |fixture: Fixture| {
+        let client = fixture.idle_client().await;
+        let whole = encode_request(2, 2);
         client.write(&whole[..20]);
-        world.settle().await;
-        world.front.close();
+        fixture.run_all_tasks().await;
+        fixture.frontend.close();
         client.write(&whole[20..]);
-        let asked = world.asked().await;
-        assert_eq!((asked.id, asked.ask.object), (2, 2));
+        let request = fixture.next_request().await;
+        assert_eq!((request.id, request.request.object), (2, 2));
     });
 }
 
 #[test]
 fn who_waits_in_the_machines_queue_at_the_close_is_taken_in() {
-    play(9, async |world: World| {
-        let mut late: Vec<Client> = (0..3).map(|_| world.connect()).collect();
-        late.iter().for_each(|client| client.ask(1));
-        world.front.close();
+    run_with_frontend(9, async |fixture: Fixture| {
+        let mut late: Vec<Client> = (0..3).map(|_| fixture.connect()).collect();
+        late.iter().for_each(|client| client.send_request(1));
+        fixture.frontend.close();
         for _ in 0..3 {
-            let asked = world.asked().await;
-            world.serve(&asked, 3).await;
+            let request = fixture.next_request().await;
+            fixture.serve(&request, 3).await;
         }
         for client in &mut late {
-            client.take(SERVED + 3).await;
-            assert!(client.is_ended().await);
+            client.read(SERVED_OVERHEAD_BYTES + 3).await;
+            assert!(client.is_closed_cleanly().await);
         }
-        world.closed().await;
+        fixture.wait_until_closed().await;
         // No client can connect any more: its connection would never be read.
-        let refused = TcpStream::connect(world.address).unwrap_err();
+        let refused = TcpStream::connect(fixture.address).unwrap_err();
         assert_eq!(refused.kind(), ErrorKind::ConnectionRefused);
     });
 }
 
 #[test]
 fn a_connection_that_came_last_has_time_for_its_first_request() {
-    play(9, async |world: World| {
-        let client = world.connect();
-        world.front.close();
-        world.settle().await;
-        client.ask(1);
-        world.asked().await;
+    run_with_frontend(9, async |fixture: Fixture| {
+        let client = fixture.connect();
+        fixture.frontend.close();
+        fixture.run_all_tasks().await;
+        client.send_request(1);
+        fixture.next_request().await;
     });
 }
 
 #[test]
 fn who_is_to_make_room_and_asks_just_then_stays_and_another_goes() {
-    play(2, async |world: World| {
-        let (mut first, second) = (world.resting().await, world.resting().await);
-        let third = world.connect();
-        first.ask(2);
-        third.ask(1);
-        let asked = [world.asked().await, world.asked().await];
-        for asked in &asked {
-            world.serve(asked, 3).await;
+    run_with_frontend(2, async |fixture: Fixture| {
+        let (mut first, second) = (fixture.idle_client().await, fixture.idle_client().await);
+        let third = fixture.connect();
+        first.send_request(2);
+        third.send_request(1);
+        let requests = [fixture.next_request().await, fixture.next_request().await];
+        for request in &requests {
+            fixture.serve(request, 3).await;
         }
-        first.take(SERVED + 3).await;
+        first.read(SERVED_OVERHEAD_BYTES + 3).await;
         let mut second = second;
-        assert!(second.is_ended().await);
+        assert!(second.is_closed_cleanly().await);
     });
 }
 
 #[test]
 fn damage_does_not_cut_the_answer_that_is_half_written() {
-    play(9, async |world: World| {
-        let mut client = world.connect();
+    run_with_frontend(9, async |fixture: Fixture| {
+        let mut client = fixture.connect();
         // More than the kernel buffers for a client that does not read.
         let n = 30;
-        (1..=n).for_each(|id| client.ask(id));
+        (1..=n).for_each(|id| client.send_request(id));
         for _ in 1..=n {
-            let asked = world.asked().await;
-            world.serve(&asked, 230_000).await;
+            let request = fixture.next_request().await;
+            fixture.serve(&request, 230_000).await;
         }
-        world.settle().await;
-        client.ask(n + 1);
-        let open = world.asked().await;
+        fixture.run_all_tasks().await;
+        client.send_request(n + 1);
+        let open = fixture.next_request().await;
         client.write(&[0xc1; 8]);
         // The open request is abandoned and answered with `Lost`.
         assert!(
-            matches!(world.event().await, Event::Disconnected { responder: client } if client == open.caller.key())
+            matches!(fixture.next_event().await, Event::Disconnected { responder: client } if client == open.responder.key())
         );
         for id in 1..=n {
-            let answer = client.take(SERVED + 230_000).await;
+            let answer = client.read(SERVED_OVERHEAD_BYTES + 230_000).await;
             assert_eq!(answer[..4], [0x94, 0x01, id, 0xc0]);
         }
-        let answer = client.take(LOST).await;
+        let answer = client.read(LOST_ANSWER_BYTES).await;
         assert_eq!(answer[..5], [0x94, 0x01, n + 1, 0x92, 0xa4], "{answer:?}");
-        assert!(client.is_ended().await);
+        assert!(client.is_closed_cleanly().await);
         // The dispatcher's own answer comes too late and is dropped: a txn gets one answer.
-        open.caller.reject(open.id, None);
+        open.responder.reject(open.id, None);
     });
 }
 
 #[test]
 fn who_leaves_after_half_a_message_is_seen_to_leave() {
-    play(9, async |world: World| {
-        let client = world.connect();
-        client.ask(1);
-        let asked = world.asked().await;
-        client.write(&request(2, 2)[..20]);
+    run_with_frontend(9, async |fixture: Fixture| {
+        let client = fixture.connect();
+        client.send_request(1);
+        let request = fixture.next_request().await;
+        client.write(&encode_request(2, 2)[..20]);
         // Until the message timeout has passed, after which no more input is accepted.
-        world.clock.sleep(Span::from_millis(3_000)).await;
-        client.leave();
+        fixture.clock.sleep(Span::from_millis(3_000)).await;
+        client.disconnect();
         assert!(
-            matches!(world.event().await, Event::Disconnected { responder: client } if client == asked.caller.key())
+            matches!(fixture.next_event().await, Event::Disconnected { responder: client } if client == request.responder.key())
         );
     });
 }
--- a/gateway/tests/common/mod.rs
+++ b/gateway/tests/common/mod.rs
@@ -33,7 +33,7 @@
 
 pub struct Client {
     stream: TcpStream,
-    held: Vec<u8>,
+    buffer: Vec<u8>,
     next: u32,
 }
 
@@ -43,7 +43,7 @@
     pub fn of(gateway: &Gateway) -> Client {
         let stream = TcpStream::connect(gateway.address).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        Client { stream, held: Vec::new(), next: 0 }
+        Client { stream, buffer: Vec::new(), next: 0 }
     }
 
     /// Sends a request and returns its trace id.
@@ -64,15 +64,15 @@
     pub fn answer_within(&mut self, most: Duration) -> Option<Answer> {
         self.stream.set_read_timeout(Some(most)).unwrap();
         loop {
-            if let Some((answer, n)) = client::answer(&self.held).unwrap() {
-                self.held.drain(..n);
+            if let Some((answer, n)) = client::answer(&self.buffer).unwrap() {
+                self.buffer.drain(..n);
                 return Some(answer);
             }
             let mut bytes = [0; 64 * 1024];
             match self.stream.read(&mut bytes) {
                 Ok(n) => {
                     assert!(n > 0, "the gateway closed");
-                    self.held.extend_from_slice(&bytes[..n]);
+                    self.buffer.extend_from_slice(&bytes[..n]);
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => return None,
--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -11,21 +11,21 @@
 
 #[test]
 fn a_keyed_txn_carries_its_mark_on_every_hop() {
-    let origin = Cache::start({
+    let origin = StubCache::start({
         let hops = std::sync::Mutex::new(0);
         move |_| {
             let mut hops = hops.lock().unwrap();
             *hops += 1;
             // The first hop ends without a response: it may have run.
-            if *hops == 1 { Reply::SendAndClose(Vec::new()) } else { ok(b"done") }
+            if *hops == 1 { Reply::SendAndClose(Vec::new()) } else { ok_response(b"done") }
         }
     });
-    let members = [Member("e1", "box", nobody()), Member("o", "origin", origin.address)];
-    let mut all = config(&members, nobody(), 64);
+    let members = [Member("e1", "box", unused_address()), Member("o", "origin", origin.address)];
+    let mut all = config(&members, unused_address(), 64);
     all["settings"]["Classes"][1]["Repeat"] = json!("token");
     all["settings"]["Classes"][1]["MemorySpanUs"] = json!(20_000_000);
     let gateway = Gateway::start(&all);
-    let mut client = Client::of(&gateway);
+    let mut client = Client::connect(&gateway);
     let fields = [
         ("req", "9b1f03aa5c7e2d41"),
         ("timeout", "15000"),
@@ -34,212 +34,212 @@
         ("set", "1"),
         ("opkey", "66807aca08cfaa191114271c0d90e573"),
     ];
-    client.ask_with("commit", &fields, b"x");
+    client.send_request_with("commit", &fields, b"x");
     for _ in 0..2 {
-        assert_eq!(origin.came().field("X-Op-Key"), Some("66807aca08cfaa191114271c0d90e573"));
+        assert_eq!(origin.next_request().header("X-Op-Key"), Some("66807aca08cfaa191114271c0d90e573"));
     }
-    assert_eq!(client.answer().body, b"done");
+    assert_eq!(client.read_answer().body, b"done");
 }
 
 /// A gateway with one descriptor for hops, which a txn at an edge cache occupies: every other hop waits.
-struct Full {
+struct SaturatedGateway {
     gateway: Gateway,
-    edge: Cache,
+    edge: StubCache,
     release: std::sync::mpsc::Sender<()>,
-    bulletin: Bulletin,
+    discovery: DiscoveryServer,
     client: Client,
     /// The number of the last discovery event.
-    no: u64,
+    last_event: u64,
 }
 
-impl Full {
-    fn start(more: &[Member], edit: impl FnOnce(&mut serde_json::Value)) -> Full {
-        let (edge, release) = Cache::holding(b"held");
-        let bulletin = Bulletin::start(Vec::new());
+impl SaturatedGateway {
+    fn start(more: &[Member], edit: impl FnOnce(&mut serde_json::Value)) -> SaturatedGateway {
+        let (edge, release) = StubCache::answering_on_command(b"held");
+        let discovery = DiscoveryServer::start(Vec::new());
         let members = [&[Member("e1", "box", edge.address)], more].concat();
-        let mut all = config(&members, bulletin.address, 64);
+        let mut all = config(&members, discovery.address, 64);
         all["limits"]["sockets"] = json!(33);
         // Longer than the test's timeout, so that no wait ends by itself.
         all["settings"]["PolicyLimits"]["ConnectTimeoutUs"] = json!(60_000_000);
         edit(&mut all);
         let gateway = Gateway::start(&all);
-        bulletin.asked();
-        let mut client = Client::of(&gateway);
-        client.ask("segment", 1, 30_000, &[]);
-        edge.came();
-        Full { gateway, edge, release, bulletin, client, no: 1 }
+        discovery.next_subscription();
+        let mut client = Client::connect(&gateway);
+        client.send_request("segment", 1, 30_000, &[]);
+        edge.next_request();
+        SaturatedGateway { gateway, edge, release, discovery, client, last_event: 1 }
     }
 
     fn wait_until(&mut self, what: &str, n: usize) {
-        while self.gateway.now()[what] != n {}
+        while self.gateway.gauges()[what] != n {}
     }
 
     /// Waits until one more hop is waiting for a descriptor.
-    fn waits(&mut self) {
+    fn wait_for_second_hop(&mut self) {
         self.wait_until("hops out", 2);
     }
 
-    fn tell(&mut self, list: serde_json::Value) {
-        self.no += 1;
-        self.bulletin.tell(&change(self.no, list));
+    fn send_roster(&mut self, list: serde_json::Value) {
+        self.last_event += 1;
+        self.discovery.send_line(&roster_event(self.last_event, list));
     }
 }
 
 #[test]
 fn a_waiting_hop_does_not_go_to_a_member_that_has_begun_to_drain() {
-    let origin = Cache::start(|_| ok(b"done"));
+    let origin = StubCache::start(|_| ok_response(b"done"));
     let member = Member("o", "origin", origin.address);
-    let mut full = Full::start(&[member], |_| {});
-    full.client.ask("commit", 2, 30_000, b"x");
-    full.waits();
-    full.tell(json!([endpoint(&member, "draining")]));
+    let mut full = SaturatedGateway::start(&[member], |_| {});
+    full.client.send_request("commit", 2, 30_000, b"x");
+    full.wait_for_second_hop();
+    full.send_roster(json!([endpoint(&member, "draining")]));
     // The write has not run and has no other member to go to: it is rejected at once, so that the client can retry.
-    assert_eq!(full.client.answer().word.as_deref(), Some("Backoff"));
+    assert_eq!(full.client.read_answer().error.as_deref(), Some("Backoff"));
     full.release.send(()).unwrap();
-    assert_eq!(full.client.answer().body, b"held");
-    assert_eq!(origin.came_so_far(), 0);
+    assert_eq!(full.client.read_answer().body, b"held");
+    assert_eq!(origin.take_request_count(), 0);
 }
 
 #[test]
 fn a_waiting_hop_goes_where_its_member_is_when_it_goes() {
-    let [old, new] = [Cache::start(|_| ok(b"old")), Cache::start(|_| ok(b"new"))];
-    let mut full = Full::start(&[Member("o", "origin", old.address)], |_| {});
-    full.client.ask("commit", 2, 30_000, b"x");
-    full.waits();
-    full.tell(json!([endpoint(&Member("o", "origin", new.address), "up")]));
-    full.bulletin.tell(&json!({"no": 3, "recall": {"lot": 200, "issued": 1}}).to_string());
+    let [old, new] = [StubCache::start(|_| ok_response(b"old")), StubCache::start(|_| ok_response(b"new"))];
+    let mut full = SaturatedGateway::start(&[Member("o", "origin", old.address)], |_| {});
+    full.client.send_request("commit", 2, 30_000, b"x");
+    full.wait_for_second_hop();
+    full.send_roster(json!([endpoint(&Member("o", "origin", new.address), "up")]));
+    full.discovery.send_line(&json!({"no": 3, "recall": {"lot": 200, "issued": 1}}).to_string());
     full.wait_until("purges kept", 1);
     full.release.send(()).unwrap();
-    assert_eq!(full.client.answer().body, b"held");
-    assert_eq!(full.client.answer().body, b"new");
-    assert_eq!(old.came_so_far(), 0);
+    assert_eq!(full.client.read_answer().body, b"held");
+    assert_eq!(full.client.read_answer().body, b"new");
+    assert_eq!(old.take_request_count(), 0);
 }
 
 #[test]
 fn a_waiting_hop_heeds_a_purge_that_comes_before_it_goes() {
     for purge in [json!({"item": "0000000000000002", "issued": 1}), json!({"lot": 17, "issued": 1})] {
-        let mut full = Full::start(&[Member("o", "origin", nobody())], |_| {});
-        full.client.ask("segment", 2, 30_000, &[]);
-        full.waits();
-        full.bulletin.tell(&json!({"no": 2, "recall": purge}).to_string());
+        let mut full = SaturatedGateway::start(&[Member("o", "origin", unused_address())], |_| {});
+        full.client.send_request("segment", 2, 30_000, &[]);
+        full.wait_for_second_hop();
+        full.discovery.send_line(&json!({"no": 2, "recall": purge}).to_string());
         full.wait_until("purges kept", 1);
         full.release.send(()).unwrap();
-        assert!(full.edge.came().field("X-Max-Age-Ms").is_some(), "an older copy may be served");
+        assert!(full.edge.next_request().header("X-Max-Age-Ms").is_some(), "an older copy may be served");
         full.release.send(()).unwrap();
-        assert_eq!([full.client.answer().body, full.client.answer().body], [b"held", b"held"]);
+        assert_eq!([full.client.read_answer().body, full.client.read_answer().body], [b"held", b"held"]);
     }
 }
 
 #[test]
 fn a_waiting_hop_is_not_filled_from_a_parent_that_has_gone() {
-    let parent = Member("p1", "parent", nobody());
-    let mut full = Full::start(&[parent, Member("o", "origin", nobody())], |_| {});
-    full.client.ask("segment", 2, 30_000, &[]);
-    full.waits();
-    full.tell(json!([endpoint(&parent, "removed")]));
-    full.bulletin.tell(&json!({"no": 3, "recall": {"lot": 200, "issued": 1}}).to_string());
+    let parent = Member("p1", "parent", unused_address());
+    let mut full = SaturatedGateway::start(&[parent, Member("o", "origin", unused_address())], |_| {});
+    full.client.send_request("segment", 2, 30_000, &[]);
+    full.wait_for_second_hop();
+    full.send_roster(json!([endpoint(&parent, "removed")]));
+    full.discovery.send_line(&json!({"no": 3, "recall": {"lot": 200, "issued": 1}}).to_string());
     full.wait_until("purges kept", 1);
     full.release.send(()).unwrap();
-    assert_eq!(full.edge.came().field("X-Fill-From"), Some("o"));
+    assert_eq!(full.edge.next_request().header("X-Fill-From"), Some("o"));
 }
 
 #[test]
 fn a_waiting_hop_is_not_begun_once_caches_have_forgotten_the_first() {
-    let (origin, cut) = Cache::cutting();
-    let mut full = Full::start(&[Member("o", "origin", origin.address)], |all| {
+    let (origin, cut) = StubCache::closing_on_command();
+    let mut full = SaturatedGateway::start(&[Member("o", "origin", origin.address)], |all| {
         all["settings"]["Classes"][1]["Repeat"] = json!("token");
         all["settings"]["Classes"][1]["MemorySpanUs"] = json!(1_000_000);
     });
     full.release.send(()).unwrap();
-    assert_eq!(full.client.answer().body, b"held");
-    full.client.ask("commit", 2, 30_000, b"x");
-    origin.came();
+    assert_eq!(full.client.read_answer().body, b"held");
+    full.client.send_request("commit", 2, 30_000, b"x");
+    origin.next_request();
     // Waits for the descriptor of the write's first hop and takes it when that hop ends.
-    full.client.ask("segment", 3, 30_000, &[]);
-    full.waits();
+    full.client.send_request("segment", 3, 30_000, &[]);
+    full.wait_for_second_hop();
     cut.send(()).unwrap();
-    full.edge.came();
-    assert_eq!(full.client.answer().word.as_deref(), Some("Backoff"));
+    full.edge.next_request();
+    assert_eq!(full.client.read_answer().error.as_deref(), Some("Backoff"));
     full.release.send(()).unwrap();
-    assert_eq!(full.client.answer().body, b"held");
-    assert_eq!(origin.came_so_far(), 0);
+    assert_eq!(full.client.read_answer().body, b"held");
+    assert_eq!(origin.take_request_count(), 0);
 }
 
 #[test]
 fn a_waiting_hop_does_not_go_once_its_client_has_left_or_taken_it_back() {
-    let origin = Cache::start(|_| ok(b"done"));
-    let mut full = Full::start(&[Member("o", "origin", origin.address)], |_| {});
-    let mut other = Client::of(&full.gateway);
-    other.ask("commit", 2, 30_000, b"left");
-    full.waits();
+    let origin = StubCache::start(|_| ok_response(b"done"));
+    let mut full = SaturatedGateway::start(&[Member("o", "origin", origin.address)], |_| {});
+    let mut other = Client::connect(&full.gateway);
+    other.send_request("commit", 2, 30_000, b"left");
+    full.wait_for_second_hop();
     drop(other);
     full.wait_until("hops out", 1);
-    let id = full.client.ask("commit", 3, 30_000, b"taken back");
-    full.waits();
-    full.client.interrupt(id);
+    let id = full.client.send_request("commit", 3, 30_000, b"taken back");
+    full.wait_for_second_hop();
+    full.client.cancel(id);
     full.wait_until("hops out", 1);
-    full.client.ask("commit", 4, 30_000, b"stays");
-    full.waits();
+    full.client.send_request("commit", 4, 30_000, b"stays");
+    full.wait_for_second_hop();
     full.release.send(()).unwrap();
-    assert_eq!(origin.came().body, b"stays");
-    assert_eq!(origin.came_so_far(), 0);
+    assert_eq!(origin.next_request().body, b"stays");
+    assert_eq!(origin.take_request_count(), 0);
 }
 
 #[test]
 fn a_bulletin_that_sends_bytes_but_no_line_is_asked_again() {
-    let bulletin = Bulletin::start(Vec::new());
-    let _gateway = Gateway::start(&config(&[Member("o", "origin", nobody())], bulletin.address, 64));
-    bulletin.asked();
-    let first = bulletin.last.lock().unwrap().as_ref().unwrap().try_clone().unwrap();
-    let asked = || bulletin.told.recv_timeout(Duration::from_millis(50)).is_ok();
+    let discovery = DiscoveryServer::start(Vec::new());
+    let _gateway = Gateway::start(&config(&[Member("o", "origin", unused_address())], discovery.address, 64));
+    discovery.next_subscription();
+    let first = discovery.last_connection.lock().unwrap().as_ref().unwrap().try_clone().unwrap();
+    let subscribed = || discovery.subscriptions.recv_timeout(Duration::from_millis(50)).is_ok();
     // Bytes of an endless line at intervals below the idle timeout, for longer than that timeout.
-    let asks_again = (0..400).any(|_| {
+    let reconnects = (0..400).any(|_| {
         _ = (&first).write_all(b" ");
-        asked()
+        subscribed()
     });
-    assert!(asks_again, "the client stays on a connection that delivers no complete line");
+    assert!(reconnects, "the client stays on a connection that delivers no complete line");
 }
 
 #[test]
 fn numbers_below_the_last_are_neither_news_nor_a_reason_to_ask() {
-    let edge = Cache::start(|_| ok(b"x"));
-    let bulletin = Bulletin::start(Vec::new());
+    let edge = StubCache::start(|_| ok_response(b"x"));
+    let discovery = DiscoveryServer::start(Vec::new());
     let member = Member("e1", "box", edge.address);
     let mut gateway =
-        Gateway::start(&config(&[member, Member("o", "origin", nobody())], bulletin.address, 64));
-    bulletin.asked();
-    bulletin.tell(&json!({"no": 2, "recall": {"lot": 200, "issued": 1}}).to_string());
-    while gateway.now()["purges kept"] != 1 {}
+        Gateway::start(&config(&[member, Member("o", "origin", unused_address())], discovery.address, 64));
+    discovery.next_subscription();
+    discovery.send_line(&json!({"no": 2, "recall": {"lot": 200, "issued": 1}}).to_string());
+    while gateway.gauges()["purges kept"] != 1 {}
     // An event number that was already delivered: numbers also continue across address changes, so this one is ignored.
-    bulletin.tell(&change(1, json!([endpoint(&member, "removed")])));
-    bulletin.tell("1");
-    bulletin.tell(&json!({"no": 3, "recall": {"lot": 201, "issued": 1}}).to_string());
-    while gateway.now()["purges kept"] != 2 {}
-    let mut client = Client::of(&gateway);
-    client.ask("segment", 1, 15_000, &[]);
-    assert_eq!(client.answer().body, b"x");
-    assert!(bulletin.told.try_recv().is_err());
+    discovery.send_line(&roster_event(1, json!([endpoint(&member, "removed")])));
+    discovery.send_line("1");
+    discovery.send_line(&json!({"no": 3, "recall": {"lot": 201, "issued": 1}}).to_string());
+    while gateway.gauges()["purges kept"] != 2 {}
+    let mut client = Client::connect(&gateway);
+    client.send_request("segment", 1, 15_000, &[]);
+    assert_eq!(client.read_answer().body, b"x");
+    assert!(discovery.subscriptions.try_recv().is_err());
 }
 
 #[test]
 fn a_flood_of_idle_clients_leaves_a_descriptor_for_the_bulletin_and_one_for_a_cache() {
-    let edge = Cache::start(|_| ok(b"x"));
-    let down = nobody();
-    let mut all = config(&[Member("o", "origin", nobody())], down, 64);
+    let edge = StubCache::start(|_| ok_response(b"x"));
+    let down = unused_address();
+    let mut all = config(&[Member("o", "origin", unused_address())], down, 64);
     all["limits"]["sockets"] = json!(33);
     let gateway = Gateway::start_limited(&all);
     // More clients than descriptors, while the discovery service is unreachable.
-    let flood: Vec<Client> = (0..60).map(|_| Client::of(&gateway)).collect();
-    let mut client = Client::of(&gateway);
-    assert!(client.check());
-    let bulletin = Bulletin::start(Vec::new());
-    all["bulletin"] = json!(bulletin.address.to_string());
-    gateway.replace(&all.to_string());
-    assert_eq!(bulletin.asked(), "after 1\n");
-    bulletin.tell(&change(2, json!([endpoint(&Member("e1", "box", edge.address), "up")])));
+    let flood: Vec<Client> = (0..60).map(|_| Client::connect(&gateway)).collect();
+    let mut client = Client::connect(&gateway);
+    assert!(client.is_ready());
+    let discovery = DiscoveryServer::start(Vec::new());
+    all["bulletin"] = json!(discovery.address.to_string());
+    gateway.replace_config(&all.to_string());
+    assert_eq!(discovery.next_subscription(), "after 1\n");
+    discovery.send_line(&roster_event(2, json!([endpoint(&Member("e1", "box", edge.address), "up")])));
     loop {
-        client.ask("segment", 1, 15_000, &[]);
-        if client.answer().body == b"x" {
+        client.send_request("segment", 1, 15_000, &[]);
+        if client.read_answer().body == b"x" {
             break;
         }
     }
@@ -257,7 +257,7 @@
     let mut file = std::fs::OpenOptions::new().write(true).open(&path).unwrap();
     let kill = format!("kill -s USR1 {}", child.id());
     assert!(Command::new("sh").args(["-c", &kill]).status().unwrap().success());
-    file.write_all(config(&[], nobody(), 64).to_string().as_bytes()).unwrap();
+    file.write_all(config(&[], unused_address(), 64).to_string().as_bytes()).unwrap();
     drop(file);
     let mut line = String::new();
     BufReader::new(child.stderr.take().unwrap()).read_line(&mut line).unwrap();
@@ -269,8 +269,12 @@
 
 #[test]
 fn a_configuration_of_another_deployment_starts_and_serves() {
-    let edge = Cache::start(|_| ok(b"x"));
-    let mut all = config(&[Member("e1", "box", edge.address), Member("o", "origin", nobody())], nobody(), 64);
+    let edge = StubCache::start(|_| ok_response(b"x"));
+    let mut all = config(
+        &[Member("e1", "box", edge.address), Member("o", "origin", unused_address())],
+        unused_address(),
+        64,
+    );
     // Hundreds of zones, no parents, optional settings left out, and unknown settings.
     let settings = all["settings"].as_object_mut().unwrap();
     settings["Zones"] = (0..500).map(|n| format!("zone {n}")).collect::<Vec<_>>().into();
@@ -282,65 +286,66 @@
     }
     let family = settings["FamilyInfo"].as_object_mut().unwrap();
     family["ParentKind"] = json!(-1);
-    let untold = ["CrewByZone", "ParentColdFrom", "UpperColdUs", "ParentFallMultiple", "ClientKbPerS"];
-    family.retain(|name, _| !untold.contains(&name.as_str()));
+    let omitted = ["CrewByZone", "ParentColdFrom", "UpperColdUs", "ParentFallMultiple", "ClientKbPerS"];
+    family.retain(|name, _| !omitted.contains(&name.as_str()));
     let listed = all["known"]["items"][0]["roster"]["endpoints"].as_array_mut().unwrap();
     listed[0]["zone"] = json!("zone 400");
-    let mut odd = listed[0].clone();
-    (odd["name"], odd["status"], odd["type"]) = (json!("e2"), json!("resting"), json!("unheard of"));
-    odd["address"] = json!(nobody().to_string());
-    listed.push(odd);
+    let mut unusual = listed[0].clone();
+    (unusual["name"], unusual["status"], unusual["type"]) =
+        (json!("e2"), json!("resting"), json!("unheard of"));
+    unusual["address"] = json!(unused_address().to_string());
+    listed.push(unusual);
     let gateway = Gateway::start(&all);
-    let mut client = Client::of(&gateway);
+    let mut client = Client::connect(&gateway);
     for object in 0..20 {
-        client.ask("segment", object, 15_000, &[]);
-        assert_eq!(client.answer().body, b"x");
+        client.send_request("segment", object, 15_000, &[]);
+        assert_eq!(client.read_answer().body, b"x");
     }
 }
 
 #[test]
 fn answers_that_never_end_cost_their_time_and_give_back_their_room() {
-    let edge = Cache::start(|seen| {
-        let body = bytes_of("whole", 240_000);
-        let whole = answer("200 OK", "", &body);
+    let edge = StubCache::start(|request| {
+        let body = body_for_path("whole", 240_000);
+        let complete = http_response("200 OK", "", &body);
         // Two responses that stop in the middle; each holds half of the available memory.
-        let stops = ["/x/segment/0000000000000001/3", "/x/segment/0000000000000002/3"];
-        let stops = stops.iter().any(|path| seen.head.contains(path));
-        Reply::Send(if stops { whole[..1_000].to_vec() } else { whole })
+        let stalled = ["/x/segment/0000000000000001/3", "/x/segment/0000000000000002/3"];
+        let stalled = stalled.iter().any(|path| request.head.contains(path));
+        Reply::Send(if stalled { complete[..1_000].to_vec() } else { complete })
     });
-    let members = [Member("e1", "box", edge.address), Member("o", "origin", nobody())];
-    let mut gateway = Gateway::start(&config(&members, nobody(), 1));
-    let mut client = Client::of(&gateway);
-    let stopped = [client.ask("segment", 1, 700, &[]), client.ask("segment", 2, 700, &[])];
-    edge.came();
-    edge.came();
-    let whole = client.ask("segment", 3, 15_000, &[]);
+    let members = [Member("e1", "box", edge.address), Member("o", "origin", unused_address())];
+    let mut gateway = Gateway::start(&config(&members, unused_address(), 1));
+    let mut client = Client::connect(&gateway);
+    let stopped = [client.send_request("segment", 1, 700, &[]), client.send_request("segment", 2, 700, &[])];
+    edge.next_request();
+    edge.next_request();
+    let complete = client.send_request("segment", 3, 15_000, &[]);
     let mut served = Vec::new();
     for _ in 0..3 {
-        let answer = client.answer();
-        if answer.word.is_none() {
-            served.push((answer.id, answer.body == bytes_of("whole", 240_000)));
+        let answer = client.read_answer();
+        if answer.error.is_none() {
+            served.push((answer.id, answer.body == body_for_path("whole", 240_000)));
         } else {
             assert!(stopped.contains(&answer.id));
         }
     }
-    assert_eq!(served, [(whole, true)]);
+    assert_eq!(served, [(complete, true)]);
     // Their connections are closed, and no hop is left.
-    edge.closed();
-    edge.closed();
-    assert_eq!(gateway.now()["hops out"], 0);
+    edge.wait_until_closed();
+    edge.wait_until_closed();
+    assert_eq!(gateway.gauges()["hops out"], 0);
 }
 
 #[test]
 fn a_client_that_closes_its_half_has_gone() {
     // The protocol has no half-closed connections: a client that has closed its write side counts as disconnected.
-    let (edge, _release) = Cache::holding(b"x");
+    let (edge, _release) = StubCache::answering_on_command(b"x");
     let mut gateway = Gateway::with_edge(&edge);
-    let mut client = Client::of(&gateway);
-    client.ask("segment", 1, 15_000, &[]);
-    edge.came();
+    let mut client = Client::connect(&gateway);
+    client.send_request("segment", 1, 15_000, &[]);
+    edge.next_request();
     client.stream.shutdown(std::net::Shutdown::Write).unwrap();
     // Its hop is cancelled.
-    while gateway.now()["hops out"] > 0 {}
+    while gateway.gauges()["hops out"] > 0 {}
     assert!(client.is_closed());
 }
--- a/gateway/tests/parsers.rs
+++ b/gateway/tests/parsers.rs
@@ -42,7 +42,7 @@
 }
 
 /// Feeds bytes in pieces as a socket might deliver them, decoding all complete messages after each piece.
-fn fed(bytes: &[u8], cuts: &[usize]) -> (Vec<Message>, Option<DecodeError>) {
+fn decode_in_pieces(bytes: &[u8], cuts: &[usize]) -> (Vec<Message>, Option<DecodeError>) {
     let (mut held, mut all, mut rest) = (Vec::new(), Vec::new(), bytes);
     let mut cuts = cuts.iter();
     while !rest.is_empty() {
@@ -51,9 +51,9 @@
         rest = &rest[n..];
         while let Some((message, len)) = match rpc::decode_message(&held) {
             Ok(found) => found,
-            Err((fault, len)) => {
+            Err((error, len)) => {
                 assert!(len > 0 && len <= held.len());
-                return (all, Some(fault));
+                return (all, Some(error));
             }
         } {
             assert!(len > 0 && len <= held.len());
@@ -65,12 +65,12 @@
 }
 
 #[test]
-fn messages_are_the_same_however_they_are_split() {
+fn decoding_a_message_does_not_depend_on_how_it_is_split() {
     check::<fn(Vec<u8>, Vec<usize>) -> bool>(|body: Vec<u8>, cuts: Vec<usize>| {
         let check = b"\x94\x00\x02\xa5check\x91\x80".to_vec();
-        let stop = b"\x93\x02\xa9interrupt\x91\x01".to_vec();
-        let bytes = [request(1, &body), check, stop, request(9, &[])].concat();
-        let (all, fault) = fed(&bytes, &cuts);
+        let cancel = b"\x93\x02\xa9interrupt\x91\x01".to_vec();
+        let bytes = [request(1, &body), check, cancel, request(9, &[])].concat();
+        let (all, error) = decode_in_pieces(&bytes, &cuts);
         let Message::Request { id: 1, method, request } = &all[0] else { return false };
         assert_eq!(
             (method.as_str(), request.object, request.part, request.timeout_ms),
@@ -81,7 +81,7 @@
             ("9b1f03aa5c7e2d41", Some(412.5), &body)
         );
         let rest = [Message::HealthCheck { id: 2 }, Message::Cancel { ids: vec![1] }];
-        fault.is_none()
+        error.is_none()
             && all[1..3] == rest
             && matches!(all[3], Message::Request { id: 9, .. })
             && all.len() == 4
@@ -89,24 +89,24 @@
 }
 
 #[test]
-fn damaged_messages_end_in_a_message_or_a_fault_and_nothing_else() {
+fn corrupted_messages_yield_a_message_or_an_error_and_nothing_else() {
     check::<fn(Vec<u8>, Vec<usize>, Vec<(usize, u8)>) -> bool>(
-        |body: Vec<u8>, cuts: Vec<usize>, hits: Vec<(usize, u8)>| {
+        |body: Vec<u8>, cuts: Vec<usize>, corruptions: Vec<(usize, u8)>| {
             let mut bytes = [request(1, &body), request(2, &body)].concat();
-            for (at, with) in hits {
+            for (at, with) in corruptions {
                 let at = at % bytes.len();
                 bytes[at] = with;
             }
             // The result does not depend on how the input was split.
-            fed(&bytes, &cuts) == fed(&bytes, &[])
+            decode_in_pieces(&bytes, &cuts) == decode_in_pieces(&bytes, &[])
         },
     );
-    check::<fn(Vec<u8>) -> bool>(|bytes: Vec<u8>| fed(&bytes, &[]).0.len() <= bytes.len());
+    check::<fn(Vec<u8>) -> bool>(|bytes: Vec<u8>| decode_in_pieces(&bytes, &[]).0.len() <= bytes.len());
 }
 
 #[test]
-fn fields_that_the_protocol_does_not_allow_are_refused_by_their_message() {
-    let refused = |fields: &[(&str, &str)], body: &[u8]| {
+fn invalid_fields_are_rejected_with_the_id_of_their_message() {
+    let rejected = |fields: &[(&str, &str)], body: &[u8]| {
         let bytes = request_with(9, fields, body);
         matches!(rpc::decode_message(&bytes), Err((DecodeError::Invalid { id: Some(9), .. }, n)) if n == bytes.len())
     };
@@ -125,23 +125,23 @@
         for value in values.split(' ').chain([""]) {
             let others = FIELDS.into_iter().filter(|f| f.0 != name);
             let fields: Vec<_> = others.chain([(name, value)]).collect();
-            assert!(refused(&fields, &[]), "{name} {value}");
+            assert!(rejected(&fields, &[]), "{name} {value}");
         }
     }
     for i in 0..FIELDS.len() - 1 {
         let without = [&FIELDS[..i], &FIELDS[i + 1..]].concat();
-        assert!(refused(&without, &[]));
-        assert!(refused(&[&FIELDS[..], &FIELDS[i..i + 1]].concat(), &[]));
+        assert!(rejected(&without, &[]));
+        assert!(rejected(&[&FIELDS[..], &FIELDS[i..i + 1]].concat(), &[]));
     }
-    assert!(refused(&FIELDS, &[0; 48_001]) && !refused(&FIELDS, &[0; 48_000]));
+    assert!(rejected(&FIELDS, &[0; 48_001]) && !rejected(&FIELDS, &[0; 48_000]));
     let more =
         [&FIELDS[..], &[("seen", "4be0c1927d55a6f3"), ("resent", "1"), ("opkey", "a-1"), ("else", "x")]]
             .concat();
-    assert!(!refused(&more, &[]));
+    assert!(!rejected(&more, &[]));
 }
 
 #[test]
-fn a_frame_beyond_its_bound_is_refused_before_it_is_whole() {
+fn an_oversized_frame_is_rejected_before_it_is_complete() {
     let long = request(7, &vec![0; rpc::MAX_FRAME_BYTES + 1]);
     assert_eq!(rpc::decode_message(&long[..200]), Err((DecodeError::Malformed { id: Some(7) }, 200)));
     let write = request(7, &vec![1; 48_000]);
@@ -151,12 +151,12 @@
 }
 
 #[test]
-fn answers_are_written_as_the_protocol_shows() {
+fn answers_are_encoded_as_the_protocol_specifies() {
     let (head, tail) = rpc::encode_served(7, 5, false);
     assert_eq!((head, tail), (b"\x94\x01\x07\xc0\x92\xc6\x00\x00\x00\x05".to_vec(), b"\x80".to_vec()));
     assert_eq!(rpc::encode_served(200, 0, true).1, b"\x81\xa7current\xa11");
-    let refused = rpc::encode_error(70_000, ErrorCode::Backoff, &[("holdoff", "250")]);
-    assert_eq!(refused, b"\x94\x01\xce\x00\x01\x11\x70\x92\xa7Backoff\x81\xa7holdoff\xa3250\xc0");
+    let rejected = rpc::encode_error(70_000, ErrorCode::Backoff, &[("holdoff", "250")]);
+    assert_eq!(rejected, b"\x94\x01\xce\x00\x01\x11\x70\x92\xa7Backoff\x81\xa7holdoff\xa3250\xc0");
     assert_eq!(rpc::encode_error(200, ErrorCode::Lost, &[]), b"\x94\x01\xcd\x00\xc8\x92\xa4Lost\x80\xc0");
     assert_eq!(rpc::encode_health(8, true), b"\x94\x01\x08\xc0\x92\xc3\x80");
 }
@@ -165,20 +165,20 @@
     X-Waited-Ms: 31\r\nX-Stats: inflight:7;x1:0.61\r\nConnection: keep-alive\r\n\r\n";
 
 #[test]
-fn heads_are_the_same_however_they_are_split() {
+fn parsing_a_head_does_not_depend_on_how_it_is_split() {
     let (whole, len) = http::parse_head(HEAD).unwrap().unwrap();
-    let stats = Some(b"inflight:7;x1:0.61".to_vec());
-    let (note, waited) = (Some(CacheStatus::FilledByOrigin), Some(Span::from_millis(31)));
-    let told = ResponseHead {
+    let load_report = Some(b"inflight:7;x1:0.61".to_vec());
+    let (cache_status, first_byte_wait) = (Some(CacheStatus::FilledByOrigin), Some(Span::from_millis(31)));
+    let expected = ResponseHead {
         status: 200,
         content_length: 12,
         declined: false,
         close: false,
-        cache_status: note,
-        first_byte_wait: waited,
-        load_report: stats,
+        cache_status,
+        first_byte_wait,
+        load_report,
     };
-    assert_eq!((whole, len), (told, HEAD.len()));
+    assert_eq!((whole, len), (expected, HEAD.len()));
     assert!((0..HEAD.len()).all(|n| http::parse_head(&HEAD[..n]) == Ok(None)));
     // Preceding interim responses count towards the length, and the connection is not reused.
     let interim = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 P\r\n\r\n";
@@ -192,10 +192,10 @@
 }
 
 #[test]
-fn damaged_heads_are_refused_or_read_but_never_beyond_their_end() {
-    check::<fn(Vec<(usize, u8)>, Vec<u8>) -> bool>(|hits: Vec<(usize, u8)>, more: Vec<u8>| {
+fn corrupted_heads_are_rejected_or_parsed_but_never_beyond_their_end() {
+    check::<fn(Vec<(usize, u8)>, Vec<u8>) -> bool>(|corruptions: Vec<(usize, u8)>, more: Vec<u8>| {
         let mut bytes = [HEAD, &more].concat();
-        for (at, with) in hits {
+        for (at, with) in corruptions {
             let at = at % HEAD.len();
             bytes[at] = with;
         }
@@ -236,7 +236,7 @@
 
 #[test]
 fn ages_and_times_are_rounded_so_that_no_rule_is_loosened() {
-    let fill = |oldest| {
+    let fill = |max_age| {
         let source = Arc::from("p1");
         Fill {
             source,
@@ -244,7 +244,7 @@
             coalesce: true,
             only_if_cached: false,
             revalidate: true,
-            max_age: Some(oldest),
+            max_age: Some(max_age),
         }
     };
     let head = |micros: u64| {
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn the_pool_hands_out_no_more_than_its_bound_and_makes_the_rest_wait() {
+fn the_pool_allocates_no_more_than_its_limit_and_further_allocations_wait() {
     let pool = Pool::new(10 * BUFFER_BYTES);
     assert!(block_on(pool.allocate(10 * BUFFER_BYTES + 1)).is_none());
     check::<fn(Vec<usize>) -> bool>(|lens: Vec<usize>| {
--- a/gateway/tests/stand_ins/mod.rs
+++ b/gateway/tests/stand_ins/mod.rs
@@ -13,19 +13,19 @@
 use std::time::Duration;
 
 /// Ends a test that hangs; far longer than any step takes.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-pub type Script = dyn Fn(&Seen) -> Reply + Send + Sync;
+pub type Script = dyn Fn(&ReceivedRequest) -> Reply + Send + Sync;
 
 /// A request that a stub cache received.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedRequest {
     pub head: String,
     pub body: Vec<u8>,
 }
 
-impl Seen {
-    pub fn field(&self, name: &str) -> Option<&str> {
+impl ReceivedRequest {
+    pub fn header(&self, name: &str) -> Option<&str> {
         self.head.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(": "))
     }
 }
@@ -37,75 +37,75 @@
 }
 
 #[derive(Debug)]
-pub enum News {
-    Came(Seen),
+pub enum CacheEvent {
+    Request(ReceivedRequest),
     Closed,
 }
 
 /// A stub cache, parent or origin.
-pub struct Cache {
+pub struct StubCache {
     pub address: SocketAddr,
-    pub news: Receiver<News>,
+    pub events: Receiver<CacheEvent>,
     /// Number of connections accepted so far.
-    pub connected: Arc<AtomicUsize>,
+    pub connection_count: Arc<AtomicUsize>,
 }
 
-impl Cache {
-    pub fn start(script: impl Fn(&Seen) -> Reply + Send + Sync + 'static) -> Cache {
+impl StubCache {
+    pub fn start(script: impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static) -> StubCache {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let (address, (tell, news)) = (listener.local_addr().unwrap(), channel());
+        let (address, (sender, events)) = (listener.local_addr().unwrap(), channel());
         let script: Arc<Script> = Arc::new(script);
-        let connected: Arc<AtomicUsize> = Arc::default();
-        let count = Arc::clone(&connected);
+        let connection_count: Arc<AtomicUsize> = Arc::default();
+        let count = Arc::clone(&connection_count);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 count.fetch_add(1, Ordering::SeqCst);
-                let (script, tell) = (Arc::clone(&script), tell.clone());
+                let (script, sender) = (Arc::clone(&script), sender.clone());
                 thread::spawn(move || {
-                    talk(stream, &*script, &tell);
-                    _ = tell.send(News::Closed);
+                    serve_connection(stream, &*script, &sender);
+                    _ = sender.send(CacheEvent::Closed);
                 });
             }
         });
-        Cache { address, news, connected }
+        StubCache { address, events, connection_count }
     }
 
     /// Answers each request when a message is sent on the returned channel.
-    pub fn holding(body: &'static [u8]) -> (Cache, Sender<()>) {
+    pub fn answering_on_command(body: &'static [u8]) -> (StubCache, Sender<()>) {
         let (release, released) = channel();
         let released = Mutex::new(released);
-        let cache = Cache::start(move |_| {
-            released.lock().unwrap().recv_timeout(PATIENCE).unwrap();
-            ok(body)
+        let cache = StubCache::start(move |_| {
+            released.lock().unwrap().recv_timeout(TEST_TIMEOUT).unwrap();
+            ok_response(body)
         });
         (cache, release)
     }
 
     /// Closes each connection without a response when a message is sent on the returned channel.
-    pub fn cutting() -> (Cache, Sender<()>) {
-        let (cut, told) = channel();
-        let told = Mutex::new(told);
-        let cache = Cache::start(move |_| {
-            told.lock().unwrap().recv_timeout(PATIENCE).unwrap();
+    pub fn closing_on_command() -> (StubCache, Sender<()>) {
+        let (close, command) = channel();
+        let command = Mutex::new(command);
+        let cache = StubCache::start(move |_| {
+            command.lock().unwrap().recv_timeout(TEST_TIMEOUT).unwrap();
             Reply::SendAndClose(Vec::new())
         });
-        (cache, cut)
+        (cache, close)
     }
 
-    pub fn came(&self) -> Seen {
+    pub fn next_request(&self) -> ReceivedRequest {
         loop {
-            if let News::Came(seen) = self.news.recv_timeout(PATIENCE).unwrap() {
-                return seen;
+            if let CacheEvent::Request(request) = self.events.recv_timeout(TEST_TIMEOUT).unwrap() {
+                return request;
             }
         }
     }
 
-    pub fn closed(&self) {
-        while !matches!(self.news.recv_timeout(PATIENCE).unwrap(), News::Closed) {}
+    pub fn wait_until_closed(&self) {
+        while !matches!(self.events.recv_timeout(TEST_TIMEOUT).unwrap(), CacheEvent::Closed) {}
     }
 
     /// Waits until the peer's kernel has acknowledged the FIN of every connection that was closed here.
-    pub fn wait_for_acknowledged_ends(&self) {
+    pub fn wait_for_acknowledged_fins(&self) {
         let port = format!(":{:04X}", self.address.port());
         let sent_only = |line: &str| {
             let mut parts = line.split_whitespace().skip(1);
@@ -117,12 +117,12 @@
         }
     }
 
-    pub fn came_so_far(&self) -> usize {
-        self.news.try_iter().filter(|n| matches!(n, News::Came(_))).count()
+    pub fn take_request_count(&self) -> usize {
+        self.events.try_iter().filter(|n| matches!(n, CacheEvent::Request(_))).count()
     }
 }
 
-pub fn talk(stream: TcpStream, script: &Script, tell: &Sender<News>) {
+pub fn serve_connection(stream: TcpStream, script: &Script, sender: &Sender<CacheEvent>) {
     let mut lines = BufReader::new(stream.try_clone().unwrap());
     loop {
         let mut head = String::new();
@@ -131,14 +131,14 @@
                 return;
             }
         }
-        let mut seen = Seen { head, body: Vec::new() };
-        let len = seen.field("Content-Length").map_or(0, |n| n.parse().unwrap());
-        seen.body = vec![0; len];
-        if lines.read_exact(&mut seen.body).is_err() {
+        let mut request = ReceivedRequest { head, body: Vec::new() };
+        let len = request.header("Content-Length").map_or(0, |n| n.parse().unwrap());
+        request.body = vec![0; len];
+        if lines.read_exact(&mut request.body).is_err() {
             return;
         }
-        _ = tell.send(News::Came(seen.clone()));
-        let reply = script(&seen);
+        _ = sender.send(CacheEvent::Request(request.clone()));
+        let reply = script(&request);
         let (bytes, close) = match reply {
             Reply::Send(bytes) => (bytes, false),
             Reply::SendAndClose(bytes) => (bytes, true),
@@ -151,21 +151,25 @@
 }
 
 /// An address without a listener.
-pub fn nobody() -> SocketAddr {
+pub fn unused_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
-pub fn answer(status: &str, more: &str, body: &[u8]) -> Vec<u8> {
-    let head = format!("HTTP/1.1 {status}\r\n{more}Content-Length: {}\r\n\r\n", body.len());
+pub fn http_response(status: &str, headers: &str, body: &[u8]) -> Vec<u8> {
+    let head = format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n", body.len());
     [head.as_bytes(), body].concat()
 }
 
-pub fn ok(body: &[u8]) -> Reply {
-    Reply::Send(answer("200 OK", "ETag: 12ab\r\nX-Born-Ms: 1\r\nX-Result: hit\r\nX-Stats: x1:0.5\r\n", body))
+pub fn ok_response(body: &[u8]) -> Reply {
+    Reply::Send(http_response(
+        "200 OK",
+        "ETag: 12ab\r\nX-Born-Ms: 1\r\nX-Result: hit\r\nX-Stats: x1:0.5\r\n",
+        body,
+    ))
 }
 
 /// The body that every stub cache serves for a path.
-pub fn bytes_of(path: &str, len: usize) -> Vec<u8> {
+pub fn body_for_path(path: &str, len: usize) -> Vec<u8> {
     path.bytes().cycle().enumerate().map(|(i, b)| b ^ (i / 7) as u8).take(len).collect()
 }
 
@@ -177,7 +181,7 @@
         "status": status, "weight": 8.0, "since_ms": 0})
 }
 
-pub fn config(members: &[Member], bulletin: SocketAddr, memory_mb: u64) -> Value {
+pub fn config(members: &[Member], discovery: SocketAddr, memory_mb: u64) -> Value {
     let class = |name: &str, effect: &str| {
         // Long enough that no txn misses its SLA time on a busy machine.
         json!({"Name": name, "Repeat": effect, "DedupScope": "all", "MemorySpanUs": 0, "SloUs": 20_000_000,
@@ -185,7 +189,7 @@
     };
     let list: Vec<Value> = members.iter().map(|m| endpoint(m, "up")).collect();
     json!({
-        "name": "n1", "listen": "127.0.0.1:0", "seed": "7", "bulletin": bulletin.to_string(),
+        "name": "n1", "listen": "127.0.0.1:0", "seed": "7", "bulletin": discovery.to_string(),
         "limits": {"cores": 1.0, "memory_mb": memory_mb, "sockets": 256},
         "known": {"no": 1, "items": [{"no": 1, "roster": {"index": 0, "snapshot": true, "endpoints": list}}]},
         "settings": {
@@ -205,9 +209,9 @@
 }
 
 /// A configuration with a single edge cache, an unreachable origin, and numbers to set by their JSON paths.
-pub fn edge_config(edge: &Cache, numbers: &[(&str, u64)]) -> Value {
-    let members = [Member("e1", "box", edge.address), Member("o", "origin", nobody())];
-    let mut all = config(&members, nobody(), 64);
+pub fn edge_config(edge: &StubCache, numbers: &[(&str, u64)]) -> Value {
+    let members = [Member("e1", "box", edge.address), Member("o", "origin", unused_address())];
+    let mut all = config(&members, unused_address(), 64);
     for (path, number) in numbers {
         *all.pointer_mut(path).unwrap() = json!(number);
     }
@@ -239,7 +243,7 @@
 
 impl Gateway {
     pub fn start(config: &Value) -> Gateway {
-        Gateway::begun(spawn(config))
+        Gateway::from_child(spawn(config))
     }
 
     /// Limits the process's descriptors to the number in the configuration.
@@ -247,10 +251,10 @@
         let mut command = Command::new("sh");
         let limit = format!("ulimit -n {}; exec \"$0\"", config["limits"]["sockets"]);
         command.args(["-c", &limit, env!("CARGO_BIN_EXE_kelpcart")]);
-        Gateway::begun(spawn_by(command, config))
+        Gateway::from_child(spawn_by(command, config))
     }
 
-    fn begun((mut child, config): (Child, String)) -> Gateway {
+    fn from_child((mut child, config): (Child, String)) -> Gateway {
         let mut log = BufReader::new(child.stderr.take().unwrap());
         let mut line = String::new();
         log.read_line(&mut line).unwrap();
@@ -259,7 +263,7 @@
     }
 
     /// A gateway with a single edge cache and an unreachable origin.
-    pub fn with_edge(edge: &Cache) -> Gateway {
+    pub fn with_edge(edge: &StubCache) -> Gateway {
         Gateway::start(&edge_config(edge, &[]))
     }
 
@@ -269,16 +273,16 @@
     }
 
     /// Replaces the configuration file and sends SIGHUP.
-    pub fn replace(&self, config: &str) {
+    pub fn replace_config(&self, config: &str) {
         std::fs::write(&self.config, config).unwrap();
         self.signal("HUP");
     }
 
     /// The current gauges and table sizes of the counter log line.
-    pub fn now(&mut self) -> BTreeMap<String, usize> {
+    pub fn gauges(&mut self) -> BTreeMap<String, usize> {
         self.signal("USR1");
         let line = loop {
-            let line = self.line();
+            let line = self.next_log_line();
             if line.contains("now: ") {
                 break line;
             }
@@ -289,17 +293,17 @@
     }
 
     /// The total of one event counter.
-    pub fn in_all(&mut self, what: &str) -> usize {
+    pub fn counter(&mut self, what: &str) -> usize {
         self.signal("USR1");
         loop {
-            let line = self.line();
+            let line = self.next_log_line();
             let Some((_, all)) = line.split_once("; in all") else { continue };
             let pairs = all.split(", ").filter_map(|pair| pair.trim().rsplit_once(' '));
             return pairs.filter(|(name, _)| *name == what).map(|(_, n)| n.parse::<usize>().unwrap()).sum();
         }
     }
 
-    pub fn line(&mut self) -> String {
+    pub fn next_log_line(&mut self) -> String {
         let mut line = String::new();
         self.log.read_line(&mut line).unwrap();
         line
@@ -315,41 +319,41 @@
 
 pub struct Client {
     pub stream: TcpStream,
-    pub next: u8,
+    pub next_message_id: u8,
     /// The request id of the last request.
-    pub req: String,
+    pub request_id: String,
 }
 
 #[derive(Debug, PartialEq)]
 pub struct Answer {
     pub id: u64,
     /// The name of the error, if it is one.
-    pub word: Option<String>,
+    pub error: Option<String>,
     /// The body of a served txn; for a health check one byte, 1 for ready.
     pub body: Vec<u8>,
     pub fields: BTreeMap<String, String>,
 }
 
 impl Client {
-    pub fn of(gateway: &Gateway) -> Client {
+    pub fn connect(gateway: &Gateway) -> Client {
         let stream = TcpStream::connect(gateway.address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        Client { stream, next: 1, req: String::new() }
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+        Client { stream, next_message_id: 1, request_id: String::new() }
     }
 
     pub fn send(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).unwrap();
     }
 
-    pub fn ask_with(&mut self, method: &str, fields: &[(&str, &str)], body: &[u8]) -> u64 {
-        let id = self.next;
-        self.next += 1;
+    pub fn send_request_with(&mut self, method: &str, fields: &[(&str, &str)], body: &[u8]) -> u64 {
+        let id = self.next_message_id;
+        self.next_message_id += 1;
         let mut out = vec![0x94, 0x00, 0xcc, id];
-        text(&mut out, method);
+        push_str(&mut out, method);
         out.extend([0x92, 0x80 | fields.len() as u8]);
         for (name, value) in fields {
-            text(&mut out, name);
-            text(&mut out, value);
+            push_str(&mut out, name);
+            push_str(&mut out, value);
         }
         out.push(0xc5);
         out.extend((body.len() as u16).to_be_bytes());
@@ -358,15 +362,15 @@
         u64::from(id)
     }
 
-    pub fn ask(&mut self, method: &str, object: u64, timeout: u64, body: &[u8]) -> u64 {
+    pub fn send_request(&mut self, method: &str, object: u64, timeout: u64, body: &[u8]) -> u64 {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
-        self.req = format!("{:016x}", NEXT.fetch_add(1, Ordering::SeqCst));
-        self.ask_again(method, object, timeout, body)
+        self.request_id = format!("{:016x}", NEXT.fetch_add(1, Ordering::SeqCst));
+        self.resend_request(method, object, timeout, body)
     }
 
-    pub fn ask_again(&mut self, method: &str, object: u64, timeout: u64, body: &[u8]) -> u64 {
+    pub fn resend_request(&mut self, method: &str, object: u64, timeout: u64, body: &[u8]) -> u64 {
         let (object, timeout) = (format!("{object:016x}"), timeout.to_string());
-        let req = self.req.clone();
+        let req = self.request_id.clone();
         let fields = [
             ("req", &*req),
             ("timeout", &timeout),
@@ -375,89 +379,89 @@
             ("set", "17"),
             ("need", "40.5"),
         ];
-        self.ask_with(method, &fields, body)
+        self.send_request_with(method, &fields, body)
     }
 
-    pub fn ask_check(&mut self) -> u64 {
-        let id = self.next;
-        self.next += 1;
+    pub fn send_health_check(&mut self) -> u64 {
+        let id = self.next_message_id;
+        self.next_message_id += 1;
         self.send(&[0x94, 0x00, id, 0xa5, b'c', b'h', b'e', b'c', b'k', 0x91, 0x80]);
         u64::from(id)
     }
 
-    pub fn check(&mut self) -> bool {
-        self.ask_check();
-        self.answer().body == [1]
+    pub fn is_ready(&mut self) -> bool {
+        self.send_health_check();
+        self.read_answer().body == [1]
     }
 
-    pub fn interrupt(&mut self, id: u64) {
+    pub fn cancel(&mut self, id: u64) {
         let mut out = vec![0x93, 0x02];
-        text(&mut out, "interrupt");
+        push_str(&mut out, "interrupt");
         out.extend([0x91, 0xcc, id as u8]);
         self.send(&out);
     }
 
-    pub fn byte(&mut self) -> u8 {
-        self.bytes(1)[0]
+    pub fn read_byte(&mut self) -> u8 {
+        self.read_bytes(1)[0]
     }
 
-    pub fn bytes(&mut self, n: usize) -> Vec<u8> {
+    pub fn read_bytes(&mut self, n: usize) -> Vec<u8> {
         let mut bytes = vec![0; n];
         self.stream.read_exact(&mut bytes).unwrap();
         bytes
     }
 
-    pub fn big(&mut self, n: usize) -> usize {
-        self.bytes(n).iter().fold(0, |all, &b| all << 8 | usize::from(b))
+    pub fn read_uint(&mut self, n: usize) -> usize {
+        self.read_bytes(n).iter().fold(0, |all, &b| all << 8 | usize::from(b))
     }
 
     /// Reads a string, a binary, an integer or a boolean.
-    pub fn value(&mut self) -> Vec<u8> {
-        let len = match self.byte() {
+    pub fn read_value(&mut self) -> Vec<u8> {
+        let len = match self.read_byte() {
             tag @ 0xa0..=0xbf => usize::from(tag & 0x1f),
             0xc0 => return Vec::new(),
             tag @ (0xc2 | 0xc3) => return vec![tag & 1],
             tag @ 0x00..=0x7f => return vec![tag],
-            0xcd => return self.bytes(2),
-            0xc6 => self.big(4),
-            0xda => self.big(2),
+            0xcd => return self.read_bytes(2),
+            0xc6 => self.read_uint(4),
+            0xda => self.read_uint(2),
             tag => panic!("unexpected MessagePack tag in an answer: {tag:#x}"),
         };
-        self.bytes(len)
+        self.read_bytes(len)
     }
 
-    pub fn fields(&mut self) -> BTreeMap<String, String> {
-        let n = self.byte() & 0x0f;
-        let mut text = || String::from_utf8(self.value()).unwrap();
+    pub fn read_fields(&mut self) -> BTreeMap<String, String> {
+        let n = self.read_byte() & 0x0f;
+        let mut text = || String::from_utf8(self.read_value()).unwrap();
         (0..n).map(|_| (text(), text())).collect()
     }
 
-    pub fn answer(&mut self) -> Answer {
-        assert_eq!(self.bytes(2), [0x94, 0x01]);
-        let id = self.value().iter().fold(0, |all, &b| all << 8 | u64::from(b));
+    pub fn read_answer(&mut self) -> Answer {
+        assert_eq!(self.read_bytes(2), [0x94, 0x01]);
+        let id = self.read_value().iter().fold(0, |all, &b| all << 8 | u64::from(b));
         let (mut word, mut body) = (None, Vec::new());
-        let fields = match self.byte() {
+        let fields = match self.read_byte() {
             0xc0 => {
-                assert_eq!(self.byte(), 0x92);
-                body = self.value();
-                self.fields()
+                assert_eq!(self.read_byte(), 0x92);
+                body = self.read_value();
+                self.read_fields()
             }
             0x92 => {
-                word = Some(String::from_utf8(self.value()).unwrap());
-                let fields = self.fields();
-                assert_eq!(self.byte(), 0xc0);
+                word = Some(String::from_utf8(self.read_value()).unwrap());
+                let fields = self.read_fields();
+                assert_eq!(self.read_byte(), 0xc0);
                 fields
             }
             tag => panic!("unexpected MessagePack tag in an answer: {tag:#x}"),
         };
-        Answer { id, word, body, fields }
+        Answer { id, error: word, body, fields }
     }
 
     /// Whether input arrives within 5 ms.
     pub fn has_answer(&mut self) -> bool {
         self.stream.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
         let peeked = self.stream.peek(&mut [0]);
-        self.stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        self.stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         peeked.is_ok()
     }
 
@@ -469,55 +473,55 @@
     }
 }
 
-pub fn text(out: &mut Vec<u8>, text: &str) {
+pub fn push_str(out: &mut Vec<u8>, text: &str) {
     out.extend([0xd9, text.len() as u8]);
     out.extend(text.as_bytes());
 }
 
 /// A stub discovery service: for each connection it reports the subscription line that it received and sends the next of
 /// the given texts.
-pub struct Bulletin {
+pub struct DiscoveryServer {
     pub address: SocketAddr,
-    pub told: Receiver<String>,
-    pub last: Arc<Mutex<Option<TcpStream>>>,
+    pub subscriptions: Receiver<String>,
+    pub last_connection: Arc<Mutex<Option<TcpStream>>>,
 }
 
-impl Bulletin {
-    pub fn start(lines: Vec<String>) -> Bulletin {
+impl DiscoveryServer {
+    pub fn start(lines: Vec<String>) -> DiscoveryServer {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let (address, (tell, told)) = (listener.local_addr().unwrap(), channel());
-        let last: Arc<Mutex<Option<TcpStream>>> = Arc::default();
-        let current = Arc::clone(&last);
+        let (address, (sender, subscriptions)) = (listener.local_addr().unwrap(), channel());
+        let last_connection: Arc<Mutex<Option<TcpStream>>> = Arc::default();
+        let current = Arc::clone(&last_connection);
         thread::spawn(move || {
             for (i, stream) in listener.incoming().flatten().enumerate() {
                 let mut line = String::new();
                 BufReader::new(stream.try_clone().unwrap()).read_line(&mut line).unwrap();
                 _ = (&stream).write_all(lines.get(i).map_or("", String::as_str).as_bytes());
                 *current.lock().unwrap() = Some(stream);
-                _ = tell.send(line);
+                _ = sender.send(line);
             }
         });
-        Bulletin { address, told, last }
+        DiscoveryServer { address, subscriptions, last_connection }
     }
 
-    pub fn asked(&self) -> String {
-        self.told.recv_timeout(PATIENCE).unwrap()
+    pub fn next_subscription(&self) -> String {
+        self.subscriptions.recv_timeout(TEST_TIMEOUT).unwrap()
     }
 
     /// Writes to the latest connection.
     pub fn write(&self, text: &str) {
-        self.last.lock().unwrap().as_ref().unwrap().write_all(text.as_bytes()).unwrap();
+        self.last_connection.lock().unwrap().as_ref().unwrap().write_all(text.as_bytes()).unwrap();
     }
 
-    pub fn tell(&self, line: &str) {
+    pub fn send_line(&self, line: &str) {
         self.write(&format!("{line}\n"));
     }
 
-    pub fn cut(&self) {
-        *self.last.lock().unwrap() = None;
+    pub fn disconnect(&self) {
+        *self.last_connection.lock().unwrap() = None;
     }
 }
 
-pub fn change(no: u64, list: Value) -> String {
+pub fn roster_event(no: u64, list: Value) -> String {
     json!({"no": no, "roster": {"index": no, "snapshot": false, "endpoints": list}}).to_string()
 }
