--- a/gateway/src/caches.rs
+++ b/gateway/src/caches.rs
@@ -106,9 +106,9 @@
         _ = self.shared_limits.set(limits);
     }
 
-    /// Closes idle connections to the members that `of` selects, so that other gateways can use their permits.
-    pub fn close_idle(&self, of: impl Fn(&MemberId) -> bool) {
-        self.idle.borrow_mut().retain(|id, _| !of(id));
+    /// Closes idle connections to the members that `selected` accepts, so that other gateways can use their permits.
+    pub fn close_idle(&self, selected: impl Fn(&MemberId) -> bool) {
+        self.idle.borrow_mut().retain(|id, _| !selected(id));
     }
 
     /// Starts a task that closes idle connections well before the caches would: otherwise one may be closed by the cache
--- a/gateway/src/dispatcher.rs
+++ b/gateway/src/dispatcher.rs
@@ -260,7 +260,7 @@
         }
     }
 
-    /// Cancels hops that still wait for a descriptor, a connection or a permit and that `hit` selects. What the module
+    /// Cancels hops that still wait for a descriptor, a connection or a permit and that `is_affected` selects. What the module
     /// assumed when it ordered a hop must still hold when the hop's first byte is written.
     fn cancel_waiting_hops(&mut self, is_affected: impl Fn(&Request, &ActiveHop) -> bool) {
         let open = |txn| self.open_txns.get(&txn).map(|open: &OpenTxn| &*open.request);
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -55,7 +55,7 @@
         // A control machine serves no txns, whatever else is configured for it.
         if first.feed.as_ref().is_some_and(|f| f.control.is_some()) {
             let control = feed::control(tasks, first, signals, read_fleet_file);
-            return async_io::block_on(tasks.run(control)).map_err(|why| format!("{path}: {why}"));
+            return async_io::block_on(tasks.run(control)).map_err(|reason| format!("{path}: {reason}"));
         }
     }
     let path = env::var("NODE_CONFIG").map_err(|_| "NODE_CONFIG is not set")?;
@@ -132,9 +132,9 @@
         dispatcher: dispatcher.clone(),
         caches: Rc::clone(&caches),
     };
-    let start_fleet = |of: &String| {
+    let start_fleet = |fleet_path: &String| {
         let initial_events = read(path, config::read_initial_events)?;
-        read(of, |text| Fleet::start(fleet_means, text, &config, &initial_events))
+        read(fleet_path, |text| Fleet::start(fleet_means, text, &config, &initial_events))
     };
     let fleet = files.fleet.as_ref().map(start_fleet).transpose()?;
     let address = config.discovery_address;
@@ -203,10 +203,10 @@
                             "reload failed: {reason}; the discovery service's address stays where it was"
                         ),
                     }
-                    let copies = files.copies.as_ref().map(|of| read(of, unparsed));
+                    let copies = files.copies.as_ref().map(|path| read(path, unparsed));
                     rekey_target.iter().for_each(|between| between.reread(copies.clone()));
-                    if let Some((fleet, of)) = fleet.as_ref().zip(files.fleet.as_ref()) {
-                        fleet.rekey(read(of, unparsed));
+                    if let Some((fleet, path)) = fleet.as_ref().zip(files.fleet.as_ref()) {
+                        fleet.rekey(read(path, unparsed));
                     }
                 }
                 Ok(_) => _ = dispatcher.send(Event::Shutdown).await,
