--- a/gateway/src/sites.rs
+++ b/gateway/src/sites.rs
@@ -1,6 +1,7 @@
-//! Joins links between sites to the gateway: starts both ends as the file says, and is the dispatcher's one carrier for
-//! members that stand for gateways of other sites. Owns no decision: what goes over which link and what becomes of it
-//! is decided by the module and by the core in `kelpcart-sites`. Nothing of it runs unless the file is named.
+//! Connects links between sites to the gateway: starts the initiator and the acceptor as the settings say,
+//! and is the dispatcher's transport for members that represent gateways of other sites. The module decides
+//! which link a txn uses, and the core in `kelpcart-sites` what becomes of it. Runs only if a settings file
+//! is named.
 
 mod acceptor;
 mod copies;
@@ -26,10 +27,10 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Between two calls of a core by its clock.
+/// Minimum interval between timer-driven polls of a core.
 const MIN_SLEEP: Span = Span::from_millis(1);
 
-/// What the fronts and carriers of the process share.
+/// Services of the process that servers and transports share.
 #[derive(Clone)]
 pub struct LinkContext {
     pub tasks: Tasks,
@@ -40,11 +41,11 @@
     pub keys: ResponderKeys,
 }
 
-/// What is written to a stream in one piece.
+/// Bytes written to a stream in one piece.
 struct Frame {
     bytes: Vec<u8>,
     body: Option<Body>,
-    /// Nobody waits for it after that.
+    /// After this time nobody waits for it.
     write_deadline: Option<Time>,
     _held: Option<CountGuard>,
 }
@@ -55,7 +56,7 @@
     }
 }
 
-/// Writes what comes until the senders are gone. `false`: the stream is no good any more.
+/// Writes frames until the senders are gone. Returns `false` if the stream has failed.
 async fn write_frames(clock: Clock, stream: &mut SendStream, frames: &Receiver<Frame>) -> bool {
     while let Ok(frame) = frames.recv().await {
         let write = async {
@@ -87,46 +88,50 @@
 }
 
 impl SiteLinks {
-    /// Starts what the file names, and the copies that another one does; gives the members that links reach.
+    /// Starts the links in the settings, and replication if it is configured; returns the members that
+    /// links reach.
     pub fn start(
         context: LinkContext,
         text: &str,
         copies: Option<&str>,
         config: &Config,
     ) -> Result<(Rc<SiteLinks>, Vec<ListedMember>), String> {
-        let file = Rc::new(Sites::read(text).map_err(|e| e.to_string())?);
-        let (members, links) = members(&file, config)?;
-        let keys = quic::Keys::read(&file.keys, file.congestion).map_err(|e| e.to_string())?;
-        let endpoint = Endpoint::start(file.listen, &keys).map_err(|e| format!("listen: {e}"))?;
+        let settings = Rc::new(Sites::read(text).map_err(|e| e.to_string())?);
+        let (members, links) = members(&settings, config)?;
+        let keys = quic::Keys::read(&settings.keys, settings.congestion).map_err(|e| e.to_string())?;
+        let endpoint = Endpoint::start(settings.listen, &keys).map_err(|e| format!("listen: {e}"))?;
         let keys = Rc::new(RefCell::new(keys));
-        let ways = InitiatorDriver::start(&context, &file, links, &endpoint, &keys);
-        let keep = |text| Copies::start(&context, text, &file, &keys).map_err(|e| format!("copies: {e}"));
-        let copies = copies.map(keep).transpose()?;
-        let kept = copies.as_ref().map(|(copies, _)| Rc::clone(copies));
-        let door =
-            file.listen.map(|_| AcceptorDriver::start(&context, &file, &endpoint, copies)).transpose()?;
-        let driven = endpoint.clone();
-        context.tasks.spawn(async move { driven.drive().await }).detach();
-        if let Some(at) = file.listen {
+        let initiator = InitiatorDriver::start(&context, &settings, links, &endpoint, &keys);
+        let start_copies =
+            |text| Copies::start(&context, text, &settings, &keys).map_err(|e| format!("copies: {e}"));
+        let copies = copies.map(start_copies).transpose()?;
+        let copies_handle = copies.as_ref().map(|(copies, _)| Rc::clone(copies));
+        let acceptor = settings
+            .listen
+            .map(|_| AcceptorDriver::start(&context, &settings, &endpoint, copies))
+            .transpose()?;
+        let io = endpoint.clone();
+        context.tasks.spawn(async move { io.drive().await }).detach();
+        if let Some(at) = settings.listen {
             let at = endpoint.address().unwrap_or(at);
-            log::info!("{} takes in txns of {:?} at {at}", file.gateway, file.accept);
+            log::info!("{} accepts txns from {:?} at {at}", settings.gateway, settings.accept);
         }
         Ok((
             Rc::new(SiteLinks {
                 context,
-                settings: file,
+                settings,
                 endpoint,
                 keys,
-                initiator: ways,
-                acceptor: door,
-                copies: kept,
+                initiator,
+                acceptor,
+                copies: copies_handle,
             }),
             members,
         ))
     }
 
-    /// Reads certificates and keys again, and takes in the copies' file as it is now. Connections that stand go on; with
-    /// files that can't be used, all stays.
+    /// Reloads certificates and keys, and applies the replication settings. Established connections
+    /// continue; if files can't be used, the previous ones stay in effect.
     pub fn reload(&self, copies: Option<Result<String, String>>) {
         self.reload_keys();
         if let Some((copies, text)) = self.copies.as_ref().zip(copies) {
@@ -140,31 +145,34 @@
                 self.endpoint.set_keys(&keys, self.settings.listen.is_some());
                 *self.keys.borrow_mut() = keys;
                 self.context.counters.add("link keys read again");
-                log::info!("links made from now on go by the keys as they are now");
+                log::info!("new links use the reloaded keys");
             }
-            Err(why) => {
+            Err(reason) => {
                 self.context.counters.add("link keys that can't be used");
-                log::warn!("{why}; links go on by the keys from before");
+                log::warn!("{reason}; links keep the previous keys");
             }
         }
     }
 }
 
-/// Each peer is a member for each thing that it stands for.
-fn members(file: &Sites, config: &Config) -> Result<(Vec<ListedMember>, BTreeMap<MemberId, usize>), String> {
+/// One member per role of each peer.
+fn members(
+    settings: &Sites,
+    config: &Config,
+) -> Result<(Vec<ListedMember>, BTreeMap<MemberId, usize>), String> {
     let (mut all, mut links) = (Vec::new(), BTreeMap::new());
-    for (link, peer) in file.peers.iter().enumerate() {
+    for (link, peer) in settings.peers.iter().enumerate() {
         for &stands in &peer.roles {
             let (id, kind, what) = match stands {
                 Role::Parent => (peer.name.clone(), config.settings.parent_kind, "parent"),
                 Role::Origin => (format!("{}/origin", peer.name), config.settings.origin_kind, "origin"),
             };
-            let kind = kind.ok_or_else(|| format!("peers[{link}].as: the settings know no {what}"))?;
+            let kind = kind.ok_or_else(|| format!("peers[{link}].as: the settings have no {what}"))?;
             let id: MemberId = Arc::from(id);
             links.insert(Arc::clone(&id), link);
             let member = Member {
                 id,
-                // A place that no local member has.
+                // A zone that no local member has.
                 zone: config.names.zones.len(),
                 kind,
                 cell: 0,
@@ -179,7 +187,7 @@
     Ok((all, links))
 }
 
-/// A number that no other start has.
+/// A random id that no other start of a process has.
 fn random_id() -> u64 {
     rand::rng().random_range(1..=u64::MAX)
 }
@@ -190,20 +198,20 @@
     }
 
     fn hop(&self, job: HopRequest) -> HopFuture {
-        let ways = Rc::clone(&self.initiator);
-        Box::pin(async move { ways.hop(job).await })
+        let initiator = Rc::clone(&self.initiator);
+        Box::pin(async move { initiator.hop(job).await })
     }
 }
 
 impl Service for SiteLinks {
     fn shutdown(&self) {
-        self.acceptor.iter().for_each(|door| door.stop());
+        self.acceptor.iter().for_each(|acceptor| acceptor.stop());
         self.copies.iter().for_each(|copies| copies.stop());
     }
 
     fn table_sizes(&self) -> Vec<(&'static str, usize)> {
         let mut all = self.initiator.sizes();
-        all.extend(self.acceptor.iter().flat_map(|door| door.sizes()));
+        all.extend(self.acceptor.iter().flat_map(|acceptor| acceptor.sizes()));
         all.extend(self.copies.iter().flat_map(|copies| copies.sizes()));
         all
     }
--- a/gateway/src/sites/acceptor.rs
+++ b/gateway/src/sites/acceptor.rs
@@ -1,6 +1,7 @@
-//! The far end of links on sockets: a front like any other. Takes in gateways of other sites, decodes their requests
-//! into txns for the dispatcher, and writes the answers. Must never hand a request to the dispatcher without the core's word, nor
-//! answer one twice.
+//! Drives the accepting end of links on sockets: accepts gateways of other sites, decodes their requests
+//! into txns for the dispatcher, and writes the answers.
+//!
+//! Invariant: a request goes to the dispatcher only when the core says so, and is answered only once.
 
 use super::copies::{Copies, Heard};
 use super::{Frame, LinkContext, MIN_SLEEP, random_id, write_frames};
@@ -26,10 +27,11 @@
 use std::rc::{Rc, Weak};
 use std::sync::Arc;
 
-/// From its connection to its hello, and from a stream's start to its whole request.
+/// From the connection to its hello.
 const HELLO_TIMEOUT: Span = Span::from_millis(3_000);
+/// From the start of a stream to its complete request.
 const REQUEST_TIMEOUT: Span = Span::from_millis(10_000);
-/// A refused gateway gets this long to read why.
+/// Time for a refused gateway to read the reason before the connection is closed.
 const REFUSAL_LINGER: Span = Span::from_millis(200);
 
 /// Above all importances.
@@ -41,14 +43,14 @@
     welcomed: Cell<bool>,
 }
 
-/// A request that waits for the core's word.
+/// A request that waits for the core's admission.
 struct Pending {
     method: String,
     request: Box<Request>,
     received_at: Time,
 }
 
-/// What a question to those who keep copies was for.
+/// What a query to the replicas was for.
 #[derive(Clone, Copy)]
 enum QueryPurpose {
     RegisterSender(SessionId, u32),
@@ -63,20 +65,20 @@
     settings: Rc<Sites>,
     weak_self: Weak<AcceptorDriver>,
     key: u64,
-    /// Of the ledger: new with each start where none is kept on a disk.
+    /// The ledger's id: new with each start where the ledger is not on disk.
     ledger: u64,
     core: RefCell<Acceptor>,
     writer: Option<Writer>,
     copies: Option<Rc<Copies>>,
     replica_queries: RefCell<BTreeMap<u64, QueryPurpose>>,
-    /// The core may have to be called sooner than it said.
+    /// Wakes the timer task: the core may need to be polled earlier than `next_wake` said.
     wakeup: Wakeup,
     sessions: RefCell<BTreeMap<SessionId, Rc<Session>>>,
     next_id: Cell<SessionId>,
     pending: RefCell<BTreeMap<Call, Pending>>,
-    /// Whether what runs must not run twice.
+    /// Running calls, and whether each is unrepeatable.
     calls: RefCell<BTreeMap<Call, bool>>,
-    /// Streams on which a request's answer is awaited, by session and number.
+    /// Streams on which an answer is awaited, by session and number.
     replies: RefCell<BTreeMap<(SessionId, u64), Sender<Frame>>>,
 }
 
@@ -88,23 +90,27 @@
         copies: Option<(Rc<Copies>, Receiver<Heard>)>,
     ) -> Result<Rc<AcceptorDriver>, String> {
         let mut core = Acceptor::new(settings, context.clock.now());
-        let (copies, heard) = copies.unzip();
+        let (copies, events) = copies.unzip();
         if copies.is_some() {
             core.enable_replication();
         }
         let (mut ledger, mut writer) = (random_id(), None);
         if let Some(path) = &settings.ledger.file {
-            let bad = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
-            let (store, found) = Store::open(path, ledger).map_err(|e| bad(&e))?;
-            log::info!("the ledger holds {} txns of {} gateways", found.accepted.len(), found.floors.len());
-            core.recover(context.clock.now(), &found.floors, &found.accepted);
-            ledger = found.ledger;
-            writer = Some(Writer::start(store).map_err(|e| bad(&e))?);
+            let with_path = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
+            let (store, recovered) = Store::open(path, ledger).map_err(|e| with_path(&e))?;
+            log::info!(
+                "the ledger holds {} txns of {} gateways",
+                recovered.accepted.len(),
+                recovered.floors.len()
+            );
+            core.recover(context.clock.now(), &recovered.floors, &recovered.accepted);
+            ledger = recovered.ledger;
+            writer = Some(Writer::start(store).map_err(|e| with_path(&e))?);
         }
-        let door = Rc::new_cyclic(|itself| AcceptorDriver {
+        let driver = Rc::new_cyclic(|weak_self| AcceptorDriver {
             context: context.clone(),
             settings: Rc::clone(settings),
-            weak_self: itself.clone(),
+            weak_self: weak_self.clone(),
             key: context.keys.next(),
             ledger,
             core: RefCell::new(core),
@@ -118,15 +124,15 @@
             calls: RefCell::default(),
             replies: RefCell::default(),
         });
-        context.tasks.spawn(Rc::clone(&door).accept(endpoint.clone())).detach();
-        context.tasks.spawn(Rc::clone(&door).run_timer()).detach();
-        if door.writer.is_some() {
-            context.tasks.spawn(Rc::clone(&door).handle_disk_results()).detach();
+        context.tasks.spawn(Rc::clone(&driver).accept(endpoint.clone())).detach();
+        context.tasks.spawn(Rc::clone(&driver).run_timer()).detach();
+        if driver.writer.is_some() {
+            context.tasks.spawn(Rc::clone(&driver).handle_disk_results()).detach();
         }
-        if let Some(heard) = heard {
-            context.tasks.spawn(Rc::clone(&door).handle_replica_events(heard)).detach();
+        if let Some(events) = events {
+            context.tasks.spawn(Rc::clone(&driver).handle_replica_events(events)).detach();
         }
-        Ok(door)
+        Ok(driver)
     }
 
     pub fn stop(&self) {
@@ -146,66 +152,66 @@
     async fn run_timer(self: Rc<Self>) {
         loop {
             self.with_core(|_, _| ());
-            let poked = self.wakeup.listen();
+            let notified = self.wakeup.listen();
             let wake = self.core.borrow().next_wake().max(self.context.clock.now() + MIN_SLEEP);
-            self.context.clock.by(wake, poked).await;
+            self.context.clock.by(wake, notified).await;
         }
     }
 
     async fn handle_disk_results(self: Rc<Self>) {
         let Some(writer) = &self.writer else { return };
-        while let Ok((mark, written)) = writer.done.recv().await {
+        while let Ok((seq, written)) = writer.done.recv().await {
             self.with_core(
-                |core, now| if written { core.persisted(now, mark) } else { core.persist_failed(now, mark) },
+                |core, now| if written { core.persisted(now, seq) } else { core.persist_failed(now, seq) },
             );
         }
     }
 
-    /// What those who keep copies say.
-    async fn handle_replica_events(self: Rc<Self>, heard: Receiver<Heard>) {
-        while let Ok(word) = heard.recv().await {
-            match word {
+    /// Handles events from the replicas.
+    async fn handle_replica_events(self: Rc<Self>, events: Receiver<Heard>) {
+        while let Ok(event) = events.recv().await {
+            match event {
                 Heard::Ledger(group, ledger) => {
                     let Some(copies) = &self.copies else { return };
                     self.with_core(|core, now| {
                         core.replica_ledger_changed(now, ledger, |sender| copies.group_of(sender) == group)
                     });
                 }
-                Heard::Told(ask, result) => self.handle_replica_answer(ask, result),
+                Heard::Told(query, result) => self.handle_replica_answer(query, result),
             }
             self.wakeup.notify(1);
         }
     }
 
-    fn handle_replica_answer(&self, ask: u64, result: Result<Outcome, Failed>) {
-        let Some(why) = self.replica_queries.borrow_mut().remove(&ask) else { return };
-        match why {
+    fn handle_replica_answer(&self, query: u64, result: Result<Outcome, Failed>) {
+        let Some(purpose) = self.replica_queries.borrow_mut().remove(&query) else { return };
+        match purpose {
             QueryPurpose::RegisterSender(session, group) => {
                 let known = result == Ok(Outcome::Greeted(true));
                 let ledger = self.copies.as_ref().and_then(|c| c.ledger(group)).filter(|_| known);
                 self.with_core(|core, now| core.sender_registered(now, session, ledger));
             }
-            QueryPurpose::ReplicateAccept(call, asked) => {
+            QueryPurpose::ReplicateAccept(call, asked_at) => {
                 let now = self.context.clock.now();
-                let taken = client::taken(result, asked, now, self.lease());
-                if taken == AcceptResult::NotAccepted {
+                let accept_result = client::taken(result, asked_at, now, self.lease());
+                if accept_result == AcceptResult::NotAccepted {
                     self.context.counters.add("far requests told off for want of copies");
                 }
-                self.with_core(|core, now| core.accept_replicated(now, call, taken));
+                self.with_core(|core, now| core.accept_replicated(now, call, accept_result));
             }
             QueryPurpose::ReplicateOutcome(Some(call)) => {
-                let held = result == Ok(Outcome::Noted);
-                self.with_core(|core, now| core.outcome_replicated(now, call, held));
+                let recorded = result == Ok(Outcome::Noted);
+                self.with_core(|core, now| core.outcome_replicated(now, call, recorded));
             }
-            QueryPurpose::QueryReplicas(session, what) => {
-                let found = client::found(result);
-                self.with_core(|core, now| core.replica_status(now, session, what, found));
+            QueryPurpose::QueryReplicas(session, hop) => {
+                let status = client::found(result);
+                self.with_core(|core, now| core.replica_status(now, session, hop, status));
             }
             QueryPurpose::ReplicateOutcome(None) | QueryPurpose::ReplicateSettle => {}
         }
     }
 
-    /// How long a gateway may act on its right to run a txn after it asked for it.
+    /// How long after its request a gateway may act on its permission to run a txn.
     fn lease(&self) -> Span {
         self.copies.as_ref().map_or(Span::ZERO, |copies| copies.right())
     }
@@ -214,57 +220,50 @@
         &self,
         sender: u64,
         importance: u8,
-        word: Command,
-        why: impl FnOnce(u32) -> QueryPurpose,
+        command: Command,
+        purpose: impl FnOnce(u32) -> QueryPurpose,
     ) {
         let Some(copies) = &self.copies else { return };
         let group = copies.group_of(sender);
-        let ask = copies.ask(group, importance, word);
-        self.replica_queries.borrow_mut().insert(ask, why(group));
+        let query = copies.ask(group, importance, command);
+        self.replica_queries.borrow_mut().insert(query, purpose(group));
         copies.kick();
     }
 
-    /// Tells the core something and carries out what it orders then.
-    fn with_core<T>(&self, what: impl FnOnce(&mut Acceptor, Time) -> T) -> T {
-        let told = what(&mut self.core.borrow_mut(), self.context.clock.now());
+    /// Passes an event to the core and carries out the resulting actions.
+    fn with_core<T>(&self, event: impl FnOnce(&mut Acceptor, Time) -> T) -> T {
+        let result = event(&mut self.core.borrow_mut(), self.context.clock.now());
         self.run_actions();
-        told
+        result
     }
 
     fn run_actions(&self) {
         loop {
             let now = self.context.clock.now();
-            let Some(todo) = self.core.borrow_mut().poll(now) else { return };
-            match todo {
+            let Some(action) = self.core.borrow_mut().poll(now) else { return };
+            match action {
                 SessionAction::AcceptSession { session, credit, leaving, ledger } => {
                     let (site, gateway) = (self.settings.site.clone(), self.settings.gateway.clone());
                     let (version, ledger) = (wire::VERSION, ledger.unwrap_or(self.ledger));
-                    let recalls = self.copies.is_some();
-                    let welcome = wire::Welcome {
-                        version,
-                        site,
-                        gateway,
-                        ledger,
-                        credit,
-                        leaving,
-                        knows_past_ledgers: recalls,
-                    };
-                    if let Some(of) = self.sessions.borrow().get(&session) {
-                        of.welcomed.set(true);
+                    let knows_past_ledgers = self.copies.is_some();
+                    let welcome =
+                        wire::Welcome { version, site, gateway, ledger, credit, leaving, knows_past_ledgers };
+                    if let Some(entry) = self.sessions.borrow().get(&session) {
+                        entry.welcomed.set(true);
                     }
                     self.context.counters.add("far gateways taken in");
                     self.control(session, wire::encode(Message::Welcome(welcome)).into());
                 }
-                SessionAction::RefuseSession { session, reason: why } => {
-                    log::warn!("a gateway of another site is turned away: {why}");
+                SessionAction::RefuseSession { session, reason } => {
+                    log::warn!("refused a gateway of another site: {reason}");
                     self.context.counters.add("far gateways turned away");
-                    let refusal = wire::Refusal { version: wire::VERSION, reason: why.clone() };
+                    let refusal = wire::Refusal { version: wire::VERSION, reason: reason.clone() };
                     self.control(session, wire::encode(Message::Refusal(refusal)).into());
-                    if let Some(of) = self.sessions.borrow().get(&session) {
-                        let (connection, clock) = (of.connection.clone(), self.context.clock);
+                    if let Some(entry) = self.sessions.borrow().get(&session) {
+                        let (connection, clock) = (entry.connection.clone(), self.context.clock);
                         let close = async move {
                             clock.sleep(REFUSAL_LINGER).await;
-                            quic::close(&connection, &why);
+                            quic::close(&connection, &reason);
                         };
                         self.context.tasks.spawn(close).detach();
                     }
@@ -274,17 +273,17 @@
                     self.send_message(session, number, Message::Accepted(number), false)
                 }
                 SessionAction::SendAnswer { session, number, answer } => {
-                    self.send_answer(session, number, answer.outcome, AnswerBody::Kept(&answer.body), None);
+                    self.send_answer(session, number, answer.outcome, AnswerBody::Stored(&answer.body), None);
                 }
-                SessionAction::RefuseHop { session, number, reason: why } => {
-                    self.context.counters.add(match why {
+                SessionAction::RefuseHop { session, number, reason } => {
+                    self.context.counters.add(match reason {
                         RefusalReason::Full => "far requests turned away for room",
                         RefusalReason::Fenced => "far requests that came after they were called never taken",
                         RefusalReason::Loop => "far requests that went round",
                         RefusalReason::Leaving => "far requests at the stop",
                         RefusalReason::Forgotten => "far requests not known any more",
                     });
-                    let word = if why == RefusalReason::Forgotten {
+                    let code = if reason == RefusalReason::Forgotten {
                         AnswerCode::Forgotten
                     } else {
                         AnswerCode::Refused
@@ -292,13 +291,13 @@
                     self.send_message(
                         session,
                         number,
-                        Message::Answer(wire::Answer::refused(number, word)),
+                        Message::Answer(wire::Answer::refused(number, code)),
                         true,
                     );
                 }
-                SessionAction::SendStatus { session, number, status: fate } => {
-                    let found = wire::StatusReply { number, status: fate as i32 };
-                    self.control(session, wire::encode(Message::StatusReply(found)).into());
+                SessionAction::SendStatus { session, number, status } => {
+                    let reply = wire::StatusReply { number, status: status as i32 };
+                    self.control(session, wire::encode(Message::StatusReply(reply)).into());
                 }
                 SessionAction::Discard { call } => {
                     self.pending.borrow_mut().remove(&call);
@@ -306,7 +305,7 @@
                 }
                 SessionAction::Cancel { call } => {
                     self.calls.borrow_mut().remove(&call);
-                    // It fails only when the dispatcher has ended, and with it the process.
+                    // Fails only when the dispatcher has ended, and with it the process.
                     _ = self.context.dispatcher.try_send(Event::Cancelled { client: self.key, id: call });
                     let answer = Arc::new(Answer { outcome: TxnOutcome::Aborted, body: Vec::new() });
                     self.core.borrow_mut().finished(now, call, &answer);
@@ -317,9 +316,9 @@
                 SessionAction::LedgerChanged { session, ledger } => {
                     self.control(session, wire::encode(Message::Ledger(ledger)).into());
                 }
-                SessionAction::RegisterSender { session, sender, next_number: fresh } => {
-                    let word = Command::Greet(Greet { sender, fresh });
-                    self.query_replicas(sender, 9, word, |group| {
+                SessionAction::RegisterSender { session, sender, next_number } => {
+                    let command = Command::Greet(Greet { sender, fresh: next_number });
+                    self.query_replicas(sender, 9, command, |group| {
                         QueryPurpose::RegisterSender(session, group)
                     });
                 }
@@ -328,29 +327,29 @@
                         QueryPurpose::ReplicateAccept(call, now)
                     });
                 }
-                SessionAction::ReplicateOutcome { call, key, answer, ledger: of } => {
-                    let most = self.copies.as_ref().map_or(0, |copies| copies.most_answer());
-                    let word = if answer.body.len() > most {
+                SessionAction::ReplicateOutcome { call, key, answer, ledger } => {
+                    let max_bytes = self.copies.as_ref().map_or(0, |copies| copies.most_answer());
+                    let command = if answer.body.len() > max_bytes {
                         self.context.counters.add("far answers too long to be kept");
-                        Command::end(key, &Answer { outcome: TxnOutcome::Aborted, body: Vec::new() }, of)
+                        Command::end(key, &Answer { outcome: TxnOutcome::Aborted, body: Vec::new() }, ledger)
                     } else {
-                        Command::end(key, &answer, of)
+                        Command::end(key, &answer, ledger)
                     };
-                    self.query_replicas(key.sender, 9, word, |_| QueryPurpose::ReplicateOutcome(call));
+                    self.query_replicas(key.sender, 9, command, |_| QueryPurpose::ReplicateOutcome(call));
                 }
-                SessionAction::QueryReplicas { session, key, ledger: of } => {
-                    self.query_replicas(key.sender, 9, Command::find(key, of), |_| {
-                        QueryPurpose::QueryReplicas(session, (key, of))
+                SessionAction::QueryReplicas { session, key, ledger } => {
+                    self.query_replicas(key.sender, 9, Command::find(key, ledger), |_| {
+                        QueryPurpose::QueryReplicas(session, (key, ledger))
                     });
                 }
                 SessionAction::ReplicateSettle { sender, below } => {
-                    let word = Command::Settle(Number { sender, number: below });
-                    self.query_replicas(sender, 0, word, |_| QueryPurpose::ReplicateSettle);
+                    let command = Command::Settle(Number { sender, number: below });
+                    self.query_replicas(sender, 0, command, |_| QueryPurpose::ReplicateSettle);
                 }
-                SessionAction::Persist { seq: mark, changes } => {
-                    let written = self.writer.as_ref().is_some_and(|w| w.write(mark, changes));
+                SessionAction::Persist { seq, changes } => {
+                    let written = self.writer.as_ref().is_some_and(|w| w.write(seq, changes));
                     if !written {
-                        self.core.borrow_mut().persist_failed(now, mark);
+                        self.core.borrow_mut().persist_failed(now, seq);
                     }
                 }
             }
@@ -358,7 +357,7 @@
     }
 
     fn run(&self, call: Call, session: Option<SessionId>, number: u64) {
-        let Some(Pending { method, request: ask, received_at: at }) = self.pending.borrow_mut().remove(&call)
+        let Some(Pending { method, request, received_at: at }) = self.pending.borrow_mut().remove(&call)
         else {
             return;
         };
@@ -367,20 +366,20 @@
         }
         let Some(client) = self.weak_self.upgrade() else { return };
         self.context.counters.add("far requests");
-        // It fails only when the dispatcher has ended, and with it the process.
-        _ = self.context.dispatcher.try_send(Event::Request { client, id: call, method, request: ask, at });
+        // Fails only when the dispatcher has ended, and with it the process.
+        _ = self.context.dispatcher.try_send(Event::Request { client, id: call, method, request, at });
     }
 
     fn control(&self, session: SessionId, frame: Frame) {
-        if let Some(of) = self.sessions.borrow().get(&session) {
-            // It fails only when the connection is gone.
-            _ = of.control.try_send(frame);
+        if let Some(entry) = self.sessions.borrow().get(&session) {
+            // Fails only when the connection is gone.
+            _ = entry.control.try_send(frame);
         }
     }
 
-    /// Tells something of a number on its own stream, else on the session's.
-    fn send_message(&self, session: SessionId, number: u64, said: Message, last: bool) {
-        self.write(session, number, wire::encode(said).into(), last);
+    /// Sends a message about a number on its own stream, or else on the session's control stream.
+    fn send_message(&self, session: SessionId, number: u64, message: Message, last: bool) {
+        self.write(session, number, wire::encode(message).into(), last);
     }
 
     fn write(&self, session: SessionId, number: u64, frame: Frame, last: bool) {
@@ -389,7 +388,7 @@
             drop(replies);
             return self.control(session, frame);
         };
-        // It fails only when the stream is gone.
+        // Fails only when the stream is gone.
         _ = reply.try_send(frame);
         if last {
             replies.remove(&(session, number));
@@ -400,31 +399,31 @@
         &self,
         session: SessionId,
         number: u64,
-        ending: TxnOutcome,
+        outcome: TxnOutcome,
         bytes: AnswerBody,
-        until: Option<Time>,
+        write_deadline: Option<Time>,
     ) {
-        let answer = wire::Answer::new(number, ending, bytes.len());
+        let answer = wire::Answer::new(number, outcome, bytes.len());
         let mut frame = Frame::from(wire::encode(Message::Answer(answer)));
         match bytes {
-            AnswerBody::Kept(bytes) => frame.bytes.extend_from_slice(bytes),
+            AnswerBody::Stored(bytes) => frame.bytes.extend_from_slice(bytes),
             AnswerBody::Body(body) => frame.body = Some(body),
             AnswerBody::None => {}
         }
         (frame.write_deadline, frame._held) =
-            (until, Some(CountGuard::new(&self.context.counters.unwritten)));
+            (write_deadline, Some(CountGuard::new(&self.context.counters.unwritten)));
         self.write(session, number, frame, true);
     }
 
-    /// What the dispatcher says of a call; each has one answer.
-    fn finished(&self, call: Call, ending: TxnOutcome, body: Option<Body>, until: Option<Time>) {
-        let Some(once) = self.calls.borrow_mut().remove(&call) else { return };
-        let kept = body.iter().filter(|_| once).flat_map(Body::slices).flatten().copied().collect();
-        let answer = Arc::new(Answer { outcome: ending, body: kept });
+    /// The dispatcher's result for a call; there is exactly one.
+    fn finished(&self, call: Call, outcome: TxnOutcome, body: Option<Body>, write_deadline: Option<Time>) {
+        let Some(unrepeatable) = self.calls.borrow_mut().remove(&call) else { return };
+        let stored = body.iter().filter(|_| unrepeatable).flat_map(Body::slices).flatten().copied().collect();
+        let answer = Arc::new(Answer { outcome, body: stored });
         let to = self.core.borrow_mut().finished(self.context.clock.now(), call, &answer);
         if let Some((session, number)) = to {
             let bytes = body.map_or(AnswerBody::None, AnswerBody::Body);
-            self.send_answer(session, number, ending, bytes, until);
+            self.send_answer(session, number, outcome, bytes, write_deadline);
         }
         self.run_actions();
     }
@@ -437,77 +436,79 @@
                 continue;
             }
             self.next_id.set(self.next_id.get() + 1);
-            let (door, session) = (Rc::clone(&self), self.next_id.get());
-            self.context.tasks.spawn(async move { door.serve(session, incoming).await }).detach();
+            let (driver, session) = (Rc::clone(&self), self.next_id.get());
+            self.context.tasks.spawn(async move { driver.serve(session, incoming).await }).detach();
         }
     }
 
     async fn serve(self: Rc<Self>, session: SessionId, incoming: Incoming) {
         let clock = self.context.clock;
-        let begun = async {
+        let handshake = async {
             let connection = incoming.await.map_err(|e| e.to_string())?;
             let (send, mut recv) = connection.accept_bi().await.map_err(|e| e.to_string())?;
             match quic::read(&mut recv).await.map_err(|e| e.to_string())? {
                 Message::Hello(hello) => Ok((connection, send, recv, hello)),
-                _ => Err("its first word is no hello".to_owned()),
+                _ => Err("the first message is not a hello".to_owned()),
             }
         };
-        let (connection, mut send, mut recv, hello) = match clock.within(HELLO_TIMEOUT, begun).await {
-            Some(Ok(begun)) => begun,
+        let (connection, mut send, mut recv, hello) = match clock.within(HELLO_TIMEOUT, handshake).await {
+            Some(Ok(handshake)) => handshake,
             other => {
-                let why = other
-                    .map_or("it says nothing".to_owned(), |e: Result<_, String>| e.err().unwrap_or_default());
+                let reason = other
+                    .map_or("no hello within the time-out".to_owned(), |e: Result<_, String>| {
+                        e.err().unwrap_or_default()
+                    });
                 self.context.counters.add("far gateways turned away");
-                log::warn!("a gateway of another site is turned away: {why}");
+                log::warn!("refused a gateway of another site: {reason}");
                 return;
             }
         };
-        // Signs of life and answers to questions go before all else.
+        // Pings and status replies go before everything else.
         _ = send.set_priority(CONTROL_PRIORITY);
         let (control, frames) = async_channel::unbounded();
-        let of = Rc::new(Session { connection: connection.clone(), control, welcomed: Cell::new(false) });
-        self.sessions.borrow_mut().insert(session, Rc::clone(&of));
+        let entry = Rc::new(Session { connection: connection.clone(), control, welcomed: Cell::new(false) });
+        self.sessions.borrow_mut().insert(session, Rc::clone(&entry));
         let proven = quic::certifies_site(&connection, &hello.site);
         self.with_core(|core, now| core.hello(now, session, &hello, proven));
         let write = async {
             write_frames(clock, &mut send, &frames).await;
-            "it can't be written to".to_owned()
+            "write failed".to_owned()
         };
         let read = async {
             loop {
                 match quic::read(&mut recv).await {
-                    // A refused one is heard no more; it closes, or is closed.
-                    Ok(_) if !of.welcomed.get() => {}
-                    Ok(said) => {
-                        if !self.handle_message(session, said, None) {
+                    // Messages of a refused session are ignored until either end closes the connection.
+                    Ok(_) if !entry.welcomed.get() => {}
+                    Ok(message) => {
+                        if !self.handle_message(session, message, None) {
                             self.context.counters.add("far messages that may not be sent");
-                            return "it sends what it may not".to_owned();
+                            return "unexpected message".to_owned();
                         }
                     }
                     Err(quic::ReadError::Closed) => return "the connection ended".to_owned(),
-                    Err(why) => {
+                    Err(reason) => {
                         self.context.counters.add("far messages that may not be sent");
-                        return why.to_string();
+                        return reason.to_string();
                     }
                 }
             }
         };
         let streams = async {
             while let Ok((send, recv)) = connection.accept_bi().await {
-                let door = Rc::clone(&self);
-                self.context.tasks.spawn(door.stream(session, send, recv)).detach();
+                let driver = Rc::clone(&self);
+                self.context.tasks.spawn(driver.stream(session, send, recv)).detach();
             }
             "the connection ended".to_owned()
         };
-        let why = future::or(future::or(write, read), streams).await;
-        log::info!("{} of {} has gone: {why}", hello.gateway, hello.site);
-        quic::close(&connection, &why);
+        let reason = future::or(future::or(write, read), streams).await;
+        log::info!("{} of {} disconnected: {reason}", hello.gateway, hello.site);
+        quic::close(&connection, &reason);
         self.sessions.borrow_mut().remove(&session);
-        self.replies.borrow_mut().retain(|(of, _), _| *of != session);
+        self.replies.borrow_mut().retain(|(id, _), _| *id != session);
         self.with_core(|core, _| core.disconnected(session));
     }
 
-    /// A hop's own stream: its request, then what is told of it.
+    /// A hop's own stream: reads its request, then writes the replies.
     async fn stream(self: Rc<Self>, session: SessionId, mut send: SendStream, mut recv: RecvStream) {
         let clock = self.context.clock;
         let greeted = || self.sessions.borrow().get(&session).is_some_and(|s| s.welcomed.get());
@@ -519,7 +520,7 @@
             }
         };
         let (number, importance) = (request.number, request.importance);
-        // It fails only on a stream that has ended.
+        // Fails only on a stream that has ended.
         _ = send.set_priority(importance as i32);
         let (reply, frames) = async_channel::unbounded();
         self.handle_message(session, Message::Request(request), Some(reply));
@@ -534,12 +535,12 @@
         }
     }
 
-    /// `false`: it may not send that.
-    fn handle_message(&self, session: SessionId, said: Message, reply: Option<Sender<Frame>>) -> bool {
-        match said {
+    /// Returns `false` for a message that an initiator may not send.
+    fn handle_message(&self, session: SessionId, message: Message, reply: Option<Sender<Frame>>) -> bool {
+        match message {
             Message::Request(request) => self.request(session, request, reply),
-            Message::StatusQuery(ask) => {
-                self.with_core(|core, now| core.query_status(now, session, ask.ledger, &ask.numbers));
+            Message::StatusQuery(query) => {
+                self.with_core(|core, now| core.query_status(now, session, query.ledger, &query.numbers));
             }
             Message::Settle(below) => self.with_core(|core, _| core.settle(session, below)),
             Message::Cancel(number) => {
@@ -561,7 +562,7 @@
         if let Some(reply) = reply {
             self.replies.borrow_mut().insert((session, number), reply);
         }
-        let ask = Request {
+        let request = Request {
             request_id: format!("{:016x}", r.trace_id),
             request_number: r.trace_id,
             object_name: format!("{:016x}", r.object),
@@ -577,10 +578,10 @@
             via: r.path,
         };
         let importance = r.importance as u8;
-        let asked = RequestMeta { number, unrepeatable: r.unrepeatable, importance, path: &ask.via };
-        let call = self.core.borrow_mut().request(now, session, &asked);
+        let meta = RequestMeta { number, unrepeatable: r.unrepeatable, importance, path: &request.via };
+        let call = self.core.borrow_mut().request(now, session, &meta);
         if let Some(call) = call {
-            let pending = Pending { method: r.rule, request: Box::new(ask), received_at: now };
+            let pending = Pending { method: r.rule, request: Box::new(request), received_at: now };
             self.pending.borrow_mut().insert(call, pending);
             self.calls.borrow_mut().insert(call, r.unrepeatable);
         }
@@ -588,10 +589,10 @@
     }
 }
 
-/// What stands behind an answer.
+/// The body that follows an answer.
 enum AnswerBody<'a> {
     None,
-    Kept(&'a [u8]),
+    Stored(&'a [u8]),
     Body(Body),
 }
 
@@ -599,7 +600,7 @@
     fn len(&self) -> usize {
         match self {
             AnswerBody::None => 0,
-            AnswerBody::Kept(bytes) => bytes.len(),
+            AnswerBody::Stored(bytes) => bytes.len(),
             AnswerBody::Body(body) => body.len(),
         }
     }
@@ -610,9 +611,9 @@
         self.key
     }
 
-    fn serve(&self, id: u64, body: Option<Body>, until: Time) {
-        let ending = if body.is_some() { TxnOutcome::Served } else { TxnOutcome::NotModified };
-        self.finished(id, ending, body, Some(until));
+    fn serve(&self, id: u64, body: Option<Body>, write_deadline: Time) {
+        let outcome = if body.is_some() { TxnOutcome::Served } else { TxnOutcome::NotModified };
+        self.finished(id, outcome, body, Some(write_deadline));
     }
 
     fn reject(&self, id: u64, come_back: Option<Span>) {
--- a/gateway/src/sites/initiator.rs
+++ b/gateway/src/sites/initiator.rs
@@ -1,5 +1,7 @@
-//! The near end of links on sockets: dials, writes requests, reads answers and tells the core what happens. Must never
-//! end a hop by itself: each ends by the core's word, once.
+//! Drives the initiating end of links on sockets: connects, writes requests, reads answers and passes
+//! events to the core.
+//!
+//! Invariant: a hop is finished only by the core, and only once.
 
 use super::{Frame, LinkContext, MIN_SLEEP, random_id, write_frames};
 use crate::connection_end::ConnectionEnd as Ends;
@@ -24,23 +26,24 @@
     control: Sender<Frame>,
 }
 
-/// A link's connection, and how many it has had: what an earlier one still brings is told apart by that.
+/// A link's connection. The generation is increased when a connection is closed, so that messages of an
+/// earlier one are told apart.
 #[derive(Default)]
 struct Link {
     generation: u64,
     open: Option<OpenConnection>,
-    /// Why the last try failed; told once.
+    /// Last connection error, so that a repeated one is not logged again.
     last_error: Option<String>,
 }
 
-/// A hop that the core has.
+/// A hop held by the core.
 struct PendingHop {
     job: HopRequest,
     reply: Sender<HopResult>,
     result: Option<HopResult>,
-    /// From its sending to the far end's word that it was taken.
+    /// Time from sending the request to its acceptance.
     accept_time: Option<Span>,
-    /// The exchange on its stream.
+    /// Runs the exchange on the hop's stream.
     task: Option<Task<()>>,
 }
 
@@ -50,7 +53,7 @@
     endpoint: Endpoint,
     keys: Rc<RefCell<quic::Keys>>,
     members: BTreeMap<MemberId, usize>,
-    /// This start of the process, to the far ends.
+    /// Identifies this start of the process to acceptors.
     run_id: u64,
     core: RefCell<Initiator>,
     links: RefCell<Vec<Link>>,
@@ -58,7 +61,7 @@
     wakeup: Wakeup,
 }
 
-/// Gives the hop up when nobody waits for it any more.
+/// Cancels the hop when its future is dropped.
 struct CancelOnDrop {
     driver: Rc<InitiatorDriver>,
     number: u64,
@@ -80,23 +83,23 @@
         endpoint: &Endpoint,
         keys: &Rc<RefCell<quic::Keys>>,
     ) -> Rc<InitiatorDriver> {
-        let run = random_id();
-        let ways = Rc::new(InitiatorDriver {
+        let run_id = random_id();
+        let driver = Rc::new(InitiatorDriver {
             context: context.clone(),
             settings: Rc::clone(settings),
             endpoint: endpoint.clone(),
             keys: Rc::clone(keys),
             members,
-            run_id: run,
-            core: RefCell::new(Initiator::new(settings, run, context.clock.now())),
+            run_id,
+            core: RefCell::new(Initiator::new(settings, run_id, context.clock.now())),
             links: RefCell::new(settings.peers.iter().map(|_| Link::default()).collect()),
             pending: RefCell::default(),
             wakeup: Wakeup::new(),
         });
         if !settings.peers.is_empty() {
-            context.tasks.spawn(Rc::clone(&ways).run_timer()).detach();
+            context.tasks.spawn(Rc::clone(&driver).run_timer()).detach();
         }
-        ways
+        driver
     }
 
     pub fn reaches(&self, member: &MemberId) -> bool {
@@ -110,25 +113,25 @@
     async fn run_timer(self: Rc<Self>) {
         loop {
             self.run_actions();
-            let poked = self.wakeup.listen();
-            // Whatever the core asks for, the others of the process have their turn.
+            let notified = self.wakeup.listen();
+            // A minimum sleep leaves time to other tasks of the process, whatever the core asks for.
             let wake = self.core.borrow().next_wake().max(self.context.clock.now() + MIN_SLEEP);
-            _ = self.context.clock.by(wake, poked).await;
+            _ = self.context.clock.by(wake, notified).await;
         }
     }
 
-    /// Tells the core something and carries out what it orders then.
-    fn with_core<T>(self: &Rc<Self>, what: impl FnOnce(&mut Initiator, Time) -> T) -> T {
-        let told = what(&mut self.core.borrow_mut(), self.context.clock.now());
+    /// Passes an event to the core and carries out the resulting actions.
+    fn with_core<T>(self: &Rc<Self>, event: impl FnOnce(&mut Initiator, Time) -> T) -> T {
+        let result = event(&mut self.core.borrow_mut(), self.context.clock.now());
         self.run_actions();
         self.wakeup.notify(1);
-        told
+        result
     }
 
     pub async fn hop(self: Rc<Self>, job: HopRequest) -> HopResult {
         let Some(&link) = self.members.get(&job.member) else { return Ends::FarDown.into() };
-        let (tell, told) = async_channel::bounded(1);
-        let want = HopSpec {
+        let (reply, result) = async_channel::bounded(1);
+        let spec = HopSpec {
             importance: self.settings.importance(&job.rule),
             unrepeatable: job.unrepeatable,
             size_kb: job.request.size_kb.filter(|_| !job.write),
@@ -137,30 +140,30 @@
             sla_deadline: job.sla_deadline,
             path: &job.request.via,
         };
-        let number = self.core.borrow_mut().submit(self.context.clock.now(), link, &want);
+        let number = self.core.borrow_mut().submit(self.context.clock.now(), link, &spec);
         self.pending
             .borrow_mut()
-            .insert(number, PendingHop { job, reply: tell, result: None, accept_time: None, task: None });
+            .insert(number, PendingHop { job, reply, result: None, accept_time: None, task: None });
         let _guard = CancelOnDrop { driver: Rc::clone(&self), number };
         self.with_core(|_, _| ());
-        // The sender goes only with its word or with the guard.
-        let mut ended = told.recv().await.unwrap_or_else(|_| Ends::FarLost.into());
-        ended.at = Some(self.context.clock.now());
-        self.context.counters.record_end(ended.end);
-        ended
+        // The sender is dropped only after a result was sent, or with the guard.
+        let mut hop_result = result.recv().await.unwrap_or_else(|_| Ends::FarLost.into());
+        hop_result.at = Some(self.context.clock.now());
+        self.context.counters.record_end(hop_result.end);
+        hop_result
     }
 
     fn run_actions(self: &Rc<Self>) {
         loop {
             let now = self.context.clock.now();
-            let Some(act) = self.core.borrow_mut().poll(now) else { return };
-            match act {
+            let Some(action) = self.core.borrow_mut().poll(now) else { return };
+            match action {
                 LinkAction::Dial { link } => {
                     let generation = self.links.borrow()[link].generation;
                     self.context.tasks.spawn(Rc::clone(self).dial(link, generation)).detach();
                 }
                 LinkAction::Disconnect { link } => self.close(link, "silent"),
-                LinkAction::Send { link, number, time_left: left } => self.send_request(link, number, left),
+                LinkAction::Send { link, number, time_left } => self.send_request(link, number, time_left),
                 LinkAction::Cancel { link, number } => self.send_message(link, Message::Cancel(number)),
                 LinkAction::QueryStatus { link, ledger, numbers } => {
                     self.context.counters.add("questions about hops in doubt");
@@ -169,37 +172,37 @@
                 LinkAction::Ping { link, number } => self.send_message(link, Message::Ping(number)),
                 LinkAction::LinkUp { link } => {
                     for (member, _) in self.members.iter().filter(|(_, of)| **of == link) {
-                        // It fails only when the dispatcher has ended, and with it the process.
+                        // Fails only when the dispatcher has ended, and with it the process.
                         _ = self.context.dispatcher.try_send(Event::MemberAlive { member: member.clone() });
                     }
                 }
                 LinkAction::Settle { link, below } => self.send_message(link, Message::Settle(below)),
-                LinkAction::Finished { number, outcome: end } => self.finish(number, end),
+                LinkAction::Finished { number, outcome } => self.finish(number, outcome),
             }
         }
     }
 
-    fn send_message(&self, link: usize, said: Message) {
+    fn send_message(&self, link: usize, message: Message) {
         if let Some(open) = &self.links.borrow()[link].open {
-            // It fails only when the connection is gone, which the core is told of.
-            _ = open.control.try_send(wire::encode(said).into());
+            // Fails only when the connection is gone, which the core learns separately.
+            _ = open.control.try_send(wire::encode(message).into());
         }
     }
 
-    fn close(&self, link: usize, why: &str) {
+    fn close(&self, link: usize, reason: &str) {
         let mut links = self.links.borrow_mut();
         links[link].generation += 1;
         if let Some(open) = links[link].open.take() {
-            quic::close(&open.connection, why);
+            quic::close(&open.connection, reason);
             self.context.counters.add("links broken");
-            log::warn!("the link to {} is given up: {why}", self.settings.peers[link].name);
+            log::warn!("link to {} closed: {reason}", self.settings.peers[link].name);
         }
     }
 
-    fn finish(&self, number: u64, end: HopOutcome) {
-        let Some(wait) = self.pending.borrow_mut().remove(&number) else { return };
-        let mut ended = match end {
-            HopOutcome::Answered => wait.result.unwrap_or_else(|| Ends::FarLost.into()),
+    fn finish(&self, number: u64, outcome: HopOutcome) {
+        let Some(hop) = self.pending.borrow_mut().remove(&number) else { return };
+        let mut hop_result = match outcome {
+            HopOutcome::Answered => hop.result.unwrap_or_else(|| Ends::FarLost.into()),
             HopOutcome::Down => Ends::FarDown.into(),
             HopOutcome::Full => Ends::FarFull.into(),
             HopOutcome::Loop => Ends::FarLoop.into(),
@@ -208,19 +211,19 @@
             HopOutcome::Lost => Ends::FarLost.into(),
             HopOutcome::TimedOut => Ends::Late.into(),
         };
-        ended.waited = wait.accept_time;
-        _ = wait.reply.try_send(ended);
+        hop_result.waited = hop.accept_time;
+        _ = hop.reply.try_send(hop_result);
     }
 
-    fn send_request(self: &Rc<Self>, link: usize, number: u64, left: Span) {
+    fn send_request(self: &Rc<Self>, link: usize, number: u64, time_left: Span) {
         let open = self.links.borrow()[link].open.clone();
-        let mut waits = self.pending.borrow_mut();
-        let Some(wait) = waits.get_mut(&number) else { return };
+        let mut pending = self.pending.borrow_mut();
+        let Some(hop) = pending.get_mut(&number) else { return };
         let Some(open) = open else {
-            drop(waits);
+            drop(pending);
             return self.core.borrow_mut().send_failed(self.context.clock.now(), number);
         };
-        let request = self.request(&wait.job, number, left);
+        let request = self.request(&hop.job, number, time_left);
         let importance = request.importance;
         let bytes = wire::encode(Message::Request(request));
         if self.settings.carrier == Carrier::OneStream {
@@ -228,33 +231,33 @@
             return;
         }
         let work = Rc::clone(self).exchange(open, link, number, bytes, importance);
-        wait.task = Some(self.context.tasks.spawn(work));
+        hop.task = Some(self.context.tasks.spawn(work));
     }
 
-    fn request(&self, job: &HopRequest, number: u64, left: Span) -> wire::Request {
-        let ask = &job.request;
-        let mut path = ask.via.clone();
+    fn request(&self, job: &HopRequest, number: u64, time_left: Span) -> wire::Request {
+        let request = &job.request;
+        let mut path = request.via.clone();
         path.push(self.settings.site.clone());
         wire::Request {
             number,
             rule: job.rule.to_string(),
-            trace_id: ask.request_number,
-            object: ask.object,
-            part: ask.part,
-            group: ask.group.into(),
-            size_kb: ask.size_kb,
-            etag: ask.client_etag.clone().filter(|_| !job.write),
-            body: if job.write { ask.body.clone() } else { Vec::new() },
-            time_left_us: left.as_micros(),
+            trace_id: request.request_number,
+            object: request.object,
+            part: request.part,
+            group: request.group.into(),
+            size_kb: request.size_kb,
+            etag: request.client_etag.clone().filter(|_| !job.write),
+            body: if job.write { request.body.clone() } else { Vec::new() },
+            time_left_us: time_left.as_micros(),
             max_age_us: job.fill.as_ref().and_then(|f| f.max_age).map(Span::as_micros),
             path,
             unrepeatable: job.unrepeatable,
-            idempotency_key: ask.idempotency_key.clone(),
+            idempotency_key: request.idempotency_key.clone(),
             importance: self.settings.importance(&job.rule).into(),
         }
     }
 
-    /// One hop on a stream of its own.
+    /// Runs one hop on its own stream.
     async fn exchange(
         self: Rc<Self>,
         open: OpenConnection,
@@ -266,50 +269,52 @@
         let Ok((mut send, mut recv)) = open.connection.open_bi().await else {
             return self.with_core(|core, now| core.send_failed(now, number));
         };
-        // It fails only on a stream that has ended.
+        // Fails only on a stream that has ended.
         _ = send.set_priority(importance as i32);
         if quic::write(&mut send, &bytes).await.is_err() {
             quic::reset(&mut send);
             return self.with_core(|core, now| core.send_failed(now, number));
         }
-        // All of it is under way: whatever this says, the far end may read it whole.
+        // Everything is queued for sending: whatever this returns, the acceptor may receive the whole
+        // request.
         _ = send.finish();
         loop {
             match quic::read(&mut recv).await {
-                Ok(said) => {
-                    if !self.handle_message(link, said, &mut recv).await {
+                Ok(message) => {
+                    if !self.handle_message(link, message, &mut recv).await {
                         return self.with_core(|core, now| core.stream_lost(now, number));
                     }
                     if !self.pending.borrow().contains_key(&number) {
                         return;
                     }
                 }
-                Err(why) => {
-                    log::debug!("a hop's stream ended: {why}");
+                Err(reason) => {
+                    log::debug!("hop stream ended: {reason}");
                     return self.with_core(|core, now| core.stream_lost(now, number));
                 }
             }
         }
     }
 
-    /// Takes in a message, and the bytes behind an answer. `false`: nothing more can be read there.
-    async fn handle_message(self: &Rc<Self>, link: usize, said: Message, recv: &mut RecvStream) -> bool {
-        match said {
+    /// Handles a message, including the body that follows an answer. Returns `false` if the stream can't be
+    /// read any further.
+    async fn handle_message(self: &Rc<Self>, link: usize, message: Message, recv: &mut RecvStream) -> bool {
+        match message {
             Message::Accepted(number) => {
-                let first = self.with_core(|core, now| core.accepted(now, number));
-                if let Some(wait) = self.pending.borrow_mut().get_mut(&number) {
-                    wait.accept_time = wait.accept_time.or(first);
+                let accept_time = self.with_core(|core, now| core.accepted(now, number));
+                if let Some(hop) = self.pending.borrow_mut().get_mut(&number) {
+                    hop.accept_time = hop.accept_time.or(accept_time);
                 }
             }
             Message::Answer(answer) => return self.read_answer(link, &answer, recv).await,
-            Message::StatusReply(found) => {
-                let fate = TxnStatus::try_from(found.status).unwrap_or(TxnStatus::Unknown);
-                self.context.counters.add(match fate {
+            Message::StatusReply(reply) => {
+                let status = TxnStatus::try_from(reply.status).unwrap_or(TxnStatus::Unknown);
+                self.context.counters.add(match status {
                     TxnStatus::NeverAccepted => "hops in doubt that never ran",
                     TxnStatus::Running => "hops in doubt that run",
                     TxnStatus::Unknown => "hops in doubt not known any more",
                 });
-                self.with_core(|core, now| core.status_received(now, link, found.number, fate));
+                self.with_core(|core, now| core.status_received(now, link, reply.number, status));
             }
             Message::Pong(pong) => {
                 self.with_core(|core, now| {
@@ -318,7 +323,7 @@
             }
             Message::Ledger(ledger) => self.with_core(|core, now| core.ledger_changed(now, link, ledger)),
             Message::Leaving(_) => {
-                log::info!("{} takes no more", self.settings.peers[link].name);
+                log::info!("{} is leaving and accepts no more txns", self.settings.peers[link].name);
                 self.with_core(|core, now| core.peer_leaving(now, link));
             }
             _ => return false,
@@ -327,15 +332,16 @@
     }
 
     async fn read_answer(self: &Rc<Self>, link: usize, answer: &wire::Answer, recv: &mut RecvStream) -> bool {
-        let word = AnswerCode::try_from(answer.code).unwrap_or(AnswerCode::Unspecified);
-        let turned = |core: &mut Initiator, now: Time, end| core.refused(now, link, answer.number, end);
-        let end = match word {
+        let code = AnswerCode::try_from(answer.code).unwrap_or(AnswerCode::Unspecified);
+        let refused =
+            |core: &mut Initiator, now: Time, outcome| core.refused(now, link, answer.number, outcome);
+        let outcome = match code {
             AnswerCode::Refused => {
-                self.with_core(|core, now| turned(core, now, HopOutcome::Refused));
+                self.with_core(|core, now| refused(core, now, HopOutcome::Refused));
                 return true;
             }
             AnswerCode::Forgotten => {
-                self.with_core(|core, now| turned(core, now, HopOutcome::Lost));
+                self.with_core(|core, now| refused(core, now, HopOutcome::Lost));
                 return true;
             }
             AnswerCode::Served => Ends::Whole,
@@ -344,8 +350,8 @@
             AnswerCode::Invalid => Ends::FarInvalid,
             AnswerCode::Aborted | AnswerCode::Unspecified => Ends::FarAborted,
         };
-        let (mut body, mut own) = (None, Span::ZERO);
-        if word == AnswerCode::Served {
+        let (mut body, mut local_wait) = (None, Span::ZERO);
+        if code == AnswerCode::Served {
             let length = answer.body_len as usize;
             let awaited = self.pending.borrow().contains_key(&answer.number);
             if !awaited {
@@ -353,9 +359,9 @@
             }
             let before = self.context.clock.now();
             body = self.context.pool.body(length).await;
-            own = self.context.clock.now() - before;
+            local_wait = self.context.clock.now() - before;
             let Some(body) = &mut body else {
-                self.with_core(|core, now| turned(core, now, HopOutcome::Lost));
+                self.with_core(|core, now| refused(core, now, HopOutcome::Lost));
                 return discard(recv, length).await;
             };
             while !body.is_full() {
@@ -369,41 +375,41 @@
                 }
             }
         }
-        if let Some(wait) = self.pending.borrow_mut().get_mut(&answer.number) {
-            wait.result = Some(HopResult { body, local_wait: own, ..HopResult::from(end) });
+        if let Some(hop) = self.pending.borrow_mut().get_mut(&answer.number) {
+            hop.result = Some(HopResult { body, local_wait, ..HopResult::from(outcome) });
         }
         let bytes = f64::from(answer.body_len);
         self.with_core(|core, now| core.answered(now, link, answer.number, bytes));
         true
     }
 
-    /// Connects, says who is here, and reads what comes until the connection ends.
+    /// Connects, performs the handshake, and reads messages until the connection ends.
     async fn dial(self: Rc<Self>, link: usize, generation: u64) {
-        let why = match self.connect(link, generation).await {
-            Ok(why) => why,
-            Err(why) => {
+        let reason = match self.connect(link, generation).await {
+            Ok(reason) => reason,
+            Err(reason) => {
                 let mut links = self.links.borrow_mut();
-                if links[link].last_error.as_ref() != Some(&why) {
-                    log::warn!("no link to {}: {why}", self.settings.peers[link].name);
-                    links[link].last_error = Some(why);
+                if links[link].last_error.as_ref() != Some(&reason) {
+                    log::warn!("connecting to {} failed: {reason}", self.settings.peers[link].name);
+                    links[link].last_error = Some(reason);
                 }
                 self.context.counters.add("links not made");
-                "no link".to_owned()
+                "not connected".to_owned()
             }
         };
         if self.links.borrow()[link].generation == generation {
-            self.close(link, &why);
+            self.close(link, &reason);
             self.with_core(|core, now| core.disconnected(now, link));
         }
     }
 
-    /// What ended it, or why it did not come about.
+    /// Returns why the connection ended, or as an error why it could not be established.
     async fn connect(self: &Rc<Self>, link: usize, generation: u64) -> Result<String, String> {
         let peer = &self.settings.peers[link];
         let keys = self.keys.borrow().clone();
         let connection = self.endpoint.dial(&keys, peer.address, &peer.site).await?;
         let (mut send, mut recv) = connection.open_bi().await.map_err(|e| e.to_string())?;
-        // It fails only on a stream that has ended.
+        // Fails only on a stream that has ended.
         _ = send.set_priority(100);
         let hello = Message::Hello(wire::Hello {
             version: wire::VERSION,
@@ -415,52 +421,52 @@
         quic::write(&mut send, &wire::encode(hello)).await.map_err(|e| e.to_string())?;
         let welcome = match quic::read(&mut recv).await.map_err(|e| e.to_string())? {
             Message::Welcome(welcome) => welcome,
-            Message::Refusal(refusal) => return Err(format!("it says: {}", refusal.reason)),
-            _ => return Err("it says neither yes nor no".to_owned()),
+            Message::Refusal(refusal) => return Err(format!("refused: {}", refusal.reason)),
+            _ => return Err("unexpected reply to the hello".to_owned()),
         };
         if welcome.version != wire::VERSION || welcome.site != peer.site {
-            return Err("another version or site is there".to_owned());
+            return Err("the peer has another version or site".to_owned());
         }
         let (control, frames) = async_channel::unbounded();
         {
             let mut links = self.links.borrow_mut();
             if links[link].generation != generation {
-                return Err("it came too late".to_owned());
+                return Err("connected after the time-out".to_owned());
             }
             links[link].open = Some(OpenConnection { connection: connection.clone(), control });
             links[link].last_error = None;
         }
-        log::info!("the link to {} ({}) stands", peer.name, welcome.gateway);
+        log::info!("link to {} ({}) is up", peer.name, welcome.gateway);
         self.context.counters.add("links made");
-        let wire::Welcome { ledger, credit, leaving, knows_past_ledgers: recalls, .. } = welcome;
+        let wire::Welcome { ledger, credit, leaving, knows_past_ledgers, .. } = welcome;
         self.with_core(|core, now| {
-            core.connected(now, link, &Welcome { ledger, credit, leaving, knows_past_ledgers: recalls })
+            core.connected(now, link, &Welcome { ledger, credit, leaving, knows_past_ledgers })
         });
         let clock = self.context.clock;
         let write = async {
             write_frames(clock, &mut send, &frames).await;
-            "it can't be written to".to_owned()
+            "write failed".to_owned()
         };
         let read = async {
             loop {
                 match quic::read(&mut recv).await {
-                    Ok(said) if self.links.borrow()[link].generation == generation => {
-                        if !self.handle_message(link, said, &mut recv).await {
-                            return "it sends what it may not".to_owned();
+                    Ok(message) if self.links.borrow()[link].generation == generation => {
+                        if !self.handle_message(link, message, &mut recv).await {
+                            return "unexpected message".to_owned();
                         }
                     }
-                    Ok(_) => return "an earlier connection".to_owned(),
-                    Err(why) => return why.to_string(),
+                    Ok(_) => return "superseded connection".to_owned(),
+                    Err(reason) => return reason.to_string(),
                 }
             }
         };
-        let why = future::or(write, read).await;
-        quic::close(&connection, &why);
-        Ok(why)
+        let reason = future::or(write, read).await;
+        quic::close(&connection, &reason);
+        Ok(reason)
     }
 }
 
-/// Bytes for which nobody waits.
+/// Reads and discards the body of an answer that nobody waits for.
 async fn discard(recv: &mut RecvStream, mut length: usize) -> bool {
     let mut bytes = [0; 4 * 1024];
     while length > 0 {
--- a/gateway/tests/copies.rs
+++ b/gateway/tests/copies.rs
@@ -121,7 +121,7 @@
         let config = self.config("near-1", &self.bulletins[0], &[]);
         let sites = self.sites("near", "near-1", json!({"peers": peers}));
         let near = Gateway::start(program(), &self.folder, &config, Some(&sites)).unwrap();
-        wait_for(&near, "stands", self.fars.len());
+        wait_for(&near, ") is up", self.fars.len());
         near
     }
 
--- a/gateway/tests/sites.rs
+++ b/gateway/tests/sites.rs
@@ -111,7 +111,7 @@
     let world = World::new("cross");
     let (far, relay) = (world.far(json!({})), world.relay());
     let near = world.near(&relay);
-    wait_for(&near, "stands", 1);
+    wait_for(&near, "(far-1) is up", 1);
     let mut client = Client::of(&near);
     let (_, first) = client.served("media", 6);
     let born_first = born(6, &first.body).unwrap();
@@ -138,17 +138,17 @@
     let world = World::new("cut");
     let (_far, relay) = (world.far(json!({})), world.relay());
     let near = world.near(&relay);
-    wait_for(&near, "stands", 1);
+    wait_for(&near, "(far-1) is up", 1);
     let mut client = Client::of(&near);
     client.served("book", 1);
     let trace = client.held_book(&world.site);
     relay.set(|w| w.dark = [true; 2]);
-    wait_for(&near, "is given up", 1);
+    wait_for(&near, "link to far-1 closed", 1);
     // It ends while nobody can be told.
     world.site.hold(false);
     relay.set(|w| w.dark = [false; 2]);
     assert_eq!((client.answer().word, world.ran(trace)), (Word::Served, 1));
-    wait_for(&near, "stands", 2);
+    wait_for(&near, "(far-1) is up", 2);
     // Nothing more comes for it: the next answer is the next txn's.
     let (_, next) = client.served("media", 6);
     assert!(born(6, &next.body).is_some());
@@ -159,12 +159,12 @@
     let world = World::new("half");
     let (_far, relay) = (world.far(json!({})), world.relay());
     let near = world.near(&relay);
-    wait_for(&near, "stands", 1);
+    wait_for(&near, "(far-1) is up", 1);
     let mut client = Client::of(&near);
     client.served("book", 1);
     relay.set(|w| w.dark = [true, false]);
     let trace = client.ask("book", 77);
-    wait_for(&near, "is given up", 1);
+    wait_for(&near, "link to far-1 closed", 1);
     assert_eq!(world.ran(trace), 0);
     relay.set(|w| w.dark = [false; 2]);
     // Never taken, as the far end says: the module may try again, or reject.
@@ -180,7 +180,7 @@
         let start = || if durable { world.durable_far() } else { world.far(json!({})) };
         let (mut far, relay) = (start(), world.relay());
         let near = world.near(&relay);
-        wait_for(&near, "stands", 1);
+        wait_for(&near, "(far-1) is up", 1);
         let mut client = Client::of(&near);
         client.served("book", 1);
         let trace = client.held_book(&world.site);
@@ -197,7 +197,7 @@
     let world = World::new("disk");
     let (mut far, relay) = (world.durable_far(), world.relay());
     let near = world.near(&relay);
-    wait_for(&near, "stands", 1);
+    wait_for(&near, "(far-1) is up", 1);
     let mut client = Client::of(&near);
     client.served("book", 1);
     // The answer can't cross; that it ended is on the disk when the process is killed.
@@ -221,12 +221,12 @@
     let world = World::new("stop");
     let (mut far, relay) = (world.far(json!({})), world.relay());
     let near = world.near(&relay);
-    wait_for(&near, "stands", 1);
+    wait_for(&near, "(far-1) is up", 1);
     let mut client = Client::of(&near);
     client.served("book", 1);
     let trace = client.held_book(&world.site);
     far.signal("TERM").unwrap();
-    wait_for(&near, "takes no more", 1);
+    wait_for(&near, "accepts no more txns", 1);
     let other = client.ask("book", 78);
     assert_eq!(client.answer().word, Word::Rejected);
     world.site.hold(false);
@@ -244,28 +244,28 @@
     let far = world.far(json!({}));
     let relay = world.relay();
     let near = world.near(&relay);
-    wait_for(&near, "stands", 1);
+    wait_for(&near, "(far-1) is up", 1);
     let mut client = Client::of(&near);
     client.served("media", 6);
     // Another authority's certificates at the near site: the link stands, a new one would not come about.
     let other = Authority::new().unwrap();
     other.write(&world.folder, "near").unwrap();
     near.signal("HUP").unwrap();
-    wait_for(&near, "links made from now on", 1);
+    wait_for(&near, "new links use the reloaded keys", 1);
     client.served("media", 6);
     relay.set(|w| w.dark = [true; 2]);
-    wait_for(&near, "is given up", 1);
+    wait_for(&near, "link to far-1 closed", 1);
     relay.set(|w| w.dark = [false; 2]);
-    wait_for(&near, "no link to far-1", 1);
+    wait_for(&near, "connecting to far-1 failed", 1);
     // The right ones again, by a signal alone.
     world.authority.write(&world.folder, "near").unwrap();
     near.signal("HUP").unwrap();
-    wait_for(&near, "stands", 2);
+    wait_for(&near, "(far-1) is up", 2);
     client.served("media", 6);
     // Files that can't be used change nothing.
     std::fs::write(world.folder.join("near.key"), "no key").unwrap();
     near.signal("HUP").unwrap();
-    wait_for(&near, "links go on by the keys from before", 1);
+    wait_for(&near, "links keep the previous keys", 1);
     client.served("media", 6);
     drop(far);
 }
@@ -279,7 +279,7 @@
         Err(why) => why.to_string(),
     };
     let why = start(world.sites("near", json!({})));
-    assert!(why.contains("listen, peers: with neither"), "{why}");
+    assert!(why.contains("listen, peers: at least one of them is required"), "{why}");
     let why = start(world.sites(
         "near",
         json!({"listen": "127.0.0.1:0", "accept": ["far"], "keys": {
@@ -304,12 +304,12 @@
     let world = World::new("doubt");
     let (_far, relay) = (world.far(json!({})), world.relay());
     let mut near = world.near(&relay);
-    wait_for(&near, "stands", 1);
+    wait_for(&near, "(far-1) is up", 1);
     let mut client = Client::of(&near);
     client.served("book", 1);
     let trace = client.held_book(&world.site);
     relay.set(|w| w.dark = [true; 2]);
-    wait_for(&near, "is given up", 1);
+    wait_for(&near, "link to far-1 closed", 1);
     near.signal("TERM").unwrap();
     // It may have run, and more will not be known in time.
     assert_eq!((client.answer().word, world.ran(trace)), (Word::Failed, 1));
@@ -346,22 +346,17 @@
     let world = World::new("hostile");
     let (far, relay) = (world.far(json!({})), world.relay());
     let near = world.near(&relay);
-    wait_for(&near, "stands", 1);
+    wait_for(&near, "(far-1) is up", 1);
     let hello = |version, site: &str| {
         let (site, gateway) = (site.to_owned(), "n9".to_owned());
         wire::encode(Message::Hello(wire::Hello { version, site, gateway, run_id: 99, next_number: 1 }))
     };
-    say_to_far(&world, &far, &[hello(7, "near")], "version 1 is spoken here, not 7");
-    say_to_far(&world, &far, &[hello(1, "far")], "the certificate is not that site's");
-    say_to_far(&world, &far, &[wire::encode(Message::Ping(1))], "its first word is no hello");
-    say_to_far(&world, &far, &[vec![0xff; 64]], "a message of 4294967295 bytes");
-    say_to_far(&world, &far, &[hello(1, "near"), vec![0, 0, 0, 2, 0x28, 0]], "0 may not be sent so");
-    say_to_far(
-        &world,
-        &far,
-        &[hello(1, "near"), wire::encode(Message::Leaving(true))],
-        "it sends what it may not",
-    );
+    say_to_far(&world, &far, &[hello(7, "near")], "protocol version 1 is required, got 7");
+    say_to_far(&world, &far, &[hello(1, "far")], "the certificate is not valid for the site");
+    say_to_far(&world, &far, &[wire::encode(Message::Ping(1))], "the first message is not a hello");
+    say_to_far(&world, &far, &[vec![0xff; 64]], "message length 4294967295 is out of range");
+    say_to_far(&world, &far, &[hello(1, "near"), vec![0, 0, 0, 2, 0x28, 0]], "invalid hop number 0");
+    say_to_far(&world, &far, &[hello(1, "near"), wire::encode(Message::Leaving(true))], "unexpected message");
     let mut client = Client::of(&near);
     let (trace, _) = client.served("book", 77);
     assert_eq!(world.ran(trace), 1);
--- a/rig/src/sites.rs
+++ b/rig/src/sites.rs
@@ -460,7 +460,8 @@
 
 fn wait_for_links(near: &Gateway, links: usize) {
     let began = Instant::now();
-    let up = |near: &Gateway| near.log().iter().filter(|l| l.contains("stands")).count();
+    let up =
+        |near: &Gateway| near.log().iter().filter(|l| l.contains("stands") || l.contains(") is up")).count();
     while up(near) < links && began.elapsed() < Duration::from_secs(5) {
         thread::sleep(Duration::from_millis(10));
     }
--- a/sites/src/acceptor.rs
+++ b/sites/src/acceptor.rs
@@ -1,8 +1,10 @@
-//! The far end of links, without I/O or clock: sessions of other sites' gateways, what they may have here at once,
-//! which of their requests run, and who is told how each ended. Inputs only update what is known; the host pulls
-//! `Do`s by `poll`. Must never let a request run that came before, nor one that must not run twice before the durable
-//! copy of the ledger holds it; where the ledger is kept by several gateways, nor tell an ending or call a number never
-//! taken before they hold that.
+//! Accepting end of links, without I/O or clock: sessions of gateways of other sites, their credit, which
+//! of their requests run, and who is sent the outcome. Inputs only update state; the host pulls
+//! [`SessionAction`]s with `poll`.
+//!
+//! Invariant: a request that has arrived before is not run again, and an unrepeatable one does not run
+//! before the durable ledger holds it. With a replicated ledger, no outcome is sent and no number is called
+//! never accepted before the replicas hold that.
 
 use crate::ledger::{Admission, Answer, Bounds, Change, Key, Ledger, Lookup, TxnOutcome};
 use crate::settings::Sites;
@@ -11,9 +13,9 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// A connection, by the host's count.
+/// Identifies a connection; assigned by the host.
 pub type SessionId = u64;
-/// A request that was let run, by the core's count.
+/// Identifies an admitted request; assigned here.
 pub type Call = u64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -21,29 +23,30 @@
     /// It did not run and will not.
     Full,
     Fenced,
-    /// It has crossed this site before, or too many.
+    /// It has already crossed this site, or too many sites.
     Loop,
     Leaving,
-    /// It may have run.
+    /// Its outcome is no longer known; it may have run.
     Forgotten,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum SessionAction {
-    /// Take it in and say who is here.
+    /// Accept the session and identify this gateway.
     AcceptSession {
         session: SessionId,
         credit: u32,
         leaving: bool,
-        /// Of the copies that its txns are kept by.
+        /// Ledger of the replica group that records the session's txns.
         ledger: Option<u64>,
     },
-    /// What is taken from now on is kept by another ledger.
+    /// Txns accepted from now on are recorded in another ledger.
     LedgerChanged {
         session: SessionId,
         ledger: u64,
     },
-    /// The next five are for those who keep copies; what they say comes by `greeted`, `taken`, `copied` and `found`.
+    /// This and the next four go to the replicas. Their replies arrive through `sender_registered`,
+    /// `accept_replicated`, `outcome_replicated` and `replica_status`.
     RegisterSender {
         session: SessionId,
         sender: u64,
@@ -54,41 +57,41 @@
         key: Key,
         importance: u8,
     },
-    /// `call`: nobody waits for the word where there is none.
+    /// `call` is `None` where nobody waits for the reply.
     ReplicateOutcome {
         call: Option<Call>,
         key: Key,
         answer: Arc<Answer>,
-        /// The ledger that had taken it.
+        /// The ledger in which the txn was accepted.
         ledger: u64,
     },
     QueryReplicas {
         session: SessionId,
         key: Key,
-        /// The ledger that it was sent to.
+        /// The ledger that was current when the hop was sent.
         ledger: u64,
     },
     ReplicateSettle {
         sender: u64,
         below: u64,
     },
-    /// Say why and close.
+    /// Send the reason and close the session.
     RefuseSession {
         session: SessionId,
         reason: String,
     },
-    /// Tell that it was taken, and let it run.
+    /// Confirm acceptance and run the request.
     Run {
         call: Call,
         session: Option<SessionId>,
         number: u64,
     },
-    /// The number is being worked on already; it is taken all the same.
+    /// The txn is already running; confirm acceptance.
     AlreadyRunning {
         session: SessionId,
         number: u64,
     },
-    /// From the ledger.
+    /// An answer from the ledger.
     SendAnswer {
         session: SessionId,
         number: u64,
@@ -107,14 +110,14 @@
     Cancel {
         call: Call,
     },
-    /// It will not run: its request is of no use.
+    /// The call will not run; its request can be dropped.
     Discard {
         call: Call,
     },
     AnnounceLeaving {
         session: SessionId,
     },
-    /// Bring these to the disk in order, then call `written` with the mark.
+    /// Write the changes to disk in order, then call `persisted` with `seq`.
     Persist {
         seq: u64,
         changes: Vec<Change>,
@@ -125,30 +128,32 @@
 struct Session {
     sender: u64,
     site: String,
-    /// Its open requests, by number.
+    /// Open requests by number.
     open: BTreeMap<u64, Call>,
-    /// No number from this one on had been sent when it came.
+    /// First number unused by the sender when the session started.
     next_number: u64,
-    /// It is made welcome by then, with copies or without.
+    /// The session is accepted at this time even if the replicas have not replied.
     welcome_deadline: Option<Time>,
-    /// The ledger that knows it, and the one it was told of.
+    /// Ledger of the replica group in which the sender is registered.
     replica_ledger: Option<u64>,
+    /// Ledger that the sender has been told of.
     announced_ledger: Option<u64>,
-    /// When it is introduced to those who keep copies again.
+    /// When to register with the replicas again.
     register_at: Option<Time>,
-    /// Numbers that others run and it asked about, when that is looked up again, and the ledger that they were sent to.
+    /// Numbers queried by the sender that run at another gateway: when each is looked up again, and the
+    /// ledger that was current when it was sent.
     watches: BTreeMap<u64, (Time, u64)>,
 }
 
-/// What those who keep copies say of a txn that is to run.
+/// The replicas' reply to a request to run a txn.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AcceptResult {
-    /// They hold that it runs here.
+    /// They have recorded that it runs here.
     Granted,
     /// Another gateway runs it.
     Running,
     Ended(Arc<Answer>),
-    /// They don't hold it, or nobody but this gateway could act on it: it has not run and will not.
+    /// Not recorded, or recorded too late for this gateway to act on it: it has not run and will not.
     NotAccepted,
     /// It may have run.
     Unknown,
@@ -158,19 +163,20 @@
 struct Running {
     number: u64,
     key: Option<Key>,
-    /// Who is told; none once its connection is gone.
+    /// Session that receives the outcome; `None` once its connection is gone.
     session: Option<SessionId>,
-    /// Given to the host.
+    /// Passed to the host to run.
     started: bool,
-    /// Given up before that.
+    /// Cancelled before it was started.
     cancelled: bool,
-    /// How it ended, while that is brought to those who keep copies; it is told without them by then.
+    /// The outcome while it is being replicated, and when it is reported as unknown if that has not
+    /// succeeded.
     pending_outcome: Option<(Arc<Answer>, Time)>,
-    /// The ledger that takes it.
+    /// The ledger in which it is accepted.
     ledger: u64,
 }
 
-/// What a request has to say for itself.
+/// The fields of a request that admission depends on.
 pub struct RequestMeta<'a> {
     pub number: u64,
     pub unrepeatable: bool,
@@ -186,13 +192,13 @@
     max_sites: usize,
     ledger: Ledger,
     durable: bool,
-    /// The ledger is kept by several gateways, and what is held here is what this one needs of it.
+    /// The ledger is replicated over several gateways; the local one holds only what this gateway needs.
     replicated: bool,
     sessions: BTreeMap<SessionId, Session>,
     calls: BTreeMap<Call, Running>,
     calls_by_key: BTreeMap<Key, Call>,
     next_id: Call,
-    /// Calls that wait until the mark is on the disk.
+    /// Calls waiting until the write with this sequence number is on disk.
     awaiting_disk: VecDeque<(u64, Call)>,
     seq: u64,
     leaving: bool,
@@ -201,13 +207,13 @@
 }
 
 const EXPIRY_INTERVAL: Span = Span::from_millis(1_000);
-/// A gateway that comes waits this long for those who keep copies; its own patience is longer.
+/// A new session waits this long for the replicas. The initiator's connect time-out is longer.
 const WELCOME_TIMEOUT: Span = Span::from_millis(1_500);
-/// Between two tries to introduce it to them.
+/// Delay before a sender is registered with the replicas again.
 const REGISTER_RETRY_INTERVAL: Span = Span::from_millis(150);
-/// An ending that can't be copied by then is told as unknown.
+/// An outcome that is not replicated within this time is reported as unknown.
 const REPLICATION_TIMEOUT: Span = Span::from_millis(1_000);
-/// What another gateway runs is looked up this often for who waits.
+/// Interval of lookups of txns that run at another gateway.
 const WATCH_INTERVAL: Span = Span::from_millis(50);
 
 impl Acceptor {
@@ -241,28 +247,30 @@
         }
     }
 
-    /// From the start on, what must not run twice is kept by several gateways.
+    /// Replicates the records of unrepeatable txns over several gateways. To be called before any other
+    /// input.
     pub fn enable_replication(&mut self) {
         self.replicated = true;
     }
 
-    pub fn recover(&mut self, now: Time, floors: &[Key], taken: &[(Key, Option<Answer>)]) {
-        self.ledger.recover(now, floors, taken);
+    pub fn recover(&mut self, now: Time, floors: &[Key], accepted: &[(Key, Option<Answer>)]) {
+        self.ledger.recover(now, floors, accepted);
     }
 
-    /// What one session may have here at once: an equal part, so that no sender takes the others' room.
+    /// Hops that one session may have here at once: an equal share, so that no sender takes the others'
+    /// room.
     fn credit(&self) -> u32 {
         (self.max_running / self.sessions.len().max(1)).max(1) as u32
     }
 
-    /// A gateway has come. `proven`: its certificate holds the site's name.
+    /// A gateway has connected. `proven`: its certificate holds the site's name.
     pub fn hello(&mut self, now: Time, session: SessionId, hello: &wire::Hello, proven: bool) {
-        let why = if hello.version != wire::VERSION {
-            Some(format!("version {} is spoken here, not {}", wire::VERSION, hello.version))
+        let reason = if hello.version != wire::VERSION {
+            Some(format!("protocol version {} is required, got {}", wire::VERSION, hello.version))
         } else if !proven {
-            Some("the certificate is not that site's".to_owned())
+            Some("the certificate is not valid for the site".to_owned())
         } else if !self.accept.contains(&hello.site) {
-            Some("nothing is taken from that site".to_owned())
+            Some("the site is not in `accept`".to_owned())
         } else if self.sessions.contains_key(&session) {
             Some("a second hello".to_owned())
         } else if self.sessions.len() >= self.max_sessions
@@ -272,25 +280,25 @@
         } else {
             None
         };
-        if let Some(why) = why {
-            self.actions.push_back(SessionAction::RefuseSession { session, reason: why });
+        if let Some(reason) = reason {
+            self.actions.push_back(SessionAction::RefuseSession { session, reason });
             return;
         }
-        let (sender, site, fresh) = (hello.run_id, hello.site.clone(), hello.next_number);
-        let one = Session {
+        let (sender, site, next_number) = (hello.run_id, hello.site.clone(), hello.next_number);
+        let state = Session {
             sender,
             site,
             open: BTreeMap::new(),
-            next_number: fresh,
+            next_number,
             welcome_deadline: self.replicated.then_some(now + WELCOME_TIMEOUT),
             replica_ledger: None,
             announced_ledger: None,
             register_at: None,
             watches: BTreeMap::new(),
         };
-        self.sessions.insert(session, one);
+        self.sessions.insert(session, state);
         if self.replicated {
-            self.actions.push_back(SessionAction::RegisterSender { session, sender, next_number: fresh });
+            self.actions.push_back(SessionAction::RegisterSender { session, sender, next_number });
         } else {
             self.accept_session(session, None);
         }
@@ -298,8 +306,8 @@
 
     fn accept_session(&mut self, session: SessionId, ledger: Option<u64>) {
         let credit = self.credit();
-        if let Some(one) = self.sessions.get_mut(&session) {
-            (one.welcome_deadline, one.announced_ledger) = (None, ledger);
+        if let Some(state) = self.sessions.get_mut(&session) {
+            (state.welcome_deadline, state.announced_ledger) = (None, ledger);
         }
         self.actions.push_back(SessionAction::AcceptSession {
             session,
@@ -309,117 +317,115 @@
         });
     }
 
-    /// Those who keep copies know the gateway, by this ledger; `None`: there is no majority of them now, or no room.
+    /// The replicas have registered the sender in this ledger; `None`: no majority is available, or there
+    /// is no room.
     pub fn sender_registered(&mut self, now: Time, session: SessionId, ledger: Option<u64>) {
-        let Some(one) = self.sessions.get_mut(&session) else { return };
-        one.replica_ledger = ledger;
+        let Some(state) = self.sessions.get_mut(&session) else { return };
+        state.replica_ledger = ledger;
         if ledger.is_none() {
-            one.register_at = Some(now + REGISTER_RETRY_INTERVAL);
-            if one.welcome_deadline.is_some_and(|by| by <= now) {
+            state.register_at = Some(now + REGISTER_RETRY_INTERVAL);
+            if state.welcome_deadline.is_some_and(|by| by <= now) {
                 self.accept_session(session, None);
             }
-        } else if one.welcome_deadline.is_some() {
+        } else if state.welcome_deadline.is_some() {
             self.accept_session(session, ledger);
-        } else if let Some(ledger) = ledger.filter(|l| one.announced_ledger != Some(*l)) {
-            one.announced_ledger = Some(ledger);
+        } else if let Some(ledger) = ledger.filter(|l| state.announced_ledger != Some(*l)) {
+            state.announced_ledger = Some(ledger);
             self.actions.push_back(SessionAction::LedgerChanged { session, ledger });
         }
     }
 
-    /// Senders for which `of` holds are kept by this ledger now: those that another one knew are introduced anew.
-    pub fn replica_ledger_changed(&mut self, now: Time, ledger: u64, of: impl Fn(u64) -> bool) {
-        for one in self.sessions.values_mut().filter(|s| of(s.sender)) {
-            if one.replica_ledger.is_some_and(|known| known != ledger) {
-                (one.replica_ledger, one.register_at) = (None, Some(now));
+    /// Senders selected by `matches` are recorded in this ledger now. Those registered in another one are
+    /// registered again.
+    pub fn replica_ledger_changed(&mut self, now: Time, ledger: u64, matches: impl Fn(u64) -> bool) {
+        for state in self.sessions.values_mut().filter(|s| matches(s.sender)) {
+            if state.replica_ledger.is_some_and(|known| known != ledger) {
+                (state.replica_ledger, state.register_at) = (None, Some(now));
             }
         }
     }
 
-    /// What a pong tells.
+    /// Credit and whether this gateway is leaving, as sent in a pong.
     pub fn pong_state(&self) -> (u32, bool) {
         (self.credit(), self.leaving)
     }
 
-    /// The call it gets if it may run: the host keeps the request under that until `Run` or `Tell` comes.
-    pub fn request(&mut self, now: Time, session: SessionId, asked: &RequestMeta) -> Option<Call> {
-        let taken = self.admit(now, session, asked);
-        // What is told off as not run stays so, however often it comes.
-        let told_off = matches!(taken, Err(Some(SessionAction::RefuseHop { reason: why, .. })) if why != RefusalReason::Forgotten);
+    /// Returns a call if the request may run; the host keeps the request under it until `Run`, `Discard` or `SendAnswer`.
+    pub fn request(&mut self, now: Time, session: SessionId, meta: &RequestMeta) -> Option<Call> {
+        let result = self.admit(now, session, meta);
+        // A request refused as not run is fenced, so that it does not run when it arrives again.
+        let refused = matches!(result, Err(Some(SessionAction::RefuseHop { reason, .. })) if reason != RefusalReason::Forgotten);
         if let Some(sender) =
-            self.sessions.get(&session).map(|s| s.sender).filter(|_| asked.unrepeatable && told_off)
+            self.sessions.get(&session).map(|s| s.sender).filter(|_| meta.unrepeatable && refused)
         {
-            self.ledger.fence(now, Key { sender, number: asked.number });
+            self.ledger.fence(now, Key { sender, number: meta.number });
         }
-        taken.map_err(|what| self.actions.extend(what)).ok()
+        result.map_err(|action| self.actions.extend(action)).ok()
     }
 
-    /// A call, or what there is to tell instead.
+    /// Admits a request, or returns the action to reply with.
     fn admit(
         &mut self,
         now: Time,
         session: SessionId,
-        asked: &RequestMeta,
+        meta: &RequestMeta,
     ) -> Result<Call, Option<SessionAction>> {
-        let number = asked.number;
-        let turn = |why| SessionAction::RefuseHop { session, number, reason: why };
-        // Its connection has gone meanwhile: nobody could be told.
+        let number = meta.number;
+        let refuse = |reason| SessionAction::RefuseHop { session, number, reason };
+        // The connection is gone, so there is nobody to reply to.
         let from = self.sessions.get(&session).ok_or(None)?;
         let key = Key { sender: from.sender, number };
-        // What has come before is answered by what became of it, whatever the room is now: it may have run.
-        let before = if asked.unrepeatable { self.ledger.known(now, key) } else { None };
-        if let Some(before) = before {
-            return Err(Some(self.reply_to_duplicate(session, key, before)));
+        // A duplicate gets the outcome of the first whether or not there is room now: it may have run.
+        let previous = if meta.unrepeatable { self.ledger.known(now, key) } else { None };
+        if let Some(previous) = previous {
+            return Err(Some(self.reply_to_duplicate(session, key, previous)));
         }
         let Some(from) = self.sessions.get(&session) else { return Err(None) };
-        let unkept = asked.unrepeatable && self.replicated && from.replica_ledger.is_none();
+        let unregistered = meta.unrepeatable && self.replicated && from.replica_ledger.is_none();
         if from.open.contains_key(&number) {
-            // A second one under the number of a repeatable: the first is answered.
+            // A duplicate of a running repeatable request; the first one is answered.
             return Err(None);
         }
-        // Guards against txns that go round: two sites may name each other as the way to the same object.
-        let comes_from = asked.path.last().is_some_and(|last| *last == from.site);
-        let round = !comes_from || asked.path.contains(&self.site) || asked.path.len() >= self.max_sites;
-        let over = from.open.len() >= self.credit() as usize || self.calls.len() >= self.max_running;
-        let why = if round {
+        // Routing loop check: two sites may each name the other as the way to the same object.
+        let from_sender = meta.path.last().is_some_and(|last| *last == from.site);
+        let loops = !from_sender || meta.path.contains(&self.site) || meta.path.len() >= self.max_sites;
+        let over_limit = from.open.len() >= self.credit() as usize || self.calls.len() >= self.max_running;
+        let reason = if loops {
             Some(RefusalReason::Loop)
         } else if self.leaving {
             Some(RefusalReason::Leaving)
         } else {
-            (over || unkept).then_some(RefusalReason::Full)
+            (over_limit || unregistered).then_some(RefusalReason::Full)
         };
-        let full = why.is_none() && asked.unrepeatable && self.ledger.accept(now, key) != Admission::New;
-        if let Some(why) = why.or(full.then_some(RefusalReason::Full)) {
-            return Err(Some(turn(why)));
+        let full = reason.is_none() && meta.unrepeatable && self.ledger.accept(now, key) != Admission::New;
+        if let Some(reason) = reason.or(full.then_some(RefusalReason::Full)) {
+            return Err(Some(refuse(reason)));
         }
         self.next_id += 1;
         let call = self.next_id;
-        let once = asked.unrepeatable.then_some(key);
-        let waits = asked.unrepeatable && (self.durable || self.replicated);
-        let of = self.sessions.get(&session).and_then(|s| s.replica_ledger).unwrap_or(0);
+        let ledger_key = meta.unrepeatable.then_some(key);
+        let deferred = meta.unrepeatable && (self.durable || self.replicated);
+        let ledger = self.sessions.get(&session).and_then(|s| s.replica_ledger).unwrap_or(0);
         if let Some(from) = self.sessions.get_mut(&session) {
             from.open.insert(number, call);
         }
         let running = Running {
             number,
-            key: once,
+            key: ledger_key,
             session: Some(session),
-            started: !waits,
+            started: !deferred,
             cancelled: false,
             pending_outcome: None,
-            ledger: of,
+            ledger,
         };
         self.calls.insert(call, running);
-        if let Some(key) = once {
+        if let Some(key) = ledger_key {
             self.calls_by_key.insert(key, call);
         }
-        if waits && self.replicated {
-            self.actions.push_back(SessionAction::ReplicateAccept {
-                call,
-                key,
-                importance: asked.importance,
-            });
-        } else if waits {
-            // It waits for the write that `poll` orders next.
+        if deferred && self.replicated {
+            self.actions.push_back(SessionAction::ReplicateAccept { call, key, importance: meta.importance });
+        } else if deferred {
+            // Waits for the write that the next `poll` requests.
             self.awaiting_disk.push_back((self.seq + 1, call));
         } else {
             self.actions.push_back(SessionAction::Run { call, session: Some(session), number });
@@ -427,31 +433,32 @@
         Ok(call)
     }
 
-    fn reply_to_duplicate(&mut self, session: SessionId, key: Key, before: Admission) -> SessionAction {
+    fn reply_to_duplicate(&mut self, session: SessionId, key: Key, previous: Admission) -> SessionAction {
         let number = key.number;
-        match before {
+        match previous {
             Admission::Running => {
                 self.attach_session(session, key);
                 SessionAction::AlreadyRunning { session, number }
             }
             Admission::Ended(answer) => SessionAction::SendAnswer { session, number, answer },
             fenced => {
-                let why = if fenced == Admission::Fenced {
+                let reason = if fenced == Admission::Fenced {
                     RefusalReason::Fenced
                 } else {
                     RefusalReason::Forgotten
                 };
-                SessionAction::RefuseHop { session, number, reason: why }
+                SessionAction::RefuseHop { session, number, reason }
             }
         }
     }
 
-    /// A txn that runs is to be told on this session from now on.
+    /// The outcome of a running txn goes to this session from now on.
     fn attach_session(&mut self, session: SessionId, key: Key) {
         let Some(&call) = self.calls_by_key.get(&key) else { return };
         let Some(running) = self.calls.get_mut(&call) else { return };
-        let before = running.session.replace(session);
-        if let Some(old) = before.filter(|old| *old != session).and_then(|old| self.sessions.get_mut(&old)) {
+        let previous = running.session.replace(session);
+        if let Some(old) = previous.filter(|old| *old != session).and_then(|old| self.sessions.get_mut(&old))
+        {
             old.open.remove(&key.number);
         }
         if let Some(new) = self.sessions.get_mut(&session) {
@@ -459,11 +466,12 @@
         }
     }
 
-    /// What those who keep copies say of a call that waits for their word.
-    pub fn accept_replicated(&mut self, now: Time, call: Call, taken: AcceptResult) {
+    /// The replicas' reply for a call that waits for it.
+    pub fn accept_replicated(&mut self, now: Time, call: Call, result: AcceptResult) {
         let Some(running) = self.calls.get_mut(&call) else { return };
-        let (number, session, once, of) = (running.number, running.session, running.key, running.ledger);
-        match taken {
+        let (number, session, ledger_key, ledger) =
+            (running.number, running.session, running.key, running.ledger);
+        match result {
             AcceptResult::Granted if running.cancelled => self.cancel_unstarted(now, call),
             AcceptResult::Granted => {
                 running.started = true;
@@ -471,9 +479,9 @@
             }
             AcceptResult::Running => {
                 self.abandon(now, call, TxnOutcome::Aborted);
-                if let (Some(session), Some(key)) = (session, once) {
+                if let (Some(session), Some(key)) = (session, ledger_key) {
                     self.actions.push_back(SessionAction::AlreadyRunning { session, number });
-                    self.watch(now, session, key, of);
+                    self.watch(now, session, key, ledger);
                 }
             }
             AcceptResult::Ended(answer) => {
@@ -485,56 +493,59 @@
                 }));
             }
             AcceptResult::NotAccepted | AcceptResult::Unknown => {
-                let never = taken == AcceptResult::NotAccepted;
-                let ending =
-                    if never { TxnOutcome::Rejected { retry_after: None } } else { TxnOutcome::Aborted };
-                self.abandon(now, call, ending);
-                let why = if never { RefusalReason::Full } else { RefusalReason::Forgotten };
+                let not_accepted = result == AcceptResult::NotAccepted;
+                let outcome = if not_accepted {
+                    TxnOutcome::Rejected { retry_after: None }
+                } else {
+                    TxnOutcome::Aborted
+                };
+                self.abandon(now, call, outcome);
+                let reason = if not_accepted { RefusalReason::Full } else { RefusalReason::Forgotten };
                 self.actions.extend(session.map(|session| SessionAction::RefuseHop {
                     session,
                     number,
-                    reason: why,
+                    reason,
                 }));
-                if let Some(key) = once.filter(|_| never) {
-                    // Its taking may still come to be: then it ended as not run.
-                    let answer = Arc::new(Answer { outcome: ending, body: Vec::new() });
+                if let Some(key) = ledger_key.filter(|_| not_accepted) {
+                    // The accept may still be recorded later: then its outcome is that it did not run.
+                    let answer = Arc::new(Answer { outcome, body: Vec::new() });
                     self.actions.push_back(SessionAction::ReplicateOutcome {
                         call: None,
                         key,
                         answer,
-                        ledger: of,
+                        ledger,
                     });
                 }
             }
         }
     }
 
-    /// A call that was not given to the host is over for this gateway; the number stays known here by its end.
-    fn abandon(&mut self, now: Time, call: Call, ending: TxnOutcome) {
+    /// Drops a call that was not passed to the host. The local ledger keeps the number with this outcome.
+    fn abandon(&mut self, now: Time, call: Call, outcome: TxnOutcome) {
         let Some(running) = self.calls.remove(&call) else { return };
         self.actions.push_back(SessionAction::Discard { call });
         if let Some(key) = running.key {
             self.calls_by_key.remove(&key);
-            self.ledger.finish(now, key, &Arc::new(Answer { outcome: ending, body: Vec::new() }));
+            self.ledger.finish(now, key, &Arc::new(Answer { outcome, body: Vec::new() }));
         }
         if let Some(from) = running.session.and_then(|s| self.sessions.get_mut(&s)) {
             from.open.remove(&running.number);
         }
     }
 
-    fn watch(&mut self, now: Time, session: SessionId, key: Key, of: u64) {
-        if let Some(one) = self.sessions.get_mut(&session) {
-            one.watches.insert(key.number, (now + WATCH_INTERVAL, of));
+    fn watch(&mut self, now: Time, session: SessionId, key: Key, ledger: u64) {
+        if let Some(state) = self.sessions.get_mut(&session) {
+            state.watches.insert(key.number, (now + WATCH_INTERVAL, ledger));
         }
     }
 
-    /// Those who keep copies hold how a call ended; or called it unknown before, and it is told so.
-    pub fn outcome_replicated(&mut self, now: Time, call: Call, held: bool) {
+    /// The replicas have recorded a call's outcome (`recorded`), or it counts as unknown.
+    pub fn outcome_replicated(&mut self, now: Time, call: Call, recorded: bool) {
         let Some(running) = self.calls.get(&call) else { return };
         let (Some((answer, _)), Some(key)) = (running.pending_outcome.clone(), running.key) else { return };
         let (number, session) = (running.number, running.session);
         let aborted = || Arc::new(Answer { outcome: TxnOutcome::Aborted, body: Vec::new() });
-        let answer = if held { answer } else { aborted() };
+        let answer = if recorded { answer } else { aborted() };
         self.calls.remove(&call);
         self.calls_by_key.remove(&key);
         self.ledger.finish(now, key, &answer);
@@ -544,23 +555,23 @@
         self.actions.extend(session.map(|session| SessionAction::SendAnswer { session, number, answer }));
     }
 
-    /// What those who keep copies know of a number; `None`: they don't say.
+    /// The replicas' reply to a status query; `None`: they could not be reached.
     pub fn replica_status(
         &mut self,
         now: Time,
         session: SessionId,
-        (key, of): (Key, u64),
-        found: Option<Lookup>,
+        (key, ledger): (Key, u64),
+        lookup: Option<Lookup>,
     ) {
         let number = key.number;
-        let fate = match found {
+        let status = match lookup {
             Some(Lookup::NeverAccepted) => {
                 self.ledger.fence(now, key);
                 wire::TxnStatus::NeverAccepted
             }
             Some(Lookup::Running) => {
                 let first = self.sessions.get(&session).is_some_and(|s| !s.watches.contains_key(&number));
-                self.watch(now, session, key, of);
+                self.watch(now, session, key, ledger);
                 if !first {
                     return;
                 }
@@ -572,21 +583,21 @@
             }
             Some(Lookup::Unknown) | None => wire::TxnStatus::Unknown,
         };
-        if fate != wire::TxnStatus::Running && self.unwatch(session, number) {
-            // Its asker was told that it runs, and takes only an answer now.
+        if status != wire::TxnStatus::Running && self.unwatch(session, number) {
+            // The sender was told that the txn runs, and accepts only an answer now.
             let answer = Arc::new(Answer { outcome: TxnOutcome::Aborted, body: Vec::new() });
             return self.actions.push_back(SessionAction::SendAnswer { session, number, answer });
         }
-        self.actions.push_back(SessionAction::SendStatus { session, number, status: fate });
+        self.actions.push_back(SessionAction::SendStatus { session, number, status });
     }
 
     fn unwatch(&mut self, session: SessionId, number: u64) -> bool {
         self.sessions.get_mut(&session).is_some_and(|s| s.watches.remove(&number).is_some())
     }
 
-    /// All changes up to the mark are on the disk.
-    pub fn persisted(&mut self, now: Time, mark: u64) {
-        while self.awaiting_disk.front().is_some_and(|(at, _)| *at <= mark) {
+    /// All changes up to `seq` are on disk.
+    pub fn persisted(&mut self, now: Time, seq: u64) {
+        while self.awaiting_disk.front().is_some_and(|(at, _)| *at <= seq) {
             let Some((_, call)) = self.awaiting_disk.pop_front() else { return };
             let Some(running) = self.calls.get_mut(&call) else { continue };
             let (number, session) = (running.number, running.session);
@@ -595,21 +606,21 @@
                 continue;
             }
             running.started = true;
-            // Without a session it runs all the same, since it may be asked about.
+            // Runs even without a session, since the sender may query it later.
             self.actions.push_back(SessionAction::Run { call, session, number });
         }
     }
 
-    /// A call that was not given to the host ends as not run.
+    /// A call that was not passed to the host finishes as not run.
     fn cancel_unstarted(&mut self, now: Time, call: Call) {
         self.actions.push_back(SessionAction::Discard { call });
-        let ending = TxnOutcome::Rejected { retry_after: None };
-        self.finished(now, call, &Arc::new(Answer { outcome: ending, body: Vec::new() }));
+        let outcome = TxnOutcome::Rejected { retry_after: None };
+        self.finished(now, call, &Arc::new(Answer { outcome, body: Vec::new() }));
     }
 
-    /// The disk does not take it: what waits for it has not run, and will not.
-    pub fn persist_failed(&mut self, now: Time, mark: u64) {
-        while self.awaiting_disk.front().is_some_and(|(at, _)| *at <= mark) {
+    /// The write failed: calls that waited for it have not run and will not.
+    pub fn persist_failed(&mut self, now: Time, seq: u64) {
+        while self.awaiting_disk.front().is_some_and(|(at, _)| *at <= seq) {
             let Some((_, call)) = self.awaiting_disk.pop_front() else { return };
             self.finished(
                 now,
@@ -619,17 +630,17 @@
         }
     }
 
-    /// How a txn ended. `answer` goes into the ledger where it must not run twice; who is told by the host itself,
-    /// with the body as it has it, is given back.
+    /// A txn has finished. An unrepeatable one's answer goes into the ledger. Returns the session and
+    /// number to which the host sends the body itself.
     pub fn finished(&mut self, now: Time, call: Call, answer: &Arc<Answer>) -> Option<(SessionId, u64)> {
         if self.replicated
             && let Some(key) = self.calls.get(&call).and_then(|r| r.key)
         {
-            // It is told once those who keep copies hold it.
+            // The outcome is sent once the replicas hold it.
             if let Some(running) = self.calls.get_mut(&call).filter(|r| r.pending_outcome.is_none()) {
                 running.pending_outcome = Some((Arc::clone(answer), now + REPLICATION_TIMEOUT));
-                let (call, answer, of) = (Some(call), Arc::clone(answer), running.ledger);
-                self.actions.push_back(SessionAction::ReplicateOutcome { call, key, answer, ledger: of });
+                let (call, answer, ledger) = (Some(call), Arc::clone(answer), running.ledger);
+                self.actions.push_back(SessionAction::ReplicateOutcome { call, key, answer, ledger });
             }
             return None;
         }
@@ -648,12 +659,12 @@
         Some((session, running.number))
     }
 
-    pub fn query_status(&mut self, now: Time, session: SessionId, of: u64, numbers: &[u64]) {
+    pub fn query_status(&mut self, now: Time, session: SessionId, ledger: u64, numbers: &[u64]) {
         let Some(sender) = self.sessions.get(&session).map(|s| s.sender) else { return };
         for &number in numbers {
             let key = Key { sender, number };
             if self.replicated {
-                // What runs here is known here; of all else those who keep copies have the word.
+                // Txns that run here are known here; for all others the replicas decide.
                 if self.calls_by_key.contains_key(&key) {
                     self.attach_session(session, key);
                     self.actions.push_back(SessionAction::SendStatus {
@@ -662,11 +673,11 @@
                         status: wire::TxnStatus::Running,
                     });
                 } else {
-                    self.actions.push_back(SessionAction::QueryReplicas { session, key, ledger: of });
+                    self.actions.push_back(SessionAction::QueryReplicas { session, key, ledger });
                 }
                 continue;
             }
-            let fate = match self.ledger.lookup(now, key) {
+            let status = match self.ledger.lookup(now, key) {
                 Lookup::NeverAccepted => wire::TxnStatus::NeverAccepted,
                 Lookup::Running => {
                     self.attach_session(session, key);
@@ -678,20 +689,20 @@
                 }
                 Lookup::Unknown => wire::TxnStatus::Unknown,
             };
-            self.actions.push_back(SessionAction::SendStatus { session, number, status: fate });
+            self.actions.push_back(SessionAction::SendStatus { session, number, status });
         }
     }
 
     pub fn settle(&mut self, session: SessionId, below: u64) {
         if let Some(sender) = self.sessions.get(&session).map(|s| s.sender) {
-            let more = self.ledger.settle(sender, below);
-            if more && self.replicated {
+            let changed = self.ledger.settle(sender, below);
+            if changed && self.replicated {
                 self.actions.push_back(SessionAction::ReplicateSettle { sender, below });
             }
         }
     }
 
-    /// The near end waits no more for a number.
+    /// The sender no longer waits for a number.
     pub fn cancelled(&mut self, session: SessionId, number: u64) {
         let from = self.sessions.get_mut(&session);
         let call = from.and_then(|from| {
@@ -712,10 +723,11 @@
         }
     }
 
-    /// The connection is gone. What may run again is given up; what must not goes on, since it will be asked about.
+    /// The connection is gone. Repeatable txns are cancelled; unrepeatable ones go on, since the sender may
+    /// query them.
     pub fn disconnected(&mut self, session: SessionId) {
-        let Some(gone) = self.sessions.remove(&session) else { return };
-        for call in gone.open.into_values() {
+        let Some(closed) = self.sessions.remove(&session) else { return };
+        for call in closed.open.into_values() {
             match self.calls.get_mut(&call) {
                 Some(running) if running.key.is_some() => running.session = None,
                 _ => self.cancel(call),
@@ -723,11 +735,11 @@
         }
     }
 
-    /// The process is told to stop: no more is taken, what runs is answered.
+    /// Shutdown: accepts no more requests, but answers those that run.
     pub fn stop(&mut self) {
         if !std::mem::replace(&mut self.leaving, true) {
-            let told = self.sessions.keys().map(|&session| SessionAction::AnnounceLeaving { session });
-            self.actions.extend(told);
+            let notices = self.sessions.keys().map(|&session| SessionAction::AnnounceLeaving { session });
+            self.actions.extend(notices);
         }
     }
 
@@ -747,26 +759,27 @@
         self.actions.pop_front()
     }
 
-    /// What waits for those who keep copies, and for what others run.
+    /// Retries registrations, looks up txns that run elsewhere, and gives up on outcomes that could not be
+    /// replicated.
     fn drive_replication(&mut self, now: Time) {
-        for (&session, one) in &mut self.sessions {
-            if one.register_at.is_some_and(|at| at <= now) {
-                one.register_at = None;
-                let (sender, fresh) = (one.sender, one.next_number);
-                self.actions.push_back(SessionAction::RegisterSender { session, sender, next_number: fresh });
+        for (&session, state) in &mut self.sessions {
+            if state.register_at.is_some_and(|at| at <= now) {
+                state.register_at = None;
+                let (sender, next_number) = (state.sender, state.next_number);
+                self.actions.push_back(SessionAction::RegisterSender { session, sender, next_number });
             }
-            for (&number, (at, of)) in one.watches.iter_mut().filter(|(_, w)| w.0 <= now) {
+            for (&number, (at, ledger)) in state.watches.iter_mut().filter(|(_, w)| w.0 <= now) {
                 *at = now + WATCH_INTERVAL;
                 self.actions.push_back(SessionAction::QueryReplicas {
                     session,
-                    key: Key { sender: one.sender, number },
-                    ledger: *of,
+                    key: Key { sender: state.sender, number },
+                    ledger: *ledger,
                 });
             }
         }
-        let late = |r: &Running| r.pending_outcome.as_ref().is_some_and(|(_, by)| *by <= now);
-        let late: Vec<Call> = self.calls.iter().filter(|(_, r)| late(r)).map(|(c, _)| *c).collect();
-        late.into_iter().for_each(|call| self.outcome_replicated(now, call, false));
+        let overdue = |r: &Running| r.pending_outcome.as_ref().is_some_and(|(_, by)| *by <= now);
+        let overdue: Vec<Call> = self.calls.iter().filter(|(_, r)| overdue(r)).map(|(c, _)| *c).collect();
+        overdue.into_iter().for_each(|call| self.outcome_replicated(now, call, false));
     }
 
     pub fn next_wake(&self) -> Time {
--- a/sites/src/delay.rs
+++ b/sites/src/delay.rs
@@ -1,39 +1,43 @@
-//! How much a connection may have in flight, by delay: grows while the round trip stays near its least, shrinks as a
-//! queue builds up before the narrowest place, and takes loss for the link's nature until it is heavy. For links that an
-//! installation has to itself; beside flows that go by loss it yields. No I/O and no clock.
+//! Delay-based congestion control: the window grows while the round trip stays near its minimum and shrinks
+//! as a queue builds up at the bottleneck. Loss is attributed to the link until it is heavy. Meant for
+//! links that an installation has to itself; it yields to loss-based flows. No I/O and no clock.
 //!
-//! Sources: LEDBAT (RFC 6817: a target for the queueing delay, the base delay as a windowed least), Copa (Arun and
-//! Balakrishnan, NSDI 2018: the standing round trip as the least of the last one, which jitter does not move), and
-//! RFC 9002 section 7 (persistent congestion, the least window).
+//! Sources: LEDBAT (RFC 6817: a target for the queueing delay, the base delay as a windowed minimum), Copa
+//! (Arun and Balakrishnan, NSDI 2018: the standing RTT as the minimum over the last round trip, which is
+//! robust to jitter), and RFC 9002 section 7 (persistent congestion, the minimum window).
 
 use kelpcart::{Span, Time};
 use std::collections::VecDeque;
 
-/// The least round trip counts for this long.
+/// Window of the base RTT's minimum filter.
 const BASE_RTT_WINDOW: Span = Span::from_millis(10_000);
-/// The queue that is let stand: the greater of these, the second of the base.
+/// Target for the queueing delay: the greater of this and a share of the base RTT.
 const MIN_TARGET_DELAY: Span = Span::from_millis(20);
+/// Target for the queueing delay as a share of the base RTT.
 const TARGET_DELAY_SHARE: f64 = 0.08;
-/// A round trip's growth at the start and later, in full while there is no queue and by the square of what is left of
-/// the target.
+/// Growth of the window per round trip during slow start.
 const SLOW_START_FACTOR: f64 = 2.0;
+/// Growth of the window per round trip after slow start: in full without a queue, scaled by the square of
+/// the unused share of the target.
 const GAIN: f64 = 0.15;
-/// The start ends with so many rounds over the target: one may be chance where few packets are out.
+/// Slow start ends after this many consecutive rounds over the target: a single one may be noise when few
+/// packets are in flight.
 const SLOW_START_EXIT_ROUNDS: u32 = 2;
-/// A round's window is never cut by more.
+/// A round never reduces the window below this share.
 const MIN_DECREASE_FACTOR: f64 = 0.7;
-/// From this part on, loss is taken for a queue that runs over; of at least so many packets.
+/// Above this loss rate, loss is attributed to an overflowing queue.
 const HEAVY_LOSS_RATE: f64 = 0.2;
+/// Loss of fewer packets than this is never heavy.
 const HEAVY_LOSS_MIN_PACKETS: f64 = 8.0;
-/// Packets in flight, at first and at the least; bytes at the most.
+/// Initial window.
 const INITIAL_WINDOW_PACKETS: f64 = 32.0;
 const MIN_WINDOW_PACKETS: f64 = 4.0;
 const MAX_WINDOW_BYTES: f64 = 16.0 * 1024.0 * 1024.0;
 
-/// The least of the samples in a span.
+/// Minimum of the samples in a time window.
 #[derive(Clone, Debug, Default)]
 struct WindowedMin {
-    /// Oldest first, each less than all behind it.
+    /// Oldest first, in ascending order of the sample.
     samples: VecDeque<(Time, Span)>,
 }
 
@@ -58,23 +62,23 @@
     window: f64,
     packet_size: f64,
     base_rtt: WindowedMin,
-    /// Of this round.
+    /// Minimum RTT of this round.
     round_min_rtt: Option<Span>,
     round_acked: f64,
     round_acked_busy: f64,
     round_lost: f64,
-    /// The round ends with the first packet that was sent after this.
+    /// The round ends with the first acknowledged packet that was sent after this time.
     round_start: Time,
     slow_start: bool,
     rounds_over_target: u32,
 }
 
 impl DelayController {
-    pub fn new(now: Time, packet: u16) -> DelayController {
-        let packet = f64::from(packet);
+    pub fn new(now: Time, packet_size: u16) -> DelayController {
+        let packet_size = f64::from(packet_size);
         DelayController {
-            window: packet * INITIAL_WINDOW_PACKETS,
-            packet_size: packet,
+            window: packet_size * INITIAL_WINDOW_PACKETS,
+            packet_size,
             base_rtt: WindowedMin::default(),
             round_min_rtt: None,
             round_acked: 0.0,
@@ -96,7 +100,7 @@
         self.window = self.window.max(self.packet_size * MIN_WINDOW_PACKETS);
     }
 
-    /// A packet has arrived. `limited`: there was nothing more to send when it was.
+    /// A packet was acknowledged. `limited`: the sender had nothing more to send when it was sent.
     pub fn on_ack(&mut self, now: Time, sent: Time, bytes: f64, limited: bool) {
         let sample = now - sent;
         self.base_rtt.add(now, sample, BASE_RTT_WINDOW);
@@ -111,40 +115,41 @@
     pub fn on_loss(&mut self, bytes: f64, persistent: bool) {
         self.round_lost += bytes;
         if persistent {
-            // Nothing at all got through: what is known of the link may be wrong.
+            // Persistent congestion: the estimates may no longer hold for this path.
             self.window = self.packet_size * MIN_WINDOW_PACKETS;
             (self.slow_start, self.base_rtt) = (true, WindowedMin::default());
         }
     }
 
     fn end_round(&mut self, now: Time) {
-        let (base, standing) =
+        let (base_rtt, standing_rtt) =
             (self.base_rtt.get().unwrap_or_default(), self.round_min_rtt.take().unwrap_or_default());
-        let queue = Span::from_micros(standing.as_micros().saturating_sub(base.as_micros()));
-        let target = MIN_TARGET_DELAY.max(base * TARGET_DELAY_SHARE);
+        let queue = Span::from_micros(standing_rtt.as_micros().saturating_sub(base_rtt.as_micros()));
+        let target = MIN_TARGET_DELAY.max(base_rtt * TARGET_DELAY_SHARE);
         let loss = self.round_lost / (self.round_acked + self.round_lost).max(1.0);
-        let heavy = loss > HEAVY_LOSS_RATE && self.round_lost > HEAVY_LOSS_MIN_PACKETS * self.packet_size;
+        let heavy_loss =
+            loss > HEAVY_LOSS_RATE && self.round_lost > HEAVY_LOSS_MIN_PACKETS * self.packet_size;
         self.rounds_over_target = if queue > target { self.rounds_over_target + 1 } else { 0 };
         if self.slow_start
             && queue <= target * 2.0
             && self.rounds_over_target < SLOW_START_EXIT_ROUNDS
-            && !heavy
+            && !heavy_loss
         {
-            // Not sure yet.
+            // One round over the target is not conclusive yet: hold the window.
             self.window *= if self.rounds_over_target == 0 && self.round_acked_busy * 2.0 >= self.round_acked
             {
                 SLOW_START_FACTOR
             } else {
                 1.0
             };
-        } else if queue > target || heavy {
+        } else if queue > target || heavy_loss {
             self.slow_start = false;
-            let over = (queue / target - 1.0).max(0.0) * (target / (base + queue));
-            let kept = if heavy { 1.0 - loss / 2.0 } else { 1.0 - over };
-            self.window *= kept.max(MIN_DECREASE_FACTOR);
+            let excess = (queue / target - 1.0).max(0.0) * (target / (base_rtt + queue));
+            let factor = if heavy_loss { 1.0 - loss / 2.0 } else { 1.0 - excess };
+            self.window *= factor.max(MIN_DECREASE_FACTOR);
         } else if self.round_acked_busy * 2.0 >= self.round_acked {
-            let room = (1.0 - queue / target).powi(2);
-            self.window = self.window * (1.0 + GAIN * room) + self.packet_size * room;
+            let headroom = (1.0 - queue / target).powi(2);
+            self.window = self.window * (1.0 + GAIN * headroom) + self.packet_size * headroom;
         }
         self.window = self.window.clamp(self.packet_size * MIN_WINDOW_PACKETS, MAX_WINDOW_BYTES);
         (self.round_acked, self.round_acked_busy, self.round_lost, self.round_start) = (0.0, 0.0, 0.0, now);
@@ -160,7 +165,7 @@
     const PACKET: f64 = 1_200.0;
 
     struct Link {
-        /// Bytes a second, seconds of round trip and jitter, part lost, bytes that wait.
+        /// Bytes per second; RTT and jitter in seconds; loss rate; queue capacity in bytes.
         rate: f64,
         trip: f64,
         jitter: f64,
@@ -172,8 +177,8 @@
         Time::from_micros((secs * 1e6) as u64 + 1)
     }
 
-    /// A sender with always more to send; gives the part of the rate that arrived and the mean queue in seconds, both
-    /// of the second half.
+    /// Simulates a sender that always has data. Returns the share of the link rate that arrived and the
+    /// mean queueing delay in seconds, both over the second half.
     fn run(delay: &mut DelayController, link: &Link, from: f64, secs: f64) -> (f64, f64) {
         let mut rng = Pcg64Mcg::seed_from_u64(7);
         let (mut now, mut free, mut in_flight, mut last) = (from, from, 0.0, 0.0_f64);
@@ -237,7 +242,7 @@
         let mut delay = DelayController::new(at(0.0), PACKET as u16);
         let (part, _) = run(&mut delay, &link, 0.0, 40.0);
         assert!(part > 0.7, "{part}");
-        // A quarter in flight beyond what the link holds at the most.
+        // At most a quarter more in flight than the link holds.
         assert!(delay.window() < 1.6 * 1e6 * 0.106, "{}", delay.window());
     }
 
--- a/sites/src/initiator.rs
+++ b/sites/src/initiator.rs
@@ -1,10 +1,12 @@
-//! The near end of all links of a gateway, without I/O or clock: the state of each link, what waits for it, what is
-//! out on it, and what becomes of hops when it breaks. Inputs only update what is known; the host pulls `Act`s by
-//! `poll` and comes back by `next_wake`. Must never end a hop that must not run twice as not run unless the far end
-//! says so or nothing of it was sent; nor end one twice.
+//! Initiating end of the links of a gateway, without I/O or clock: the state of each link, its queue, the
+//! hops in flight on it, and the outcome of hops when a link fails. Inputs only update state; the host
+//! pulls [`LinkAction`]s with `poll` and calls again at `next_wake`.
 //!
-//! A link is suspected by its own signs of life (RFC 6298), and comes back as parents do: by trials, then in capped
-//! steps.
+//! Invariant: an unrepeatable hop is reported as not run only if the acceptor says so or nothing of it was
+//! sent. Each hop is finished exactly once.
+//!
+//! A link's failure is detected from its own acknowledgements (RFC 6298). A suspected link returns like a
+//! parent does: after trial pings, then in capped steps.
 
 use crate::pace::Pacer;
 use crate::queue::{Queue, QueuedHop};
@@ -16,48 +18,50 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// So many round trips' time-outs without a sign of life, while one is owed, and a link is suspected.
+/// A link is suspected after this many RTT time-outs without a message from the acceptor while one is
+/// expected.
 const SUSPECT_AFTER_TIMEOUTS: f64 = 3.0;
-/// Signs of life in time, one after the other, before a suspected link carries txns again.
+/// Consecutive timely pongs before a suspected link carries txns again.
 const TRIAL_PONGS: u32 = 3;
-/// The part of the far end's credit that is used: at the least, and the step up each second; both are the module's
-/// for parents (standby share, half a capped step).
+/// Lower bound of the share of the acceptor's credit that is used. Same value as the module's standby share
+/// for parents.
 const MIN_CREDIT_SHARE: f64 = 0.05;
+/// Increase of the used share of credit per `STEP_INTERVAL`. Half of the module's capped step for parents.
 const CREDIT_SHARE_STEP: f64 = 0.075;
 const STEP_INTERVAL: Span = Span::from_millis(1_000);
-/// A busy link is asked for a sign of life no more often than this.
+/// Lower bound of the ping interval on a busy link.
 const MIN_BUSY_PING_INTERVAL: Span = Span::from_millis(50);
-/// Waits between tries to connect grow by this, each spread by half its length.
+/// Growth factor of the reconnect delay. Each delay is jittered down by up to half its length.
 const RECONNECT_BACKOFF_FACTOR: f64 = 2.0;
-/// Questions for signs of life that may be without an answer.
+/// Unanswered pings that are tracked; the oldest is dropped beyond that.
 const MAX_OUTSTANDING_PINGS: usize = 16;
-/// The part by which the mean of what answers take follows.
+/// Weight of a new sample in the EWMA of answer times and sizes.
 const EWMA_WEIGHT: f64 = 0.125;
-/// An answer is held to be of so many bytes before the first has come.
+/// Assumed answer size before the first answer.
 const INITIAL_ANSWER_BYTES: f64 = 16.0 * 1024.0;
 const SETTLE_INTERVAL: Span = Span::from_millis(500);
-/// Numbers in one question.
+/// Numbers in one status query.
 const MAX_QUERY_NUMBERS: usize = 256;
-/// A hop's request that is not told in bytes: its fields.
+/// Size attributed to a request's fields, in addition to its body.
 pub const REQUEST_OVERHEAD_BYTES: f64 = 200.0;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HopOutcome {
-    /// The far end's answer, which the host has.
+    /// The acceptor's answer, which the host holds.
     Answered,
-    /// Nothing was sent: the link is down, suspected, or the far end takes no more.
+    /// Nothing was sent: the link is down or suspected, or the acceptor is leaving.
     Down,
-    /// Nothing was sent: there is no room, or it can't cross in its time.
+    /// Nothing was sent: the queue is full, or the hop can't be answered before its deadline.
     Full,
-    /// Nothing was sent: it has crossed the peer's site before, or too many.
+    /// Nothing was sent: the hop has already crossed the peer's site, or too many sites.
     Loop,
-    /// It was sent, and the far end had no room for it, or leaves: it did not run and will not.
+    /// Sent, but the acceptor had no room or is leaving: it did not run and will not.
     Refused,
-    /// It was sent, and the far end says that it never ran and never will.
+    /// Sent, and the acceptor confirms that it never ran and never will.
     NeverAccepted,
-    /// It was sent, may have run, and nothing more will be known.
+    /// Sent and possibly run; its outcome can't be learned any more.
     Lost,
-    /// Its time is over, and it may have run.
+    /// The deadline has passed, and it may have run.
     TimedOut,
 }
 
@@ -66,11 +70,11 @@
     Dial {
         link: usize,
     },
-    /// Close the connection, whatever it does.
+    /// Close the connection, whatever its state.
     Disconnect {
         link: usize,
     },
-    /// Write the request; the far end has the span from when it comes.
+    /// Write the request. `time_left` is the acceptor's time budget, counted from the request's arrival.
     Send {
         link: usize,
         number: u64,
@@ -82,7 +86,7 @@
     },
     QueryStatus {
         link: usize,
-        /// The ledger that they were sent to.
+        /// The ledger that was current when the hops were sent.
         ledger: u64,
         numbers: Vec<u64>,
     },
@@ -90,7 +94,7 @@
         link: usize,
         number: u64,
     },
-    /// The link carries again.
+    /// The link carries txns again.
     LinkUp {
         link: usize,
     },
@@ -104,43 +108,43 @@
     },
 }
 
-/// What a far end says of itself when a connection stands.
+/// State that an acceptor reports when a connection is established.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Welcome {
-    /// Whose answers to questions about earlier hops are worth something.
+    /// Status queries are valid only for hops sent while this ledger was current.
     pub ledger: u64,
     pub credit: u32,
     pub leaving: bool,
-    /// It may be asked about what earlier ledgers had taken, too.
+    /// Whether it also answers status queries about earlier ledgers.
     pub knows_past_ledgers: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LinkPhase {
-    /// No connection; the next try at the time.
+    /// No connection; the next attempt starts at this time.
     Idle(Time),
-    /// The connection is given up then, if it has not come.
+    /// Connecting; the attempt is abandoned at this time.
     Dialling(Time),
     Up,
-    /// It gave signs of life in time since it was suspected, so many.
+    /// Timely pongs received since the link was suspected.
     Trial(u32),
-    /// Since when.
+    /// Suspected since this time.
     Suspected(Time),
 }
 
-/// A hop that is to cross.
+/// A hop to be sent over a link.
 pub struct HopSpec<'a> {
     pub importance: u8,
     /// It must not run twice.
     pub unrepeatable: bool,
-    /// The size that the txn tells, in KB.
+    /// Object size stated by the txn, in KB.
     pub size_kb: Option<f64>,
-    /// Bytes of its request's body.
+    /// Size of the request body in bytes.
     pub body_bytes: usize,
     pub deadline: Time,
-    /// When its SLA time is over.
+    /// End of the SLA time.
     pub sla_deadline: Time,
-    /// The sites it has crossed before this one.
+    /// Sites crossed before this one.
     pub path: &'a [String],
 }
 
@@ -148,11 +152,11 @@
 enum HopState {
     Queued,
     Sent,
-    /// Its connection broke, and the far gateway with this ledger knows what became of it.
+    /// The connection broke; only the gateway with the hop's ledger knows its outcome.
     InDoubt,
-    /// It was asked about on the link.
+    /// A status query has been sent on the hop's link.
     Queried,
-    /// It runs there, and its answer comes by the link.
+    /// Running at the acceptor; the answer arrives on the hop's link.
     Running,
 }
 
@@ -164,13 +168,15 @@
     size_kb: Option<f64>,
     expected_bytes: f64,
     deadline: Time,
-    /// When it ends if nothing else ends it: at its time, or as soon as it can't cross and be answered in it.
+    /// When the hop is finished if nothing else finishes it: at its deadline, or earlier once it can't be
+    /// sent and answered in time.
     expires_at: Time,
     state: HopState,
-    /// When its request went out, while that is on the link; and what has come of its answer.
+    /// When the request was sent, while it is in flight.
     sent_at: Option<Time>,
+    /// Bytes of the answer received so far.
     received_bytes: f64,
-    /// The ledger it was sent to.
+    /// Ledger that was current when the hop was sent.
     ledger: u64,
 }
 
@@ -181,7 +187,7 @@
     pace: Pacer,
     queue: Queue,
     ledger: Option<u64>,
-    /// The far end may know what earlier ledgers had taken.
+    /// The acceptor also answers status queries about earlier ledgers.
     knows_past_ledgers: bool,
     credit: u32,
     leaving: bool,
@@ -190,11 +196,11 @@
     stable: bool,
     next_step: Time,
     in_flight: BTreeSet<u64>,
-    /// The first thing sent since the last sign of life.
+    /// Time of the first message sent since anything was last received.
     awaiting_since: Option<Time>,
-    /// Questions without an answer yet; each answer names its own, so that none is taken for another's.
+    /// Pings without a pong. A pong names its ping, so that a late one is not matched to another ping.
     outstanding_pings: VecDeque<(u64, Time)>,
-    /// What answers take from when their request is sent, in seconds; `None` before the first.
+    /// EWMA of the time from sending a request to its answer, in seconds; `None` before the first.
     mean_answer_secs: Option<f64>,
     next_ping: Time,
     attempts: u32,
@@ -206,12 +212,12 @@
         matches!(self.phase, LinkPhase::Up | LinkPhase::Trial(_) | LinkPhase::Suspected(_))
     }
 
-    /// What an answer takes on average, the round trip included.
+    /// Mean time from sending a request to its answer, including the round trip.
     fn mean_answer_time(&self) -> Span {
         Span::from_secs_f64(self.mean_answer_secs.unwrap_or(0.0))
     }
 
-    /// How long one that comes now waits for the credit of those before it.
+    /// How long a hop that arrives now waits for credit used by those before it.
     fn credit_wait(&self) -> Span {
         let before = (self.in_flight.len() + self.queue.len() + 1).saturating_sub(self.max_in_flight());
         self.mean_answer_time() * (before as f64 / self.max_in_flight() as f64)
@@ -222,13 +228,14 @@
     }
 }
 
-/// Bytes on their way that matter as much: what matters less gives way at the far end's sender.
+/// Bytes in flight of hops of this importance and above. Less important ones yield to them in the
+/// acceptor's send order.
 fn bytes_in_flight(link: &Link, hops: &BTreeMap<u64, Hop>, importance: u8) -> f64 {
     let out = link.in_flight.iter().filter_map(|n| hops.get(n));
     out.filter(|h| h.importance >= importance).map(|h| h.expected_bytes).sum()
 }
 
-/// What is known of a link, for counters and tests.
+/// Snapshot of a link for counters and tests.
 #[derive(Clone, Copy, Debug)]
 pub struct LinkStats {
     pub phase: LinkPhase,
@@ -246,12 +253,13 @@
     links: Vec<Link>,
     hops: BTreeMap<u64, Hop>,
     by_expiry: BTreeSet<(Time, u64)>,
-    /// Numbers of hops that must not run twice and are open.
+    /// Numbers of the open unrepeatable hops.
     unrepeatable: BTreeSet<u64>,
     next_id: u64,
     ping_count: u64,
-    /// Bytes of an answer for each KB that its txn told, and of any answer.
+    /// EWMA of answer bytes per KB of stated size.
     answer_bytes_per_kb: Option<f64>,
+    /// EWMA of answer bytes over all txns.
     mean_answer_bytes: f64,
     next_settle: Time,
     actions: VecDeque<LinkAction>,
@@ -298,84 +306,86 @@
         }
     }
 
-    /// No number from this one on was sent to anybody.
+    /// First number that has not been used yet.
     pub fn next_number(&self) -> u64 {
         self.next_id
     }
 
-    /// A hop is to cross a link; its number. What becomes of it comes by `poll`, at once where it can't.
-    pub fn submit(&mut self, now: Time, link: usize, want: &HopSpec) -> u64 {
+    /// Starts a hop over a link and returns its number. The outcome arrives through `poll`, immediately
+    /// where the hop can't be sent.
+    pub fn submit(&mut self, now: Time, link: usize, spec: &HopSpec) -> u64 {
         let number = self.next_id;
         self.next_id += 1;
-        let bytes = self.expected_bytes(want);
+        let bytes = self.expected_bytes(spec);
         let l = &mut self.links[link];
         let before = Span::from_millis(self.limits.answer_before_ms);
-        let until = want.deadline.back(before);
+        let deadline = spec.deadline.back(before);
         let hop = Hop {
             link,
-            importance: want.importance,
-            unrepeatable: want.unrepeatable,
-            size_kb: want.size_kb,
+            importance: spec.importance,
+            unrepeatable: spec.unrepeatable,
+            size_kb: spec.size_kb,
             expected_bytes: bytes,
-            deadline: until,
-            expires_at: until,
+            deadline,
+            expires_at: deadline,
             state: HopState::Queued,
             sent_at: None,
             received_bytes: 0.0,
             ledger: l.ledger.unwrap_or(0),
         };
         self.hops.insert(number, hop);
-        self.by_expiry.insert((until, number));
-        if want.unrepeatable {
+        self.by_expiry.insert((deadline, number));
+        if spec.unrepeatable {
             self.unrepeatable.insert(number);
         }
-        // The own site stands in the path, too, once it is sent.
-        if want.path.contains(&l.site) || want.path.len() + 1 >= self.limits.sites {
+        // This site is added to the path when the hop is sent.
+        if spec.path.contains(&l.site) || spec.path.len() + 1 >= self.limits.sites {
             self.finish(number, HopOutcome::Loop);
         } else if l.phase != LinkPhase::Up || l.leaving {
             self.finish(number, HopOutcome::Down);
         } else {
-            // Guards the far end and the client's time against txns that would only fill the link: what can't be
-            // answered in its time is told at once, and what waits is let go as soon as that shows.
+            // Admission control, which protects the acceptor and the client's time: a hop that can't be
+            // answered in time is finished at once, and a queued one as soon as that becomes certain.
             let ahead =
-                l.queue.bytes_ahead(want.importance) + bytes_in_flight(l, &self.hops, want.importance);
-            let needs = l.pace.min_answer_time().max(l.rtt.smoothed());
-            let waits = l.pace.queueing_delay(ahead, bytes).max(l.credit_wait());
-            // Where it could be in time, it waits for that only; where it never could, for one SLA time at the most,
-            // lest it be held till its client gives up.
-            let could = now + needs < want.sla_deadline;
-            let until = if could { until.min(want.sla_deadline) } else { until };
-            if now + needs + waits >= until {
+                l.queue.bytes_ahead(spec.importance) + bytes_in_flight(l, &self.hops, spec.importance);
+            let min_time = l.pace.min_answer_time().max(l.rtt.smoothed());
+            let wait = l.pace.queueing_delay(ahead, bytes).max(l.credit_wait());
+            // A hop that can meet its SLA deadline waits only for that. One that never could waits for one
+            // SLA time at most, so that it is not held until its client gives up.
+            let can_meet_sla = now + min_time < spec.sla_deadline;
+            let deadline = if can_meet_sla { deadline.min(spec.sla_deadline) } else { deadline };
+            if now + min_time + wait >= deadline {
                 self.finish(number, HopOutcome::Full);
             } else {
-                let most = if could { until } else { now + (want.sla_deadline - now) };
-                let due = until.back(needs).min(most).max(now);
+                let latest = if can_meet_sla { deadline } else { now + (spec.sla_deadline - now) };
+                let expires_at = deadline.back(min_time).min(latest).max(now);
                 let hop = self.hops.get_mut(&number);
-                if let Some(before) = hop.map(|hop| std::mem::replace(&mut hop.expires_at, due)) {
+                if let Some(before) = hop.map(|hop| std::mem::replace(&mut hop.expires_at, expires_at)) {
                     self.by_expiry.remove(&(before, number));
-                    self.by_expiry.insert((due, number));
+                    self.by_expiry.insert((expires_at, number));
                 }
-                let one = QueuedHop { number, importance: want.importance, bytes };
-                let gone = l.queue.push(one);
-                gone.into_iter().for_each(|number| self.finish(number, HopOutcome::Full));
+                let queued_hop = QueuedHop { number, importance: spec.importance, bytes };
+                let evicted = l.queue.push(queued_hop);
+                evicted.into_iter().for_each(|number| self.finish(number, HopOutcome::Full));
                 self.send_queued(now, link);
             }
         }
         number
     }
 
-    /// What it puts on the link, answer included: by its told size and what such sizes came to of late, else the mean.
-    fn expected_bytes(&self, want: &HopSpec) -> f64 {
-        let answer = want
+    /// Expected bytes on the link, answer included: from the stated size and the recent ratio of actual to
+    /// stated size, else from the mean answer.
+    fn expected_bytes(&self, spec: &HopSpec) -> f64 {
+        let answer = spec
             .size_kb
             .map_or(self.mean_answer_bytes, |kb| kb * self.answer_bytes_per_kb.unwrap_or(1_024.0));
-        answer.min(MAX_ANSWER_BODY_BYTES as f64) + want.body_bytes as f64 + REQUEST_OVERHEAD_BYTES
+        answer.min(MAX_ANSWER_BODY_BYTES as f64) + spec.body_bytes as f64 + REQUEST_OVERHEAD_BYTES
     }
 
-    /// Takes a hop out of all tables and tells its end: from here on it can't end again.
-    fn finish(&mut self, number: u64, end: HopOutcome) {
+    /// Removes a hop from all tables and reports its outcome, so that it can't be finished twice.
+    fn finish(&mut self, number: u64, outcome: HopOutcome) {
         if self.remove(number).is_some() {
-            self.actions.push_back(LinkAction::Finished { number, outcome: end });
+            self.actions.push_back(LinkAction::Finished { number, outcome });
         }
     }
 
@@ -389,28 +399,28 @@
         Some(hop)
     }
 
-    /// Sends what may go: by importance, within the far end's credit and the link's window.
+    /// Sends queued hops in order of importance, within the acceptor's credit and the link's window.
     fn send_queued(&mut self, now: Time, link: usize) {
         loop {
             let l = &mut self.links[link];
             let Some(first) = l.queue.first() else { return l.pace.set_blocked(now, false) };
             let has_credit = l.in_flight.len() < l.max_in_flight();
-            let room = l.pace.has_room(bytes_in_flight(l, &self.hops, first.importance), first.bytes);
-            // One that goes meanwhile does not end it: more waits behind.
-            if !has_credit || !room {
+            let has_room = l.pace.has_room(bytes_in_flight(l, &self.hops, first.importance), first.bytes);
+            // The link stays blocked when a hop finishes meanwhile: more are queued behind it.
+            if !has_credit || !has_room {
                 l.pace.set_blocked(now, has_credit);
             }
-            if l.phase != LinkPhase::Up || !has_credit || !room {
+            if l.phase != LinkPhase::Up || !has_credit || !has_room {
                 return;
             }
             let Some(hop) = self.hops.get_mut(&first.number) else {
                 l.queue.remove(first.number);
                 continue;
             };
-            // The answer needs its way back: what the far end has is less by a careful round trip.
-            let left = hop.deadline - now;
-            let far = hop.deadline.back(l.rtt.timeout().min(left * 0.5)) - now;
-            if far < Span::from_millis(1) {
+            // Leaves time for the answer's way back: the acceptor's budget is reduced by one RTT time-out.
+            let remaining = hop.deadline - now;
+            let time_left = hop.deadline.back(l.rtt.timeout().min(remaining * 0.5)) - now;
+            if time_left < Span::from_millis(1) {
                 self.finish(first.number, HopOutcome::Full);
                 continue;
             }
@@ -424,11 +434,11 @@
             hop.ledger = l.ledger.unwrap_or(0);
             hop.sent_at = Some(now);
             l.pace.on_sent(hop.expected_bytes);
-            self.actions.push_back(LinkAction::Send { link, number: first.number, time_left: far });
+            self.actions.push_back(LinkAction::Send { link, number: first.number, time_left });
         }
     }
 
-    /// Its request could not be written whole: nothing of it can run.
+    /// The request could not be written in full, so none of it can run.
     pub fn send_failed(&mut self, now: Time, number: u64) {
         if self.hops.get(&number).is_some_and(|h| h.state == HopState::Sent) {
             self.end_transfer(now, number, None);
@@ -436,7 +446,7 @@
         }
     }
 
-    /// Its request went out whole, and the stream that it was on broke off while the connection stands.
+    /// The request was sent in full, but its stream failed while the connection stayed up.
     pub fn stream_lost(&mut self, now: Time, number: u64) {
         let Some(hop) = self.hops.get_mut(&number).filter(|h| h.state == HopState::Sent) else { return };
         let (link, ledger) = (hop.link, hop.ledger);
@@ -452,19 +462,19 @@
         }
     }
 
-    /// The far end has taken it.
+    /// The acceptor has accepted the request. Returns the time since it was sent.
     pub fn accepted(&mut self, now: Time, number: u64) -> Option<Span> {
         let hop = self.hops.get(&number)?;
         let (link, sent) = (hop.link, hop.sent_at?);
-        let took = now - sent;
+        let elapsed = now - sent;
         self.peer_active(now, link);
         if self.hops.get(&number)?.state == HopState::Sent {
-            self.links[link].rtt.sample(took);
+            self.links[link].rtt.sample(elapsed);
         }
-        Some(took)
+        Some(elapsed)
     }
 
-    /// Its answer has come whole, `bytes` of it. The host has it.
+    /// The complete answer of `bytes` has arrived; the host holds it.
     pub fn answered(&mut self, now: Time, link: usize, number: u64, bytes: f64) {
         self.peer_active(now, link);
         if let Some(hop) = self.hops.get(&number) {
@@ -479,29 +489,30 @@
         self.send_queued(now, link);
     }
 
-    /// The far end says that it never ran and never will: it had no room, was leaving, or the number was fenced.
-    pub fn refused(&mut self, now: Time, link: usize, number: u64, end: HopOutcome) {
+    /// The acceptor says that the hop did not run and will not (no room, leaving, or fenced), or that it no
+    /// longer knows its outcome.
+    pub fn refused(&mut self, now: Time, link: usize, number: u64, outcome: HopOutcome) {
         self.peer_active(now, link);
         self.end_transfer(now, number, None);
-        self.finish(number, end);
+        self.finish(number, outcome);
         self.send_queued(now, link);
     }
 
-    /// Its place on the link is free. `bytes`: of its answer, where that came whole.
+    /// Ends the hop's accounting on the link. `bytes`: size of the answer if it arrived in full.
     fn end_transfer(&mut self, now: Time, number: u64, bytes: Option<f64>) {
         let Some(hop) = self.hops.get_mut(&number) else { return };
         let Some(sent) = hop.sent_at.take() else { return };
         let l = &mut self.links[hop.link];
         if let Some(bytes) = bytes {
             l.pace.on_received(now, (bytes - hop.received_bytes).max(0.0) + REQUEST_OVERHEAD_BYTES);
-            let took = (now - sent).as_secs_f64();
+            let elapsed = (now - sent).as_secs_f64();
             l.mean_answer_secs =
-                Some(l.mean_answer_secs.map_or(took, |mean| mean + (took - mean) * EWMA_WEIGHT));
+                Some(l.mean_answer_secs.map_or(elapsed, |mean| mean + (elapsed - mean) * EWMA_WEIGHT));
         }
         l.pace.on_finished(now, sent, hop.expected_bytes, bytes.is_some());
     }
 
-    /// Some bytes of an answer, before it is whole.
+    /// Part of an answer has arrived.
     pub fn answer_bytes_received(&mut self, now: Time, link: usize, number: u64, bytes: f64) {
         self.peer_active(now, link);
         if let Some(hop) = self.hops.get_mut(&number).filter(|h| h.link == link && h.sent_at.is_some()) {
@@ -510,7 +521,7 @@
         }
     }
 
-    /// Bytes of an answer that is still coming, or anything else from the far end.
+    /// Any message from the acceptor resets failure detection.
     pub fn peer_active(&mut self, _now: Time, link: usize) {
         self.links[link].awaiting_since = None;
     }
@@ -541,7 +552,7 @@
         self.send_queued(now, link);
     }
 
-    /// The far end takes no more; what it has it will answer.
+    /// The acceptor accepts no more hops; it still answers those it has.
     pub fn peer_leaving(&mut self, now: Time, link: usize) {
         self.peer_active(now, link);
         self.links[link].leaving = true;
@@ -549,14 +560,14 @@
         queued.into_iter().for_each(|number| self.finish(number, HopOutcome::Down));
     }
 
-    /// A connection stands, and the far end has said who it is.
+    /// A connection is established, and the acceptor has identified itself.
     pub fn connected(&mut self, now: Time, link: usize, welcome: &Welcome) {
-        let Welcome { ledger, credit, leaving, knows_past_ledgers: recalls } = *welcome;
+        let Welcome { ledger, credit, leaving, knows_past_ledgers } = *welcome;
         let l = &mut self.links[link];
         if !matches!(l.phase, LinkPhase::Dialling(_)) {
             return;
         }
-        // The first time it is as good as any other; after a break it has to prove itself.
+        // The first connection is trusted at once. After a failure the link goes through trial pings.
         l.phase = if l.was_up { LinkPhase::Trial(0) } else { LinkPhase::Up };
         (l.was_up, l.stable, l.next_step) = (true, true, now + STEP_INTERVAL);
         if l.phase == LinkPhase::Up {
@@ -564,62 +575,65 @@
             self.actions.push_back(LinkAction::LinkUp { link });
         }
         (l.ledger, l.credit, l.leaving, l.knows_past_ledgers) =
-            (Some(ledger), credit.max(1), leaving, recalls);
+            (Some(ledger), credit.max(1), leaving, knows_past_ledgers);
         (l.awaiting_since, l.next_ping, l.settled) = (None, now, 1);
         l.outstanding_pings.clear();
         l.pace.on_reconnect();
         self.query_in_doubt(link, ledger);
     }
 
-    /// Asks about what is in doubt and this gateway can know; a gateway that started anew knows nothing.
+    /// Queries the outcome of hops in doubt that this acceptor can know. Those sent under a ledger that it
+    /// no longer has are lost.
     fn query_in_doubt(&mut self, link: usize, ledger: u64) {
         self.query_ledger(link, ledger);
-        let left = |h: &Hop| h.state == HopState::InDoubt && h.link == link;
+        let unresolved = |h: &Hop| h.state == HopState::InDoubt && h.link == link;
         if self.links[link].knows_past_ledgers {
-            let ledgers: BTreeSet<u64> = self.hops.values().filter(|h| left(h)).map(|h| h.ledger).collect();
+            let ledgers: BTreeSet<u64> =
+                self.hops.values().filter(|h| unresolved(h)).map(|h| h.ledger).collect();
             return ledgers.into_iter().for_each(|ledger| self.query_ledger(link, ledger));
         }
-        let lost: Vec<u64> = self.hops.iter().filter(|(_, h)| left(h)).map(|(n, _)| *n).collect();
+        let lost: Vec<u64> = self.hops.iter().filter(|(_, h)| unresolved(h)).map(|(n, _)| *n).collect();
         lost.into_iter().for_each(|number| self.finish(number, HopOutcome::Lost));
     }
 
     fn query_ledger(&mut self, link: usize, ledger: u64) {
-        let mut asked = Vec::new();
-        let doubt = |h: &Hop| h.state == HopState::InDoubt && h.ledger == ledger;
-        for (&number, hop) in self.hops.iter_mut().filter(|(_, h)| doubt(h)) {
+        let mut queried = Vec::new();
+        let in_doubt = |h: &Hop| h.state == HopState::InDoubt && h.ledger == ledger;
+        for (&number, hop) in self.hops.iter_mut().filter(|(_, h)| in_doubt(h)) {
             (hop.state, hop.link) = (HopState::Queried, link);
-            asked.push(number);
+            queried.push(number);
         }
-        for numbers in asked.chunks(MAX_QUERY_NUMBERS) {
+        for numbers in queried.chunks(MAX_QUERY_NUMBERS) {
             self.actions.push_back(LinkAction::QueryStatus { link, ledger, numbers: numbers.to_vec() });
         }
     }
 
-    /// What is sent from now on is kept by another ledger; what was sent before stays with the one from before.
+    /// The acceptor records new hops in another ledger; earlier ones stay with the previous ledger.
     pub fn ledger_changed(&mut self, now: Time, link: usize, ledger: u64) {
         self.peer_active(now, link);
         let l = &mut self.links[link];
         if l.connected() && l.ledger != Some(ledger) {
             l.ledger = Some(ledger);
-            let recalls = l.knows_past_ledgers;
+            let knows_past_ledgers = l.knows_past_ledgers;
             self.query_ledger(link, ledger);
-            // What ledgers had taken that no link leads to any more is asked here.
-            let of = |h: &&Hop| h.state == HopState::InDoubt;
-            let ledgers: BTreeSet<u64> = self.hops.values().filter(of).map(|h| h.ledger).collect();
+            // Query here about ledgers that no connected link serves any more.
+            let in_doubt = |h: &&Hop| h.state == HopState::InDoubt;
+            let ledgers: BTreeSet<u64> = self.hops.values().filter(in_doubt).map(|h| h.ledger).collect();
             let known = |ledger: &u64| self.links.iter().any(|l| l.connected() && l.ledger == Some(*ledger));
-            let gone: Vec<u64> = ledgers.into_iter().filter(|l| recalls && !known(l)).collect();
-            gone.into_iter().for_each(|ledger| self.query_ledger(link, ledger));
+            let unserved: Vec<u64> =
+                ledgers.into_iter().filter(|l| knows_past_ledgers && !known(l)).collect();
+            unserved.into_iter().for_each(|ledger| self.query_ledger(link, ledger));
         }
     }
 
-    /// What the far end knows of a number that it was asked about; an answer comes by `answered` instead.
-    pub fn status_received(&mut self, now: Time, link: usize, number: u64, fate: TxnStatus) {
+    /// Answer to a status query; a finished hop arrives through `answered` instead.
+    pub fn status_received(&mut self, now: Time, link: usize, number: u64, status: TxnStatus) {
         self.peer_active(now, link);
         let Some(hop) = self.hops.get_mut(&number) else { return };
         if hop.link != link || hop.state != HopState::Queried {
             return;
         }
-        match fate {
+        match status {
             TxnStatus::NeverAccepted => self.finish(number, HopOutcome::NeverAccepted),
             TxnStatus::Unknown => self.finish(number, HopOutcome::Lost),
             TxnStatus::Running => {
@@ -629,7 +643,7 @@
         }
     }
 
-    /// The connection is gone, or did not come.
+    /// The connection was lost or could not be established.
     pub fn disconnected(&mut self, now: Time, link: usize) {
         let l = &mut self.links[link];
         if matches!(l.phase, LinkPhase::Idle(_)) {
@@ -638,7 +652,7 @@
         if l.connected() {
             l.credit_share = MIN_CREDIT_SHARE;
         }
-        // Spread, lest all gateways come back at once.
+        // Jittered, so that gateways do not reconnect simultaneously.
         let first = Span::from_millis(self.limits.reconnect_ms);
         let wait = first * RECONNECT_BACKOFF_FACTOR.powi(l.attempts.min(16) as i32);
         let wait = wait.min(Span::from_millis(self.limits.reconnect_most_ms));
@@ -662,18 +676,19 @@
             if hop.unrepeatable && self.limits.ask {
                 hop.state = HopState::InDoubt;
             } else {
-                // The module sends a repeatable one elsewhere at once, which beats asking.
+                // The module retries a repeatable hop elsewhere at once, which is faster than a status
+                // query.
                 self.finish(number, HopOutcome::Lost);
             }
         }
         // Another link may lead to the same gateway.
-        let other = |l: &Link| l.connected().then_some(l.ledger).flatten();
+        let ledger_of = |l: &Link| l.connected().then_some(l.ledger).flatten();
         let others: Vec<(usize, u64)> =
-            self.links.iter().enumerate().filter_map(|(i, l)| Some((i, other(l)?))).collect();
+            self.links.iter().enumerate().filter_map(|(i, l)| Some((i, ledger_of(l)?))).collect();
         others.into_iter().for_each(|(i, ledger)| self.query_in_doubt(i, ledger));
     }
 
-    /// Nobody waits for it any more.
+    /// The host no longer waits for the hop.
     pub fn cancelled(&mut self, now: Time, number: u64) {
         self.end_transfer(now, number, None);
         let Some(hop) = self.remove(number) else { return };
@@ -693,23 +708,24 @@
     }
 
     fn expire(&mut self, now: Time) {
-        while let Some(&(due, number)) = self.by_expiry.first().filter(|t| t.0 <= now) {
-            self.by_expiry.remove(&(due, number));
+        while let Some(&(expires_at, number)) = self.by_expiry.first().filter(|t| t.0 <= now) {
+            self.by_expiry.remove(&(expires_at, number));
             let Some(hop) = self.hops.get(&number) else { continue };
             let (state, link) = (hop.state, hop.link);
-            let end = if state == HopState::Queued { HopOutcome::Full } else { HopOutcome::TimedOut };
+            let outcome = if state == HopState::Queued { HopOutcome::Full } else { HopOutcome::TimedOut };
             self.end_transfer(now, number, None);
             if matches!(state, HopState::Sent | HopState::Running | HopState::Queried) {
                 self.actions.push_back(LinkAction::Cancel { link, number });
             }
-            self.finish(number, end);
+            self.finish(number, outcome);
             self.send_queued(now, link);
         }
     }
 
-    /// Signs of life: asks for them, misses them, gives the link up, and lets it come back.
+    /// Sends pings, detects a silent link, closes it when it stays silent, and raises its credit share step
+    /// by step.
     fn check_liveness(&mut self, now: Time, link: usize) {
-        let dark = self.limits.dark_after();
+        let close_after = self.limits.dark_after();
         let l = &mut self.links[link];
         match l.phase {
             LinkPhase::Idle(at) if at <= now => {
@@ -717,12 +733,12 @@
                 self.actions.push_back(LinkAction::Dial { link });
                 return;
             }
-            LinkPhase::Dialling(until) if until <= now => {
+            LinkPhase::Dialling(deadline) if deadline <= now => {
                 self.actions.push_back(LinkAction::Disconnect { link });
                 return self.disconnected(now, link);
             }
             LinkPhase::Idle(_) | LinkPhase::Dialling(_) => return,
-            LinkPhase::Suspected(since) if now - since >= dark => {
+            LinkPhase::Suspected(since) if now - since >= close_after => {
                 self.actions.push_back(LinkAction::Disconnect { link });
                 return self.disconnected(now, link);
             }
@@ -762,11 +778,11 @@
         }
     }
 
-    /// What may run again is the module's at once: its client waits, and another way may be open. The rest stays: the
-    /// link may still bring its answer, and nothing else will.
+    /// Returns repeatable hops to the module at once: the client is waiting, and another path may be open.
+    /// Unrepeatable ones stay, since only this link can still bring their answer.
     fn fail_repeatable(&mut self, now: Time, link: usize) {
-        let again = |h: &Hop| h.link == link && !h.unrepeatable;
-        let all: Vec<u64> = self.hops.iter().filter(|(_, h)| again(h)).map(|(n, _)| *n).collect();
+        let repeatable = |h: &Hop| h.link == link && !h.unrepeatable;
+        let all: Vec<u64> = self.hops.iter().filter(|(_, h)| repeatable(h)).map(|(n, _)| *n).collect();
         for number in all {
             self.end_transfer(now, number, None);
             self.actions.push_back(LinkAction::Cancel { link, number });
@@ -774,7 +790,7 @@
         }
     }
 
-    /// Tells far ends which numbers they need not keep any more.
+    /// Tells acceptors below which number they need not keep records.
     fn send_settled(&mut self, now: Time) {
         if now < self.next_settle {
             return;
@@ -797,7 +813,8 @@
                 if let LinkPhase::Suspected(since) = phase {
                     at = at.min(since + self.limits.dark_after());
                 } else {
-                    // Only a link that is up takes steps: a trial has nothing to wait for there.
+                    // Only a link that is up takes steps. Waking a link on trial at `next_step` would make
+                    // the host call in a loop.
                     if phase == LinkPhase::Up {
                         at = at.min(l.next_step);
                     }
@@ -828,15 +845,15 @@
     pub fn sizes(&self) -> [(&'static str, usize); 8] {
         let up = self.links.iter().filter(|l| l.phase == LinkPhase::Up).count();
         let queued = self.links.iter().map(|l| l.queue.len()).sum();
-        let doubt =
+        let in_doubt =
             self.hops.values().filter(|h| matches!(h.state, HopState::InDoubt | HopState::Queried)).count();
-        let kb = |of: fn(&Link) -> f64| (self.links.iter().map(of).sum::<f64>() / 1024.0) as usize;
+        let kb = |bytes: fn(&Link) -> f64| (self.links.iter().map(bytes).sum::<f64>() / 1024.0) as usize;
         let round_trip = self.links.iter().map(|l| l.rtt.smoothed()).max().unwrap_or_default();
         [
             ("links up", up),
             ("hops on links", self.hops.len()),
             ("hops queued", queued),
-            ("hops in doubt", doubt),
+            ("hops in doubt", in_doubt),
             ("KB on links", kb(|l| l.pace.in_flight())),
             ("KB that links may hold", kb(|l| l.pace.window())),
             ("KB a second over links", kb(|l| l.pace.rate().unwrap_or(0.0))),
--- a/sites/src/ledger.rs
+++ b/sites/src/ledger.rs
@@ -1,32 +1,33 @@
-//! What a gateway has taken from those of other sites and must not run twice, by the sender's run and its number
-//! there, with how each ended. Answers what became of a hop in doubt; a number that was answered as never taken is
-//! fenced and never will be. Bounded in entries, bytes, age and senders. Must never call a txn not taken that may
-//! have been: what it has let go of is not known any more.
+//! Records the unrepeatable txns that a gateway has accepted from other sites, keyed by the sender's run
+//! and hop number, with their outcomes. Bounded in entries, bytes, age and senders.
+//!
+//! Invariant: a txn is called never accepted only if that is certain. A number reported as never accepted
+//! is fenced, so that it is not accepted later; an evicted entry is reported as unknown.
 
 use kelpcart::{Span, Time};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A sender's run (new with each of its starts) and its number for the hop, growing from 1.
+/// The sender's run (new with each start of the sender) and its hop number, which counts up from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Key {
     pub sender: u64,
     pub number: u64,
 }
 
-/// How a txn ended at the site that took it.
+/// How a txn finished at the site that accepted it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TxnOutcome {
     Served,
-    /// The asker's own copy is the one.
+    /// The requester's cached copy is current.
     NotModified,
-    /// Another try is harmless.
+    /// A retry is harmless.
     Rejected {
         retry_after: Option<Span>,
     },
-    /// What has run is not known.
+    /// It may have run in part.
     Aborted,
-    /// It can't be used and went nowhere.
+    /// The request is invalid and was not forwarded.
     Invalid,
 }
 
@@ -38,7 +39,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is in the ledger now, and may run once.
+    /// Recorded now; it may run once.
     New,
     Running,
     Ended(Arc<Answer>),
@@ -61,12 +62,12 @@
 enum State {
     Running,
     Ended(Arc<Answer>),
-    /// Its answer had to go, or ended with the process.
+    /// The answer was evicted, or the outcome was lost when the process ended.
     Lost,
     Fenced,
 }
 
-/// How a txn stands, for copies of the whole ledger.
+/// State of a txn in a snapshot of the ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EntryState {
     Running,
@@ -76,7 +77,7 @@
     Fenced,
 }
 
-/// A txn, since when it stands so, and how.
+/// A txn, its state, and since when it has been in that state.
 pub type EntrySnapshot = (Key, Time, EntryState);
 
 #[derive(Debug)]
@@ -87,7 +88,7 @@
 
 #[derive(Debug)]
 struct Sender {
-    /// What is below and not among the entries is not known any more.
+    /// Numbers below that have no entry are unknown.
     floor: u64,
     entries: BTreeMap<u64, Entry>,
     last_seen: Time,
@@ -101,15 +102,15 @@
     pub senders: usize,
 }
 
-/// What a durable copy of the ledger has to change; in order.
+/// A change to be applied in order to the durable ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     Accepted(Key),
     Ended(Key, Arc<Answer>),
-    /// What the sender has below and is not kept is not known any more.
+    /// Numbers of the sender below this one without an entry are unknown.
     Floor(Key),
     Dropped(Key),
-    /// The sender is gone whole.
+    /// The sender and all its entries are removed.
     SenderDropped(u64),
 }
 
@@ -123,19 +124,19 @@
 }
 
 impl Ledger {
-    /// With `durable`, changes are collected for a copy on a disk.
+    /// With `durable`, changes are collected for the store.
     pub fn new(bounds: Bounds, durable: bool) -> Ledger {
         let changes = durable.then(Vec::new);
         Ledger { bounds, senders: BTreeMap::new(), entries: 0, bytes: 0, changes }
     }
 
-    /// Takes in what a durable copy held when the process started: what had not ended may have run.
-    pub fn recover(&mut self, now: Time, floors: &[Key], taken: &[(Key, Option<Answer>)]) {
+    /// Loads the state of the store at startup: txns without an outcome may have run.
+    pub fn recover(&mut self, now: Time, floors: &[Key], accepted: &[(Key, Option<Answer>)]) {
         for floor in floors {
             let sender = Sender { floor: floor.number, entries: BTreeMap::new(), last_seen: now };
             self.senders.insert(floor.sender, sender);
         }
-        for (key, answer) in taken {
+        for (key, answer) in accepted {
             let Some(sender) = self.senders.get_mut(&key.sender) else { continue };
             let state = match answer {
                 Some(answer) => State::Ended(Arc::new(answer.clone())),
@@ -156,41 +157,45 @@
         }
     }
 
-    /// What has changed since the last call, in order.
+    /// Takes the changes since the last call, in order.
     pub fn changes(&mut self) -> Vec<Change> {
         self.changes.as_mut().map(std::mem::take).unwrap_or_default()
     }
 
-    /// A sender has come, and will use numbers from `fresh` on: earlier ones are known only if it was known before.
-    /// `false`: there is no room to remember it.
-    pub fn register(&mut self, now: Time, sender: u64, fresh: u64) -> bool {
-        if let Some(known) = self.senders.get_mut(&sender) {
-            known.last_seen = now;
+    /// Registers a sender that will use numbers from `next_number` on; earlier ones are known only if it
+    /// was registered before. Returns `false` if there is no room for another sender.
+    pub fn register(&mut self, now: Time, sender: u64, next_number: u64) -> bool {
+        if let Some(state) = self.senders.get_mut(&sender) {
+            state.last_seen = now;
             return true;
         }
         if self.senders.len() >= self.bounds.senders && !self.evict_sender(now) {
             return false;
         }
-        self.senders.insert(sender, Sender { floor: fresh, entries: BTreeMap::new(), last_seen: now });
-        self.record_change(|| Change::Floor(Key { sender, number: fresh }));
+        self.senders.insert(sender, Sender { floor: next_number, entries: BTreeMap::new(), last_seen: now });
+        self.record_change(|| Change::Floor(Key { sender, number: next_number }));
         true
     }
 
-    /// The one heard of least lately that has nothing running and has been quiet for the age.
+    /// Removes the least recently seen sender that has nothing running and has been idle for the retention
+    /// time.
     fn evict_sender(&mut self, now: Time) -> bool {
         let idle = |s: &Sender| s.entries.values().all(|e| e.state != State::Running);
-        let old = |s: &Sender| now - s.last_seen >= self.bounds.age;
-        let quiet = self.senders.iter().filter(|(_, s)| idle(s) && old(s));
-        let Some(sender) = quiet.min_by_key(|(_, s)| s.last_seen).map(|(id, _)| *id) else { return false };
-        if let Some(gone) = self.senders.remove(&sender) {
-            self.entries -= gone.entries.len();
-            self.bytes -= gone.entries.values().map(size).sum::<usize>();
+        let expired = |s: &Sender| now - s.last_seen >= self.bounds.age;
+        let idle_senders = self.senders.iter().filter(|(_, s)| idle(s) && expired(s));
+        let Some(sender) = idle_senders.min_by_key(|(_, s)| s.last_seen).map(|(id, _)| *id) else {
+            return false;
+        };
+        if let Some(removed) = self.senders.remove(&sender) {
+            self.entries -= removed.entries.len();
+            self.bytes -= removed.entries.values().map(size).sum::<usize>();
         }
         self.record_change(|| Change::SenderDropped(sender));
         true
     }
 
-    /// What is to be said of one that has come before, or may have; `None` for one that certainly has not.
+    /// The reply to a duplicate, or to a number that may have been accepted before; `None` if it certainly
+    /// was not.
     pub fn known(&mut self, now: Time, key: Key) -> Option<Admission> {
         let Some(sender) = self.senders.get_mut(&key.sender) else { return Some(Admission::Forgotten) };
         sender.last_seen = now;
@@ -203,7 +208,7 @@
         }
     }
 
-    /// A txn has come. Only `New` lets it run.
+    /// Accepts a txn. It may run only on `New`.
     pub fn accept(&mut self, now: Time, key: Key) -> Admission {
         if let Some(known) = self.known(now, key) {
             return known;
@@ -230,7 +235,7 @@
         self.entries < self.bounds.entries
     }
 
-    /// It has ended; what is known of it stays until the sender says that it needs no more.
+    /// Records the outcome, which is kept until the sender settles the number.
     pub fn finish(&mut self, now: Time, key: Key, answer: &Arc<Answer>) {
         let Some(sender) = self.senders.get_mut(&key.sender) else { return };
         let Some(entry) = sender.entries.get_mut(&key.number) else { return };
@@ -249,18 +254,18 @@
         }
     }
 
-    /// Lets the oldest answer with a body go, but for the newest one.
-    fn evict_oldest_body(&mut self, but: Option<Key>) {
-        let all = self.senders.iter_mut().flat_map(|(&sender, s)| {
+    /// Evicts the oldest answer with a body, except for that of key `except`.
+    fn evict_oldest_body(&mut self, except: Option<Key>) {
+        let entries = self.senders.iter_mut().flat_map(|(&sender, s)| {
             s.entries.iter_mut().map(move |(&number, e)| (Key { sender, number }, e))
         });
-        let holds = all.filter(|(key, e)| Some(*key) != but && size(e) > 0);
-        let Some((_, entry)) = holds.min_by_key(|(key, e)| (e.since, *key)) else { return };
+        let with_body = entries.filter(|(key, e)| Some(*key) != except && size(e) > 0);
+        let Some((_, entry)) = with_body.min_by_key(|(key, e)| (e.since, *key)) else { return };
         self.bytes -= size(entry);
         entry.state = State::Lost;
     }
 
-    /// What became of a hop. One that was never taken is fenced: should it still come, it will not run.
+    /// Outcome of a hop. A number that was never accepted is fenced: if it arrives later, it will not run.
     pub fn lookup(&mut self, now: Time, key: Key) -> Lookup {
         let Some(sender) = self.senders.get_mut(&key.sender) else { return Lookup::Unknown };
         sender.last_seen = now;
@@ -272,7 +277,7 @@
                 State::Fenced => Lookup::NeverAccepted,
             };
         }
-        // Without room for the fence it could still be taken.
+        // Without room for the fence it could still be accepted later.
         if key.number < sender.floor || !self.has_room(now) {
             return Lookup::Unknown;
         }
@@ -280,7 +285,8 @@
         Lookup::NeverAccepted
     }
 
-    /// It was told off: should it come again, it will not run. Without room for that all numbers below go with it.
+    /// The hop was refused: if it arrives again, it will not run. Without room for an entry the floor is
+    /// raised, which makes all numbers below unknown.
     pub fn fence(&mut self, now: Time, key: Key) {
         let Some(sender) = self.senders.get(&key.sender) else { return };
         if sender.entries.contains_key(&key.number) || key.number < sender.floor {
@@ -296,49 +302,51 @@
         }
     }
 
-    /// The sender needs no number below any more, and sends none. `false`: that was known.
+    /// The sender no longer needs the numbers below and sends none of them again. Returns `false` if that
+    /// was known.
     pub fn settle(&mut self, sender: u64, below: u64) -> bool {
-        let Some(known) = self.senders.get_mut(&sender) else { return false };
-        if below <= known.floor {
+        let Some(state) = self.senders.get_mut(&sender) else { return false };
+        if below <= state.floor {
             return false;
         }
-        known.floor = below;
-        let kept = known.entries.split_off(&below);
-        let gone = std::mem::replace(&mut known.entries, kept);
-        self.entries -= gone.len();
-        self.bytes -= gone.values().map(size).sum::<usize>();
+        state.floor = below;
+        let remaining = state.entries.split_off(&below);
+        let removed = std::mem::replace(&mut state.entries, remaining);
+        self.entries -= removed.len();
+        self.bytes -= removed.values().map(size).sum::<usize>();
         self.record_change(|| Change::Floor(Key { sender, number: below }));
-        gone.keys().for_each(|&number| self.record_change(|| Change::Dropped(Key { sender, number })));
+        removed.keys().for_each(|&number| self.record_change(|| Change::Dropped(Key { sender, number })));
         true
     }
 
-    /// Lets go of what has ended longer ago than the age: not known any more from then on.
+    /// Removes entries older than the retention time; they are unknown from then on.
     pub fn expire(&mut self, now: Time) {
-        let (age, mut gone) = (self.bounds.age, Vec::new());
+        let (age, mut removed) = (self.bounds.age, Vec::new());
         for (&id, sender) in &mut self.senders {
             let mut floor = sender.floor;
             sender.entries.retain(|&number, e| {
-                let old = e.state != State::Running && now - e.since >= age;
-                if old {
+                let expired = e.state != State::Running && now - e.since >= age;
+                if expired {
                     self.entries -= 1;
                     self.bytes -= size(e);
                     floor = floor.max(number + 1);
-                    gone.push(Change::Dropped(Key { sender: id, number }));
+                    removed.push(Change::Dropped(Key { sender: id, number }));
                 }
-                !old
+                !expired
             });
             if floor > sender.floor {
                 sender.floor = floor;
-                // Before what it covers: a copy that holds only some of this must not call one never taken.
-                gone.insert(0, Change::Floor(Key { sender: id, number: floor }));
+                // The floor goes before the entries it covers: a replica that has applied only part of this
+                // must not call one of them never accepted.
+                removed.insert(0, Change::Floor(Key { sender: id, number: floor }));
             }
         }
         if let Some(changes) = &mut self.changes {
-            changes.append(&mut gone);
+            changes.append(&mut removed);
         }
     }
 
-    /// Who ran it is gone: it may have run.
+    /// The gateway that ran it is gone: it may have run.
     pub fn mark_lost(&mut self, now: Time, key: Key) {
         let entry = self.senders.get_mut(&key.sender).and_then(|s| s.entries.get_mut(&key.number));
         if let Some(entry) = entry.filter(|e| e.state == State::Running) {
@@ -351,47 +359,47 @@
         entry.is_some_and(|e| e.state == State::Running)
     }
 
-    /// Whether `expire` would let something go by then.
+    /// Whether `expire` at `now` would remove anything.
     pub fn has_expired(&self, now: Time) -> bool {
-        let old = |e: &Entry| e.state != State::Running && now - e.since >= self.bounds.age;
-        self.senders.values().flat_map(|s| s.entries.values()).any(old)
+        let expired = |e: &Entry| e.state != State::Running && now - e.since >= self.bounds.age;
+        self.senders.values().flat_map(|s| s.entries.values()).any(expired)
     }
 
-    /// All that is known: senders with their floors and when they were heard, and each txn.
+    /// All senders with their floors and when they were last seen, and all txns.
     pub fn snapshot(&self) -> (Vec<(u64, u64, Time)>, Vec<EntrySnapshot>) {
         let senders = self.senders.iter().map(|(&id, s)| (id, s.floor, s.last_seen)).collect();
-        let of = |(&sender, s): (&u64, &Sender)| -> Vec<EntrySnapshot> {
-            let stands = |(&number, e): (&u64, &Entry)| {
-                let stand = match &e.state {
+        let entries_of = |(&sender, s): (&u64, &Sender)| -> Vec<EntrySnapshot> {
+            let snapshot_of = |(&number, e): (&u64, &Entry)| {
+                let state = match &e.state {
                     State::Running => EntryState::Running,
                     State::Ended(answer) => EntryState::Ended(Arc::clone(answer)),
                     State::Lost => EntryState::Lost,
                     State::Fenced => EntryState::Fenced,
                 };
-                (Key { sender, number }, e.since, stand)
+                (Key { sender, number }, e.since, state)
             };
-            s.entries.iter().map(stands).collect()
+            s.entries.iter().map(snapshot_of).collect()
         };
-        (senders, self.senders.iter().flat_map(of).collect())
+        (senders, self.senders.iter().flat_map(entries_of).collect())
     }
 
-    /// A ledger that knows what another one told by `all`.
+    /// Restores a ledger from the parts of a [`Ledger::snapshot`].
     pub fn from_snapshot(
         bounds: Bounds,
         senders: impl Iterator<Item = (u64, u64, Time)>,
         txns: impl IntoIterator<Item = EntrySnapshot>,
     ) -> Ledger {
         let mut ledger = Ledger::new(bounds, false);
-        let sender = |(id, floor, heard)| (id, Sender { floor, entries: BTreeMap::new(), last_seen: heard });
+        let sender = |(id, floor, last_seen)| (id, Sender { floor, entries: BTreeMap::new(), last_seen });
         ledger.senders = senders.map(sender).collect();
-        for (key, at, stand) in txns {
-            let state = match stand {
+        for (key, since, state) in txns {
+            let state = match state {
                 EntryState::Running => State::Running,
                 EntryState::Ended(answer) => State::Ended(answer),
                 EntryState::Lost => State::Lost,
                 EntryState::Fenced => State::Fenced,
             };
-            let entry = Entry { state, since: at };
+            let entry = Entry { state, since };
             let Some(sender) = ledger.senders.get_mut(&key.sender) else { continue };
             ledger.bytes += size(&entry);
             ledger.entries += 1;
--- a/sites/src/lib.rs
+++ b/sites/src/lib.rs
@@ -1,6 +1,9 @@
-//! Between sites: how a gateway passes txns to gateways of another site across a slow, lossy link, and takes in
-//! theirs. `near`, `far`, `ledger`, `rtt`, `pace`, `delay` and `queue` are the core, without I/O or clock; `wire` is what
-//! crosses, `settings` what operators write, `store` the ledger on a disk, `quic` the carrier.
+//! Links between sites: how a gateway sends txns to gateways of another site over a slow, lossy link, and
+//! accepts theirs.
+//!
+//! `initiator`, `acceptor`, `ledger`, `rtt`, `pace`, `delay` and `queue` are the core, without I/O or
+//! clock. `wire` holds the messages, `settings` the operator's file, `store` the ledger on disk and `quic`
+//! the transport.
 
 pub mod acceptor;
 pub mod delay;
