--- a/sites/src/pace.rs
+++ b/sites/src/pace.rs
@@ -1,35 +1,40 @@
-//! Measures what a link delivers, and says how much may be on its way at once and whether a txn can cross in its
-//! time. Must never count what was not delivered, nor let one idle moment pass for a narrow link.
+//! Measures a link's delivery rate, and derives how much may be in flight and how long a txn waits to be
+//! delivered.
 //!
-//! Source: the windowed greatest of the delivery rate and the window as a multiple of what fits into the shortest time,
-//! from BBR (Cardwell et al., "BBR: Congestion-Based Congestion Control", ACM Queue 2016); that only a sender who has
-//! more to send learns what a link can do, from draft-cheng-iccrg-delivery-rate-estimation.
+//! Invariant: only delivered bytes count, and an idle period is not taken for low bandwidth.
+//!
+//! Sources: BBR (Cardwell et al., "BBR: Congestion-Based Congestion Control", ACM Queue 2016) for the
+//! windowed maximum of the delivery rate and a window that is a multiple of the bandwidth-delay product;
+//! draft-cheng-iccrg-delivery-rate-estimation for the rule that only a sender with more to send (not
+//! application-limited) learns the link's capacity.
 
 use kelpcart::{Span, Time};
 use std::collections::VecDeque;
 
-/// The greatest and the least sample count for this long.
+/// Window of the minimum and maximum filters.
 const SAMPLE_WINDOW: Span = Span::from_millis(10_000);
-/// On the way at most: this many times what is delivered in the time of the quickest answer. Well above one, since an
-/// answer takes the far site's work beside the round trip: with less the window would be its own measure and never
-/// grow. What is beyond one waits at the far end's sender, behind all that matters more.
+/// Window as a multiple of what is delivered in the shortest answer time. Well above 1, since an answer
+/// takes the other site's work in addition to the round trip: with less, the window would limit the
+/// measured rate and never grow. What exceeds one multiple queues in the acceptor's sender, behind
+/// everything more important.
 const WINDOW_GAIN: f64 = 3.0;
-/// Never fewer bytes than this on the way, and never more.
+/// Lower bound of the window.
 const MIN_WINDOW_BYTES: f64 = 256.0 * 1024.0;
+/// Upper bound of the window.
 const MAX_WINDOW_BYTES: f64 = 8.0 * 1024.0 * 1024.0;
-/// What comes is counted over so long at the least.
+/// The delivery rate is sampled over at least this interval.
 const MIN_RATE_INTERVAL: Span = Span::from_millis(200);
-/// A shorter time for which something waits shows a burst, not a full link.
+/// A shorter blocked period indicates a burst, not a saturated link.
 const MIN_BLOCKED_TIME: Span = Span::from_millis(1_000);
-/// Samples kept at most.
+/// Bound on the samples kept by a filter.
 const MAX_SAMPLES: usize = 64;
-/// Shorter ones measure the scheduler, not the link.
+/// Shorter answer times measure the scheduler, not the link.
 const MIN_ANSWER_TIME: Span = Span::from_millis(1);
 
-/// The greatest of the samples of late.
+/// Maximum of the samples in `SAMPLE_WINDOW`.
 #[derive(Debug, Default)]
 struct WindowedMax {
-    /// Newest last, each greater than all behind it.
+    /// Oldest first, in descending order of the sample.
     samples: VecDeque<(Time, f64)>,
 }
 
@@ -51,7 +56,7 @@
         }
     }
 
-    /// Only the newest stands, until a greater one comes.
+    /// Keeps only the newest sample, until a greater one replaces it.
     fn keep_latest(&mut self) {
         if let Some(&last) = self.samples.back() {
             self.samples = VecDeque::from([last]);
@@ -62,21 +67,22 @@
 #[derive(Debug, Default)]
 pub struct Pacer {
     delivered: f64,
-    /// When the present count began, and what had come till then.
+    /// Start of the current rate interval, and bytes delivered by then.
     rate_interval: Option<(Time, f64)>,
-    /// Bytes a second: of all counts, and while more waited than the window let go.
+    /// Delivery rate in bytes per second, over all intervals.
     max_rate: WindowedMax,
+    /// Delivery rate while hops waited for the window.
     saturated_rate: WindowedMax,
-    /// Since when more waits, and what was delivered till then.
+    /// Since when hops wait for the window, and bytes delivered by then.
     blocked_since: Option<(Time, f64)>,
-    /// What the quickest answers took, in seconds below zero.
+    /// The shortest answer times in seconds, negated for the maximum filter.
     neg_min_answer_secs: WindowedMax,
-    /// Expected bytes on their way.
+    /// Expected bytes in flight.
     in_flight: f64,
 }
 
 impl Pacer {
-    /// Bytes a second, or `None` while nothing is measured.
+    /// Delivery rate in bytes per second; `None` before the first sample.
     pub fn rate(&self) -> Option<f64> {
         self.max_rate.get()
     }
@@ -85,15 +91,15 @@
         self.in_flight
     }
 
-    /// What may be on its way at once.
+    /// Bytes that may be in flight.
     pub fn window(&self) -> f64 {
-        let fits =
+        let bdp =
             self.rate().zip(self.neg_min_answer_secs.get()).map(|(rate, secs)| rate * -secs * WINDOW_GAIN);
-        fits.unwrap_or(0.0).clamp(MIN_WINDOW_BYTES, MAX_WINDOW_BYTES)
+        bdp.unwrap_or(0.0).clamp(MIN_WINDOW_BYTES, MAX_WINDOW_BYTES)
     }
 
-    /// There is room for so many bytes beside `out` that matter as much, or none do: what is larger than the window
-    /// goes alone.
+    /// Whether `bytes` fit into the window beside the `out` bytes in flight of at least the same
+    /// importance. A hop larger than the window is sent alone.
     pub fn has_room(&self, out: f64, bytes: f64) -> bool {
         out <= 0.0 || out + bytes <= self.window()
     }
@@ -102,57 +108,57 @@
         self.in_flight += bytes;
     }
 
-    /// So many bytes have come, of whatever was sent.
+    /// Bytes have arrived, of any hop.
     pub fn on_received(&mut self, now: Time, bytes: f64) {
         self.delivered += bytes;
         let (since, before) = *self.rate_interval.get_or_insert((now, self.delivered));
-        let over = now - since;
-        if over >= MIN_RATE_INTERVAL.max(self.min_answer_time()) {
-            self.max_rate.add(now, (self.delivered - before) / over.as_secs_f64());
+        let elapsed = now - since;
+        if elapsed >= MIN_RATE_INTERVAL.max(self.min_answer_time()) {
+            self.max_rate.add(now, (self.delivered - before) / elapsed.as_secs_f64());
             self.rate_interval = Some((now, self.delivered));
         }
-        // A link shows what it can do only while it is asked for more, and for longer than its answers take.
+        // A link shows its capacity only while more is offered, and for longer than an answer takes.
         if let Some((since, before)) = self.blocked_since {
-            let over = now - since;
-            if over >= MIN_BLOCKED_TIME.max(self.min_answer_time() * 2.0) {
-                self.saturated_rate.add(now, (self.delivered - before) / over.as_secs_f64());
+            let elapsed = now - since;
+            if elapsed >= MIN_BLOCKED_TIME.max(self.min_answer_time() * 2.0) {
+                self.saturated_rate.add(now, (self.delivered - before) / elapsed.as_secs_f64());
             }
         }
     }
 
-    /// An answer is whole, or will not come: `bytes` is what was told to `sent`.
-    pub fn on_finished(&mut self, now: Time, sent: Time, bytes: f64, came: bool) {
+    /// An answer is complete, or will not arrive. `bytes` is what was passed to `on_sent`.
+    pub fn on_finished(&mut self, now: Time, sent: Time, bytes: f64, completed: bool) {
         self.in_flight = (self.in_flight - bytes).max(0.0);
-        let took = now - sent;
-        if came && took >= MIN_ANSWER_TIME {
-            self.neg_min_answer_secs.add(now, -took.as_secs_f64());
+        let elapsed = now - sent;
+        if completed && elapsed >= MIN_ANSWER_TIME {
+            self.neg_min_answer_secs.add(now, -elapsed.as_secs_f64());
         }
     }
 
-    /// Whether something waits that the window does not let go.
-    pub fn set_blocked(&mut self, now: Time, is: bool) {
-        self.blocked_since = is.then(|| self.blocked_since.unwrap_or((now, self.delivered)));
-        if !is {
+    /// Sets whether hops wait that the window holds back.
+    pub fn set_blocked(&mut self, now: Time, blocked: bool) {
+        self.blocked_since = blocked.then(|| self.blocked_since.unwrap_or((now, self.delivered)));
+        if !blocked {
             self.saturated_rate = WindowedMax::default();
         }
     }
 
-    /// What the quickest answer of late took.
+    /// The shortest recent answer time.
     pub fn min_answer_time(&self) -> Span {
         self.neg_min_answer_secs.get().map_or(Span::ZERO, |secs| Span::from_secs_f64(-secs))
     }
 
-    /// How long `bytes` wait behind `ahead` bytes, those on their way included, beyond what any answer takes; nothing
-    /// while nothing waits: then the figure may be of another time.
+    /// How long `bytes` wait behind `ahead` bytes, including those in flight, beyond the shortest answer
+    /// time. Zero while nothing waits: the saturated rate may then be outdated.
     pub fn queueing_delay(&self, ahead: f64, bytes: f64) -> Span {
         let Some(rate) = self.saturated_rate.get().filter(|_| self.blocked_since.is_some()) else {
             return Span::ZERO;
         };
-        let all = (ahead + bytes) / rate.max(1.0);
-        Span::from_secs_f64(all - self.min_answer_time().as_secs_f64())
+        let total_bytes = (ahead + bytes) / rate.max(1.0);
+        Span::from_secs_f64(total_bytes - self.min_answer_time().as_secs_f64())
     }
 
-    /// A new connection: nothing is on its way, and the pace has to be found again.
+    /// A new connection: nothing is in flight, and the rate has to be measured again.
     pub fn on_reconnect(&mut self) {
         self.in_flight = 0.0;
         self.max_rate.keep_latest();
@@ -168,7 +174,7 @@
 
     const RTT: Span = Span::from_millis(100);
 
-    /// A link that carries `rate` bytes a second behind a queue, and a sender that always has more to send.
+    /// Simulates a link of `rate` bytes per second with a queue, and a sender that always has data.
     fn run(pace: &mut Pacer, mut now: Time, rate: f64, each: f64, steps: usize) -> (Time, f64) {
         let (mut free, mut out, mut worst) = (now, VecDeque::new(), 0.0_f64);
         for step in 0..steps {
@@ -176,7 +182,7 @@
                 pace.on_sent(each);
                 free = free.max(now) + Span::from_secs_f64(each / rate);
                 out.push_back((free + RTT, now));
-                // The first ones go out in one burst: only what follows is held by the pace.
+                // The first ones are sent as one burst; only later ones are limited by the window.
                 if step > steps / 2 {
                     worst = worst.max((free - now).as_secs_f64());
                 }
@@ -202,7 +208,7 @@
         let (now, _) = run(&mut pace, Time::from_micros(1), 2e6, 20e3, 2_000);
         let found = pace.rate().unwrap();
         assert!((1.5e6..2.5e6).contains(&found), "{found}");
-        // What waits before the narrow place stays below two round trips once the pace is known.
+        // The queue at the bottleneck stays below two round trips once the rate is known.
         let (now, worst) = run(&mut pace, now, 2e6, 20e3, 500);
         assert!(worst < 2.5 * RTT.as_secs_f64() + 0.02, "{worst}");
         let (_, _) = run(&mut pace, now, 0.5e6, 20e3, 3_000);
@@ -223,15 +229,15 @@
             pace.on_finished(now, sent, 1e3, true);
             now += Span::from_millis(900);
         }
-        // Nothing waits: nobody is told off for what the link did not show.
+        // Nothing waits, so no hop is refused for a rate that was not measured.
         assert_eq!(pace.queueing_delay(1e9, 1e9), Span::ZERO);
         assert!(before > 1e6 && pace.window() >= MIN_WINDOW_BYTES);
     }
 
     quickcheck! {
-        fn what_is_out_is_given_back_and_the_samples_stay_bounded(all: Vec<(u16, bool, u8)>) -> bool {
+        fn bytes_in_flight_return_to_zero_and_the_samples_stay_bounded(steps: Vec<(u16, bool, u8)>) -> bool {
             let (mut pace, mut now, mut out) = (Pacer::default(), Time::from_micros(1), VecDeque::new());
-            for (bytes, comes, wait) in all {
+            for (bytes, comes, wait) in steps {
                 let bytes = f64::from(bytes);
                 pace.on_sent(bytes);
                 out.push_back((now, bytes));
@@ -240,9 +246,9 @@
                     pace.on_received(now, bytes);
                     pace.on_finished(now, sent, bytes, true);
                 }
-                let all = &pace.max_rate.samples;
-                assert!(all.len() <= MAX_SAMPLES && all.iter().all(|b| b.1.is_finite()));
-                assert!(all.iter().zip(all.iter().skip(1)).all(|(a, b)| a.1 > b.1));
+                let samples = &pace.max_rate.samples;
+                assert!(samples.len() <= MAX_SAMPLES && samples.iter().all(|b| b.1.is_finite()));
+                assert!(samples.iter().zip(samples.iter().skip(1)).all(|(a, b)| a.1 > b.1));
             }
             for (sent, bytes) in out {
                 pace.on_finished(now, sent, bytes, false);
--- a/sites/src/queue.rs
+++ b/sites/src/queue.rs
@@ -1,13 +1,15 @@
-//! Holds what waits to cross a link: by importance, in order of coming within one, bounded in entries and bytes.
-//! Must never let what is less important stand before what is more; what does not fit is told to the caller, the
-//! least important first, and never lost silently.
+//! Priority queue of the hops that wait for a link: by importance, first in first out within one, bounded
+//! in entries and bytes.
+//!
+//! Invariant: a less important hop is never ahead of a more important one. On overflow the least important
+//! hops are returned to the caller, never dropped silently.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QueuedHop {
     pub number: u64,
-    /// Greater goes first.
+    /// Greater is sent first.
     pub importance: u8,
     /// Bytes that it will put on the link.
     pub bytes: f64,
@@ -23,42 +25,42 @@
 }
 
 impl Queue {
-    pub fn new(most: usize, most_bytes: f64) -> Queue {
+    pub fn new(max_len: usize, max_bytes: f64) -> Queue {
         Queue {
             order: BTreeSet::new(),
             hops: BTreeMap::new(),
             bytes: 0.0,
-            max_len: most.max(1),
-            max_bytes: most_bytes,
+            max_len: max_len.max(1),
+            max_bytes,
         }
     }
 
-    /// Puts one in and gives back those that have to go for it, the new one itself if all others matter more.
-    pub fn push(&mut self, one: QueuedHop) -> Vec<u64> {
-        self.order.insert((u8::MAX - one.importance, one.number));
-        self.bytes += one.bytes;
-        self.hops.insert(one.number, one);
-        let mut gone = Vec::new();
+    /// Adds a hop and returns those evicted for it, which may include the new one.
+    pub fn push(&mut self, hop: QueuedHop) -> Vec<u64> {
+        self.order.insert((u8::MAX - hop.importance, hop.number));
+        self.bytes += hop.bytes;
+        self.hops.insert(hop.number, hop);
+        let mut evicted = Vec::new();
         while self.hops.len() > self.max_len || self.bytes > self.max_bytes && self.hops.len() > 1 {
             let Some(&(_, last)) = self.order.last() else { break };
             self.remove(last);
-            gone.push(last);
+            evicted.push(last);
         }
-        gone
+        evicted
     }
 
     pub fn remove(&mut self, number: u64) -> Option<QueuedHop> {
-        let one = self.hops.remove(&number)?;
-        self.order.remove(&(u8::MAX - one.importance, number));
-        self.bytes = if self.hops.is_empty() { 0.0 } else { self.bytes - one.bytes };
-        Some(one)
+        let hop = self.hops.remove(&number)?;
+        self.order.remove(&(u8::MAX - hop.importance, number));
+        self.bytes = if self.hops.is_empty() { 0.0 } else { self.bytes - hop.bytes };
+        Some(hop)
     }
 
     pub fn first(&self) -> Option<QueuedHop> {
         self.order.first().map(|(_, number)| self.hops[number])
     }
 
-    /// Bytes that go before one of this importance that comes now.
+    /// Bytes queued ahead of a new hop of this importance.
     pub fn bytes_ahead(&self, importance: u8) -> f64 {
         let before = self.order.range(..=(u8::MAX - importance, u64::MAX));
         before.map(|(_, number)| self.hops[number].bytes).sum()
@@ -72,7 +74,7 @@
         self.hops.is_empty()
     }
 
-    /// Takes all out, first come first.
+    /// Removes all hops and returns their numbers in queue order.
     pub fn drain(&mut self) -> Vec<u64> {
         let all = self.order.iter().map(|o| o.1).collect();
         self.order.clear();
@@ -90,37 +92,37 @@
     quickcheck! {
         fn order_bounds_and_sums_hold_after_every_step(steps: Vec<(u8, u16, bool)>) -> bool {
             let mut queue = Queue::new(20, 100_000.0);
-            let (mut inside, mut next) = (Vec::<QueuedHop>::new(), 0);
-            for (importance, bytes, takes) in steps {
+            let (mut expected, mut next) = (Vec::<QueuedHop>::new(), 0);
+            for (importance, bytes, pops) in steps {
                 let importance = importance % 4;
-                if takes && let Some(first) = queue.first() {
-                    let best = inside.iter().map(|w| w.importance).max().unwrap();
-                    let oldest = inside.iter().filter(|w| w.importance == best).map(|w| w.number).min();
+                if pops && let Some(first) = queue.first() {
+                    let best = expected.iter().map(|w| w.importance).max().unwrap();
+                    let oldest = expected.iter().filter(|w| w.importance == best).map(|w| w.number).min();
                     assert_eq!((first.importance, Some(first.number)), (best, oldest));
                     assert_eq!(queue.remove(first.number), Some(first));
-                    inside.retain(|w| w.number != first.number);
+                    expected.retain(|w| w.number != first.number);
                     continue;
                 }
                 next += 1;
-                let one = QueuedHop { number: next, importance, bytes: bytes.into() };
-                inside.push(one);
-                for gone in queue.push(one) {
-                    let at = inside.iter().position(|w| w.number == gone).unwrap();
-                    let gone = inside.remove(at);
-                    // Nothing that matters less, or came later and matters as much, stays.
-                    assert!(inside.iter().all(|w| (w.importance, gone.number) >= (gone.importance, w.number)
-                        || w.importance > gone.importance));
+                let hop = QueuedHop { number: next, importance, bytes: bytes.into() };
+                expected.push(hop);
+                for evicted in queue.push(hop) {
+                    let at = expected.iter().position(|w| w.number == evicted).unwrap();
+                    let evicted = expected.remove(at);
+                    // Nothing stays that is less important, or equally important and newer.
+                    assert!(expected.iter().all(|w| (w.importance, evicted.number) >= (evicted.importance, w.number)
+                        || w.importance > evicted.importance));
                 }
-                let sum: f64 = inside.iter().map(|w| w.bytes).sum();
-                assert!((queue.bytes - sum).abs() < 1e-6 && queue.len() == inside.len());
-                assert!(inside.len() <= 20 && (sum <= 100_000.0 || inside.len() == 1));
-                let ahead: f64 = inside.iter().filter(|w| w.importance >= importance).map(|w| w.bytes).sum();
+                let sum: f64 = expected.iter().map(|w| w.bytes).sum();
+                assert!((queue.bytes - sum).abs() < 1e-6 && queue.len() == expected.len());
+                assert!(expected.len() <= 20 && (sum <= 100_000.0 || expected.len() == 1));
+                let ahead: f64 = expected.iter().filter(|w| w.importance >= importance).map(|w| w.bytes).sum();
                 assert!((queue.bytes_ahead(importance) - ahead).abs() < 1e-6);
             }
             let mut drained = queue.drain();
             drained.sort_unstable();
-            inside.sort_by_key(|w| w.number);
-            queue.is_empty() && drained == inside.iter().map(|w| w.number).collect::<Vec<_>>()
+            expected.sort_by_key(|w| w.number);
+            queue.is_empty() && drained == expected.iter().map(|w| w.number).collect::<Vec<_>>()
         }
     }
 }
--- a/sites/src/quic.rs
+++ b/sites/src/quic.rs
@@ -1,6 +1,8 @@
-//! The carrier: QUIC (RFC 9000) with TLS 1.3 at both ends (RFC 9001), each proving its site by its certificate. Runs on
-//! the thread of who drives it and starts none. Must never send early data (0-RTT, RFC 9001 section 9.2: it can be
-//! replayed), take a certificate of another site for a peer's, or hold more of a message than its bound.
+//! QUIC transport (RFC 9000) with TLS 1.3 (RFC 9001); each end authenticates its site by certificate. Runs
+//! on the thread of its driver and starts none.
+//!
+//! Invariant: no early data is sent (0-RTT can be replayed, RFC 9001 section 9.2), a certificate of another
+//! site is not accepted for a peer's, and no more than a message's bound is buffered.
 
 use crate::delay::DelayController;
 use crate::settings::{Congestion, KeyFiles};
@@ -25,23 +27,25 @@
 
 pub use quinn::{Connection, Incoming, RecvStream, SendStream};
 
-/// Both ends have to name it (RFC 7301).
+/// Application protocol that both ends must name (RFC 7301).
 const ALPN: &[u8] = b"kelpcart-sites";
-/// The core gives silent links up long before.
+/// A backstop: the core closes silent links long before.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Receivers hold acknowledgements back no longer (draft-ietf-quic-ack-frequency): each such wait is part of every
-/// time-out after a loss.
+/// Maximum ACK delay requested of the peer (draft-ietf-quic-ack-frequency): it is part of every
+/// retransmission time-out after a loss.
 const MAX_ACK_DELAY: Duration = Duration::from_millis(5);
-/// Streams at once, and bytes on their way to one that reads slowly.
+/// Concurrent streams.
 const MAX_STREAMS: u32 = 4_096;
+/// Flow control window of a stream, which bounds the data buffered for a slow reader.
 const STREAM_WINDOW_BYTES: u32 = 512 * 1024;
+/// Flow control window of a connection.
 const CONNECTION_WINDOW_BYTES: u32 = 8 * 1024 * 1024;
 
 #[derive(Debug, thiserror::Error)]
 pub enum KeyError {
-    #[error("{path}: {why}")]
-    File { path: PathBuf, why: String },
-    #[error("the certificate, its key and the roots do not go together: {0}")]
+    #[error("{path}: {reason}")]
+    File { path: PathBuf, reason: String },
+    #[error("the certificate, its key and the roots do not match: {0}")]
     Mismatch(String),
 }
 
@@ -53,7 +57,7 @@
     Closed,
 }
 
-/// What both ends need to prove who they are.
+/// TLS configuration of both roles.
 #[derive(Clone)]
 pub struct Keys {
     client: quinn::ClientConfig,
@@ -64,50 +68,54 @@
     pub fn read(files: &KeyFiles, congestion: Congestion) -> Result<Keys, KeyError> {
         let file = |path: &PathBuf, e: rustls::pki_types::pem::Error| KeyError::File {
             path: path.clone(),
-            why: e.to_string(),
+            reason: e.to_string(),
         };
         let certificates = |path: &PathBuf| -> Result<Vec<CertificateDer<'static>>, KeyError> {
-            let all = CertificateDer::pem_file_iter(path).map_err(|e| file(path, e))?;
-            let all = all.collect::<Result<Vec<_>, _>>().map_err(|e| file(path, e))?;
-            if all.is_empty() {
-                return Err(KeyError::File { path: path.clone(), why: "holds no certificate".to_owned() });
+            let certs = CertificateDer::pem_file_iter(path).map_err(|e| file(path, e))?;
+            let certs = certs.collect::<Result<Vec<_>, _>>().map_err(|e| file(path, e))?;
+            if certs.is_empty() {
+                return Err(KeyError::File {
+                    path: path.clone(),
+                    reason: "contains no certificate".to_owned(),
+                });
             }
-            Ok(all)
+            Ok(certs)
         };
         let chain = certificates(&files.certificate)?;
         let key = PrivateKeyDer::from_pem_file(&files.key).map_err(|e| file(&files.key, e))?;
         let mut roots = RootCertStore::empty();
         for root in certificates(&files.roots)? {
-            let bad = |e: rustls::Error| KeyError::File { path: files.roots.clone(), why: e.to_string() };
-            roots.add(root).map_err(bad)?;
+            let invalid =
+                |e: rustls::Error| KeyError::File { path: files.roots.clone(), reason: e.to_string() };
+            roots.add(root).map_err(invalid)?;
         }
-        let together = |e: &dyn std::fmt::Display| KeyError::Mismatch(e.to_string());
+        let mismatch = |e: &dyn std::fmt::Display| KeyError::Mismatch(e.to_string());
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let roots = Arc::new(roots);
         let verifier = WebPkiClientVerifier::builder_with_provider(Arc::clone(&roots), Arc::clone(&provider));
-        let verifier = verifier.build().map_err(|e| together(&e))?;
+        let verifier = verifier.build().map_err(|e| mismatch(&e))?;
         let mut server = rustls::ServerConfig::builder_with_provider(Arc::clone(&provider))
             .with_protocol_versions(&[&rustls::version::TLS13])
-            .map_err(|e| together(&e))?
+            .map_err(|e| mismatch(&e))?
             .with_client_cert_verifier(verifier)
             .with_single_cert(chain.clone(), key.clone_key())
-            .map_err(|e| together(&e))?;
+            .map_err(|e| mismatch(&e))?;
         server.alpn_protocols = vec![ALPN.to_vec()];
-        // No tickets: a session that is resumed would not have its certificate checked anew.
+        // No session tickets: a resumed session would skip the check of the certificate.
         server.send_tls13_tickets = 0;
         let mut client = rustls::ClientConfig::builder_with_provider(provider)
             .with_protocol_versions(&[&rustls::version::TLS13])
-            .map_err(|e| together(&e))?
+            .map_err(|e| mismatch(&e))?
             .with_root_certificates(roots)
             .with_client_auth_cert(chain, key)
-            .map_err(|e| together(&e))?;
+            .map_err(|e| mismatch(&e))?;
         client.alpn_protocols = vec![ALPN.to_vec()];
         client.enable_early_data = false;
         let transport = Arc::new(transport(congestion));
-        let client = QuicClientConfig::try_from(client).map_err(|e| together(&e))?;
+        let client = QuicClientConfig::try_from(client).map_err(|e| mismatch(&e))?;
         let mut client = quinn::ClientConfig::new(Arc::new(client));
         client.transport_config(Arc::clone(&transport));
-        let server = QuicServerConfig::try_from(server).map_err(|e| together(&e))?;
+        let server = QuicServerConfig::try_from(server).map_err(|e| mismatch(&e))?;
         let mut server = quinn::ServerConfig::with_crypto(Arc::new(server));
         server.transport_config(transport);
         Ok(Keys { client, server })
@@ -115,26 +123,26 @@
 }
 
 fn transport(congestion: Congestion) -> TransportConfig {
-    let mut all = TransportConfig::default();
-    all.max_concurrent_bidi_streams(VarInt::from_u32(MAX_STREAMS));
-    all.max_concurrent_uni_streams(VarInt::from_u32(0));
-    all.stream_receive_window(VarInt::from_u32(STREAM_WINDOW_BYTES));
-    all.receive_window(VarInt::from_u32(CONNECTION_WINDOW_BYTES));
-    all.send_window(CONNECTION_WINDOW_BYTES.into());
+    let mut config = TransportConfig::default();
+    config.max_concurrent_bidi_streams(VarInt::from_u32(MAX_STREAMS));
+    config.max_concurrent_uni_streams(VarInt::from_u32(0));
+    config.stream_receive_window(VarInt::from_u32(STREAM_WINDOW_BYTES));
+    config.receive_window(VarInt::from_u32(CONNECTION_WINDOW_BYTES));
+    config.send_window(CONNECTION_WINDOW_BYTES.into());
     let mut acks = AckFrequencyConfig::default();
     acks.max_ack_delay(Some(MAX_ACK_DELAY));
-    all.ack_frequency_config(Some(acks));
-    all.datagram_receive_buffer_size(None);
-    all.max_idle_timeout(quinn::IdleTimeout::try_from(IDLE_TIMEOUT).ok());
+    config.ack_frequency_config(Some(acks));
+    config.datagram_receive_buffer_size(None);
+    config.max_idle_timeout(quinn::IdleTimeout::try_from(IDLE_TIMEOUT).ok());
     match congestion {
-        Congestion::Delay => all.congestion_controller_factory(Arc::new(DelayControllerFactory)),
-        Congestion::Bbr => all.congestion_controller_factory(Arc::new(BbrConfig::default())),
-        Congestion::Cubic => all.congestion_controller_factory(Arc::new(CubicConfig::default())),
+        Congestion::Delay => config.congestion_controller_factory(Arc::new(DelayControllerFactory)),
+        Congestion::Bbr => config.congestion_controller_factory(Arc::new(BbrConfig::default())),
+        Congestion::Cubic => config.congestion_controller_factory(Arc::new(CubicConfig::default())),
     };
-    all
+    config
 }
 
-/// `Delay` as quinn asks for it: its moments are counted from the connection's start.
+/// Adapts [`DelayController`] to quinn; times are counted from the start of the connection.
 #[derive(Clone)]
 struct QuinnController {
     start: Instant,
@@ -188,7 +196,7 @@
     }
 }
 
-/// Runs what quinn spawns on an executor of ours: no thread is started.
+/// Runs quinn's tasks on the endpoint's own executor; no thread is started.
 struct LocalRuntime(Arc<Executor<'static>>);
 
 impl std::fmt::Debug for LocalRuntime {
@@ -202,8 +210,8 @@
         SmolRuntime.new_timer(at)
     }
 
-    fn spawn(&self, work: Pin<Box<dyn Future<Output = ()> + Send>>) {
-        self.0.spawn(work).detach();
+    fn spawn(&self, executor: Pin<Box<dyn Future<Output = ()> + Send>>) {
+        self.0.spawn(executor).detach();
     }
 
     fn wrap_udp_socket(&self, socket: UdpSocket) -> std::io::Result<Arc<dyn AsyncUdpSocket>> {
@@ -218,18 +226,18 @@
 }
 
 impl Endpoint {
-    /// Listens on the address, or, without one, only connects.
+    /// Listens on the address; without one, the endpoint only connects.
     pub fn start(listen: Option<SocketAddr>, keys: &Keys) -> std::io::Result<Endpoint> {
-        let work = Arc::new(Executor::new());
+        let executor = Arc::new(Executor::new());
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let socket = UdpSocket::bind(listen.unwrap_or(any))?;
         let server = listen.map(|_| keys.server.clone());
-        let runtime = Arc::new(LocalRuntime(Arc::clone(&work)));
+        let runtime = Arc::new(LocalRuntime(Arc::clone(&executor)));
         let inner = quinn::Endpoint::new(quinn::EndpointConfig::default(), server, socket, runtime)?;
-        Ok(Endpoint { inner, executor: work })
+        Ok(Endpoint { inner, executor })
     }
 
-    /// Never ends; the carrier moves only while this does.
+    /// Runs the endpoint's I/O; never returns.
     pub async fn drive(&self) {
         self.executor.run(std::future::pending::<()>()).await;
     }
@@ -238,12 +246,12 @@
         self.inner.local_addr()
     }
 
-    /// Connections made from now on go by these; those that stand go on.
+    /// Used by new connections; established ones keep their keys.
     pub fn set_keys(&self, keys: &Keys, listens: bool) {
         self.inner.set_server_config(listens.then(|| keys.server.clone()));
     }
 
-    /// A connection to a gateway whose certificate holds the site's name.
+    /// Connects to a gateway whose certificate must hold the site's name.
     pub async fn dial(&self, keys: &Keys, address: SocketAddr, site: &str) -> Result<Connection, String> {
         let connecting = self.inner.connect_with(keys.client.clone(), address, site);
         connecting.map_err(|e| e.to_string())?.await.map_err(|e| e.to_string())
@@ -254,11 +262,11 @@
     }
 }
 
-pub fn close(connection: &Connection, why: &str) {
-    connection.close(VarInt::from_u32(0), why.as_bytes());
+pub fn close(connection: &Connection, reason: &str) {
+    connection.close(VarInt::from_u32(0), reason.as_bytes());
 }
 
-/// The peer's certificate holds the site's name among its subject names (RFC 9525).
+/// Whether the peer's certificate holds the site's name among its subject names (RFC 9525).
 pub fn certifies_site(connection: &Connection, site: &str) -> bool {
     let identity = connection.peer_identity();
     let chain = identity.and_then(|i| i.downcast::<Vec<CertificateDer<'static>>>().ok());
@@ -268,7 +276,7 @@
     certificate.verify_is_valid_for_subject_name(&name).is_ok()
 }
 
-/// The next message of a stream.
+/// Reads the next message of a stream.
 pub async fn read(stream: &mut RecvStream) -> Result<Message, ReadError> {
     let mut length = [0; 4];
     stream.read_exact(&mut length).await.map_err(|_| ReadError::Closed)?;
@@ -281,8 +289,8 @@
     stream.write_all(bytes).await.map_err(|_| ReadError::Closed)
 }
 
-/// Gives a stream up: what is not read yet never will be.
+/// Resets a stream: data that was not read yet is discarded.
 pub fn reset(stream: &mut SendStream) {
-    // It fails only when the stream has ended already.
+    // Fails only on a stream that has already ended.
     _ = stream.reset(VarInt::from_u32(1));
 }
--- a/sites/src/rtt.rs
+++ b/sites/src/rtt.rs
@@ -1,19 +1,22 @@
-//! Estimates the round trip of a link and its spread from the link's own acknowledgements, and when silence is
-//! long enough to be a sign. Must never take a sample that could belong to another question.
+//! Estimates a link's round-trip time and its variation from the link's own acknowledgements, and the
+//! time-out after which silence counts as a sign of failure.
 //!
-//! Source: RFC 6298, section 2 (smoothed round trip and variance) and section 5.5 (a timer that runs out backs
-//! off); RFC 9002, section 5.3 (the first sample).
+//! Invariant: a sample belongs to exactly one request, so that no ambiguous sample is used.
+//!
+//! Sources: RFC 6298, section 2 (smoothed RTT and variation) and section 5.5 (back-off when the timer
+//! expires); RFC 9002, section 5.3 (first sample).
 
 use kelpcart::Span;
 
-/// Parts by which the estimates follow a sample (RFC 6298, 2.3).
+/// Gain of the smoothed RTT (RFC 6298, 2.3).
 const ALPHA: f64 = 1.0 / 8.0;
+/// Gain of the RTT variation (RFC 6298, 2.3).
 const BETA: f64 = 1.0 / 4.0;
-/// Variances that are added to the estimate (K in RFC 6298).
+/// Multiple of the variation in the time-out (K in RFC 6298).
 const VARIATION_FACTOR: f64 = 4.0;
-/// Before the first sample (RFC 9002, 6.2.2).
+/// Assumed before the first sample (RFC 9002, 6.2.2).
 const INITIAL_RTT: Span = Span::from_millis(333);
-/// Timers and schedulers are no finer than this on a busy machine.
+/// Timers and schedulers on a busy machine are no finer than this.
 const TIMER_GRANULARITY: Span = Span::from_millis(20);
 const MAX_TIMEOUT: Span = Span::from_millis(4_000);
 
@@ -35,12 +38,12 @@
         }
     }
 
-    /// The smoothed round trip.
+    /// Smoothed RTT.
     pub fn smoothed(&self) -> Span {
         self.smoothed.map_or(INITIAL_RTT, Span::from_secs_f64)
     }
 
-    /// An answer that takes longer than this is out of the ordinary.
+    /// Time after which a reply is overdue.
     pub fn timeout(&self) -> Span {
         let spread = Span::from_secs_f64(self.variation * VARIATION_FACTOR).max(TIMER_GRANULARITY);
         (self.smoothed() + spread).min(MAX_TIMEOUT)
--- a/sites/src/settings.rs
+++ b/sites/src/settings.rs
@@ -1,5 +1,5 @@
-//! Owns what operators write of other sites, and its checks: a file that can't be used is told by the path of the
-//! field and what is wrong with it. Must never hold a decision; what is not written has the value that stands here.
+//! The operator's settings for links to other sites, with their validation: an error names the path of the
+//! field and what is wrong with it. Fields that are left out have the defaults given here.
 
 use kelpcart::Span;
 use schemars::JsonSchema;
@@ -11,21 +11,22 @@
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Sites {
-    /// This site's name; the certificate's subject names hold it.
+    /// This site's name; it must be among the subject names of the certificate.
     pub site: String,
     /// This gateway's name, unique in its site.
     pub gateway: String,
-    /// Where gateways of other sites connect (UDP); absent: none is taken in.
+    /// UDP address on which gateways of other sites connect; absent: none are accepted.
     #[serde(default)]
     pub listen: Option<SocketAddr>,
-    /// Sites whose txns are taken in.
+    /// Sites whose txns are accepted.
     #[serde(default)]
     pub accept: BTreeSet<String>,
     /// Gateways of other sites that this one sends to.
     #[serde(default)]
     pub peers: Vec<Peer>,
     pub keys: KeyFiles,
-    /// By remap rule, 0 to 9; what matters more crosses first. A rule that is not named has 5.
+    /// Importance by remap rule, 0 to 9; more important txns are sent first. Rules that are not listed have
+    /// 5.
     #[serde(default)]
     pub importance: BTreeMap<String, u8>,
     #[serde(default)]
@@ -41,14 +42,14 @@
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Peer {
-    /// Its name, unique among the peers; the member's id at the module.
+    /// Unique among the peers; also the member's id in the module.
     pub name: String,
     pub site: String,
     pub address: SocketAddr,
-    /// What it stands for here: a parent for reads, the origin for writes, or both.
+    /// The peer's role here: a parent for reads, the origin for writes, or both.
     #[serde(rename = "as")]
     pub roles: BTreeSet<Role>,
-    /// Its size beside that of other members, in the settings' unit.
+    /// Capacity relative to other members, in the settings' unit.
     pub size: f64,
 }
 
@@ -60,39 +61,42 @@
     Origin,
 }
 
-/// PEM files; read at the start and on SIGHUP.
+/// PEM files; read at startup and on SIGHUP.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct KeyFiles {
     pub certificate: PathBuf,
     pub key: PathBuf,
-    /// The authorities whose certificates are taken from peers.
+    /// Certificate authorities trusted for peers.
     pub roots: PathBuf,
 }
 
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// Txns that wait for a link, and their bytes in KB.
+    /// Txns that may wait for a link.
     pub queue: usize,
+    /// Their size in KB.
     pub queue_kb: usize,
-    /// Hops that all other gateways together may have here at once.
+    /// Concurrent hops accepted from all other gateways together.
     pub taken: usize,
-    /// Sessions of other gateways.
+    /// Concurrent sessions of other gateways.
     pub sessions: usize,
-    /// Far gateways are asked about hops in doubt; without it each of those is lost.
+    /// Query the acceptor about hops in doubt; without this each of them is lost.
     pub ask: bool,
-    /// Sites that a txn may cross, its first included.
+    /// Sites that a txn may cross, including its first.
     pub sites: usize,
-    /// An idle link is asked for a sign of life this often.
+    /// Ping interval of an idle link.
     pub idle_ping_ms: u64,
-    /// A hop's answer is wanted this long before its time is over, so that the client has it in time.
+    /// How long before its deadline a hop must be answered, so that the answer still reaches the client in
+    /// time.
     pub answer_before_ms: u64,
     pub connect_ms: u64,
-    /// A silent connection is given up after this time.
+    /// A silent connection is closed after this time.
     pub dark_after_ms: u64,
-    /// Waits between tries to connect: the first and the longest.
+    /// Delay before reconnecting: the first.
     pub reconnect_ms: u64,
+    /// The longest delay before reconnecting.
     pub reconnect_most_ms: u64,
 }
 
@@ -115,7 +119,7 @@
     }
 }
 
-/// What is kept of txns that were taken from other sites and must not run twice.
+/// Bounds of the ledger, which records unrepeatable txns accepted from other sites.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Ledger {
@@ -124,7 +128,7 @@
     pub age_ms: u64,
     /// Gateways of other sites that are remembered.
     pub gateways: usize,
-    /// Kept in this file, too, so that it outlives the process; absent: in memory only.
+    /// Also stored in this file, so that it survives a restart; absent: in memory only.
     pub file: Option<PathBuf>,
 }
 
@@ -138,95 +142,96 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, JsonSchema, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Carrier {
-    /// A stream for each hop: a lost packet holds up its own hop only.
+    /// One stream per hop: a lost packet delays only its own hop.
     #[default]
     Streams,
-    /// All on one stream, as they would be on TCP.
+    /// All hops on one stream, as over TCP.
     OneStream,
 }
 
 #[derive(Clone, Copy, Debug, Default, Deserialize, JsonSchema, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Congestion {
-    /// Goes by the queue that builds up: loss alone does not slow it. For links of one's own.
+    /// Delay based: loss alone does not reduce the rate. For links used by one installation only.
     #[default]
     Delay,
-    /// Goes by the measured pace.
+    /// By the measured delivery rate.
     Bbr,
-    /// Goes by loss (RFC 9438).
+    /// Loss based (RFC 9438).
     Cubic,
 }
 
-/// Names that cross: letters, digits, `-`, `_` and `.`.
+/// Names sent over a link: letters, digits, `-`, `_` and `.`.
 pub fn is_name(text: &str) -> bool {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
-    (1..=64).contains(&text.len()) && text.bytes().all(plain)
+    let allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
+    (1..=64).contains(&text.len()) && text.bytes().all(allowed)
 }
 
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    #[error("line {line}, column {column}: {why}")]
-    Syntax { line: usize, column: usize, why: String },
-    #[error("{path}: {why}")]
-    Field { path: String, why: String },
+    #[error("line {line}, column {column}: {reason}")]
+    Syntax { line: usize, column: usize, reason: String },
+    #[error("{path}: {reason}")]
+    Field { path: String, reason: String },
 }
 
 impl Sites {
     pub fn read(json: &str) -> Result<Sites, SettingsError> {
-        let form = |e: serde_json::Error| SettingsError::Syntax {
+        let syntax = |e: serde_json::Error| SettingsError::Syntax {
             line: e.line(),
             column: e.column(),
-            why: e.to_string().split(" at line ").next().unwrap_or_default().to_owned(),
+            reason: e.to_string().split(" at line ").next().unwrap_or_default().to_owned(),
         };
-        let sites: Sites = serde_json::from_str(json).map_err(form)?;
+        let sites: Sites = serde_json::from_str(json).map_err(syntax)?;
         sites.validate()?;
         Ok(sites)
     }
 
     fn validate(&self) -> Result<(), SettingsError> {
-        let bad =
-            |path: &str, why: &str| Err(SettingsError::Field { path: path.to_owned(), why: why.to_owned() });
+        let invalid = |path: &str, reason: &str| {
+            Err(SettingsError::Field { path: path.to_owned(), reason: reason.to_owned() })
+        };
         if !is_name(&self.site) || !is_name(&self.gateway) {
-            return bad("site, gateway", "1 to 64 letters, digits, -, _ or . are a name");
+            return invalid("site, gateway", "must be 1 to 64 letters, digits, `-`, `_` or `.`");
         }
         if self.listen.is_none() && self.peers.is_empty() {
-            return bad("listen, peers", "with neither, nothing is carried");
+            return invalid("listen, peers", "at least one of them is required");
         }
         if self.accept.contains(&self.site) {
-            return bad("accept", "holds this very site");
+            return invalid("accept", "must not contain this site");
         }
         if self.listen.is_some() && self.accept.is_empty() {
-            return bad("accept", "is empty, so that `listen` would take in nobody");
+            return invalid("accept", "must not be empty when `listen` is set");
         }
         let mut names = BTreeSet::new();
         for (i, peer) in self.peers.iter().enumerate() {
             let at = |field: &str| format!("peers[{i}].{field}");
             if !is_name(&peer.name) || !is_name(&peer.site) {
-                return bad(&at("name, site"), "1 to 64 letters, digits, -, _ or . are a name");
+                return invalid(&at("name, site"), "must be 1 to 64 letters, digits, `-`, `_` or `.`");
             }
             if !names.insert(&peer.name) {
-                return bad(&at("name"), "is another peer's, too");
+                return invalid(&at("name"), "must be unique among the peers");
             }
             if peer.site == self.site {
-                return bad(&at("site"), "is this very site");
+                return invalid(&at("site"), "must not be this site");
             }
             if peer.roles.is_empty() {
-                return bad(&at("as"), "is empty, so that no txn would go there");
+                return invalid(&at("as"), "must not be empty");
             }
             if !(peer.size.is_finite() && peer.size > 0.0) {
-                return bad(&at("size"), "is not above 0");
+                return invalid(&at("size"), "must be above 0");
             }
         }
         if let Some((rule, _)) = self.importance.iter().find(|(_, i)| **i > 9) {
-            return bad(&format!("importance.{rule}"), "is above 9");
+            return invalid(&format!("importance.{rule}"), "must be at most 9");
         }
         let l = &self.limits;
         let counts = [("queue", l.queue), ("taken", l.taken), ("sessions", l.sessions), ("sites", l.sites)];
         if let Some((name, _)) = counts.iter().find(|(_, n)| *n == 0) {
-            return bad(&format!("limits.{name}"), "is 0");
+            return invalid(&format!("limits.{name}"), "must not be 0");
         }
         if l.sites > 16 {
-            return bad("limits.sites", "is above 16");
+            return invalid("limits.sites", "must be at most 16");
         }
         let waits = [
             ("idle_ping_ms", l.idle_ping_ms),
@@ -235,23 +240,23 @@
             ("reconnect_ms", l.reconnect_ms),
         ];
         if let Some((name, _)) = waits.iter().find(|(_, ms)| !(10..=600_000).contains(ms)) {
-            return bad(&format!("limits.{name}"), "is not between 10 and 600000");
+            return invalid(&format!("limits.{name}"), "must be between 10 and 600000");
         }
         if l.reconnect_most_ms < l.reconnect_ms {
-            return bad("limits.reconnect_most_ms", "is below reconnect_ms");
+            return invalid("limits.reconnect_most_ms", "must be at least reconnect_ms");
         }
         if self.ledger.entries == 0 || self.ledger.gateways == 0 || self.ledger.age_ms == 0 {
-            return bad("ledger", "entries, gateways or age_ms is 0");
+            return invalid("ledger", "entries, gateways and age_ms must not be 0");
         }
         Ok(())
     }
 
-    /// How much a rule's txns matter on a link.
+    /// Importance of a rule's txns on a link.
     pub fn importance(&self, rule: &str) -> u8 {
         self.importance.get(rule).copied().unwrap_or(5)
     }
 
-    /// The schema of the file, for editors and checks.
+    /// JSON schema of the settings file, for editors and checks.
     pub fn schema() -> String {
         let schema = schemars::schema_for!(Sites);
         serde_json::to_string_pretty(&schema).unwrap_or_default()
@@ -273,7 +278,7 @@
     use super::*;
     use serde_json::{Value, json};
 
-    fn whole() -> Value {
+    fn valid_settings() -> Value {
         json!({
             "site": "east", "gateway": "east-1", "listen": "127.0.0.1:7443", "accept": ["west"],
             "peers": [{"name": "w1", "site": "west", "address": "127.0.0.1:7444", "as": ["parent", "origin"],
@@ -284,35 +289,35 @@
     }
 
     #[test]
-    fn each_fault_is_told_by_its_place() {
-        let sites = Sites::read(&whole().to_string()).unwrap();
+    fn each_error_names_its_field() {
+        let sites = Sites::read(&valid_settings().to_string()).unwrap();
         assert_eq!((sites.importance("book"), sites.importance("media")), (9, 5));
-        let faults: [(&str, Value, &str); 14] = [
+        let errors: [(&str, Value, &str); 14] = [
             ("/site", json!("a b"), "site, gateway: "),
-            ("/accept", json!([]), "accept: is empty"),
-            ("/accept", json!(["east"]), "accept: holds this very site"),
-            ("/peers/0/site", json!("east"), "peers[0].site: is this very site"),
-            ("/peers/0/as", json!([]), "peers[0].as: is empty"),
+            ("/accept", json!([]), "accept: must not be empty"),
+            ("/accept", json!(["east"]), "accept: must not contain this site"),
+            ("/peers/0/site", json!("east"), "peers[0].site: must not be this site"),
+            ("/peers/0/as", json!([]), "peers[0].as: must not be empty"),
             ("/peers/0/size", json!(0.0), "peers[0].size: "),
             ("/peers/0/address", json!("nowhere"), "line 1, column"),
-            ("/importance/book", json!(10), "importance.book: is above 9"),
-            ("/limits", json!({"sites": 0}), "limits.sites: is 0"),
+            ("/importance/book", json!(10), "importance.book: must be at most 9"),
+            ("/limits", json!({"sites": 0}), "limits.sites: must not be 0"),
             ("/limits", json!({"idle_ping_ms": 1}), "limits.idle_ping_ms: "),
             ("/limits", json!({"reconnect_most_ms": 1}), "limits.reconnect_most_ms: "),
             ("/limits", json!({"quue": 1}), "line 1, column"),
             ("/ledger", json!({"entries": 0}), "ledger: "),
             ("/keys", json!({}), "line 1, column"),
         ];
-        for (path, value, told) in faults {
-            let mut all = whole();
+        for (path, value, expected) in errors {
+            let mut all = valid_settings();
             let (parent, field) = path.rsplit_once('/').unwrap();
             all.pointer_mut(parent).unwrap()[field] = value;
-            let why = Sites::read(&all.to_string()).unwrap_err().to_string();
-            assert!(why.starts_with(told), "{path}: {why}");
+            let reason = Sites::read(&all.to_string()).unwrap_err().to_string();
+            assert!(reason.starts_with(expected), "{path}: {reason}");
         }
-        let mut twice = whole();
-        let peer = twice["peers"][0].clone();
-        twice["peers"].as_array_mut().unwrap().push(peer);
-        assert!(Sites::read(&twice.to_string()).unwrap_err().to_string().starts_with("peers[1].name"));
+        let mut duplicate = valid_settings();
+        let peer = duplicate["peers"][0].clone();
+        duplicate["peers"].as_array_mut().unwrap().push(peer);
+        assert!(Sites::read(&duplicate.to_string()).unwrap_err().to_string().starts_with("peers[1].name"));
     }
 }
--- a/sites/src/wire.rs
+++ b/sites/src/wire.rs
@@ -1,23 +1,25 @@
-//! What crosses a link: messages in protobuf, each behind its length in four bytes, with the checks that stand
-//! between a peer's bytes and the core. Must never panic on what a peer sends, hold more than a message's bound, or
-//! pass on a value that it may not send. The field numbers are the schema: one that was used is never given anew.
+//! Messages sent over a link: protobuf, each prefixed with its length in four bytes (big endian), and the
+//! validation of what a peer sends.
+//!
+//! Invariant: no input from a peer causes a panic, buffers more than one message's bound, or passes an
+//! invalid value on. The field numbers are the schema: a used number is never reassigned.
 
 use crate::ledger::TxnOutcome;
 use crate::settings::is_name;
 use kelpcart::Span;
 use prost::Message as _;
 
-/// Both ends speak the same one, or do not speak.
+/// Both ends must have the same version.
 pub const VERSION: u32 = 1;
-/// A request with its body of 48,000 bytes fits.
+/// Fits a request with its largest body of 48,000 bytes.
 pub const MAX_MESSAGE_BYTES: usize = 64 * 1024;
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 256;
 pub const MAX_REQUEST_BODY_BYTES: usize = 48_000;
-/// Behind an answer's message.
+/// The body follows the `Answer` message.
 pub const MAX_ANSWER_BODY_BYTES: usize = 240_000;
 const MAX_PATH_SITES: usize = 16;
 const MAX_QUERY_NUMBERS: usize = 512;
-/// Nobody waits longer.
+/// Above any client's waiting time.
 const MAX_DURATION_US: u64 = 600_000_000;
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -36,7 +38,7 @@
     Refusal(Refusal),
     #[prost(message, tag = "4")]
     Request(Request),
-    /// The number of a request that has been taken.
+    /// The number of a request that has been accepted.
     #[prost(uint64, tag = "5")]
     Accepted(u64),
     #[prost(message, tag = "6")]
@@ -49,16 +51,16 @@
     Ping(u64),
     #[prost(message, tag = "10")]
     Pong(Pong),
-    /// All numbers below are settled: the near end asks for none of them again.
+    /// All numbers below are settled: the initiator sends no status query about them.
     #[prost(uint64, tag = "11")]
     Settle(u64),
-    /// The number of a hop that is given up.
+    /// The number of a hop that is cancelled.
     #[prost(uint64, tag = "12")]
     Cancel(u64),
-    /// The far end takes no more.
+    /// The acceptor accepts no more requests.
     #[prost(bool, tag = "13")]
     Leaving(bool),
-    /// The ledger that keeps what the far end takes from now on.
+    /// The ledger in which the acceptor records requests from now on.
     #[prost(fixed64, tag = "14")]
     Ledger(u64),
 }
@@ -71,10 +73,10 @@
     pub site: String,
     #[prost(string, tag = "3")]
     pub gateway: String,
-    /// New with each start of the near gateway.
+    /// New with each start of the initiator's process.
     #[prost(fixed64, tag = "4")]
     pub run_id: u64,
-    /// It has sent no number from this one on to anybody.
+    /// First number that the initiator has not used yet.
     #[prost(uint64, tag = "5")]
     pub next_number: u64,
 }
@@ -87,14 +89,15 @@
     pub site: String,
     #[prost(string, tag = "3")]
     pub gateway: String,
-    /// Whose answers to questions about earlier hops are worth something: new where nothing is remembered.
+    /// Status queries are valid for hops sent while this ledger was current. New at each start where the
+    /// ledger is not durable.
     #[prost(fixed64, tag = "4")]
     pub ledger: u64,
     #[prost(uint32, tag = "5")]
     pub credit: u32,
     #[prost(bool, tag = "6")]
     pub leaving: bool,
-    /// It may be asked about what earlier ledgers had taken, too.
+    /// Whether status queries about earlier ledgers are answered, too.
     #[prost(bool, tag = "7")]
     pub knows_past_ledgers: bool,
 }
@@ -113,7 +116,7 @@
     pub number: u64,
     #[prost(string, tag = "2")]
     pub rule: String,
-    /// The client's own id and the object, 16 hex digits each.
+    /// The client's own request id and the object; 16 hex digits each in text form.
     #[prost(fixed64, tag = "3")]
     pub trace_id: u64,
     #[prost(fixed64, tag = "4")]
@@ -128,21 +131,21 @@
     pub etag: Option<String>,
     #[prost(bytes = "vec", tag = "9")]
     pub body: Vec<u8>,
-    /// How long the far end has, in microseconds from when this came.
+    /// Time budget in microseconds, counted from the arrival of the request.
     #[prost(uint64, tag = "10")]
     pub time_left_us: u64,
-    /// The oldest copy that will do, in microseconds.
+    /// Maximum age of a cached copy in microseconds.
     #[prost(uint64, optional, tag = "11")]
     pub max_age_us: Option<u64>,
-    /// The sites that it has crossed, the sender's last.
+    /// The sites that the request has crossed, the sender's last.
     #[prost(string, repeated, tag = "12")]
     pub path: Vec<String>,
-    /// It must not run twice: the far end keeps it in its ledger.
+    /// It must not run twice: the acceptor records it in its ledger.
     #[prost(bool, tag = "13")]
     pub unrepeatable: bool,
     #[prost(uint32, tag = "14")]
     pub importance: u32,
-    /// The mark by which caches know a repeat of a keyed txn.
+    /// The key by which caches recognize a repeated keyed txn.
     #[prost(string, optional, tag = "15")]
     pub idempotency_key: Option<String>,
 }
@@ -155,7 +158,7 @@
     pub code: i32,
     #[prost(uint64, optional, tag = "3")]
     pub retry_after_us: Option<u64>,
-    /// So many bytes follow the message.
+    /// Number of body bytes that follow the message.
     #[prost(uint32, tag = "5")]
     pub body_len: u32,
 }
@@ -169,9 +172,9 @@
     Rejected = 3,
     Aborted = 4,
     Invalid = 5,
-    /// It did not run and will not: no room, or it was fenced.
+    /// It did not run and will not: no room, or the number was fenced.
     Refused = 6,
-    /// It came a second time, and what became of the first is not known any more.
+    /// A duplicate whose first outcome is no longer known.
     Forgotten = 7,
 }
 
@@ -179,12 +182,12 @@
 pub struct StatusQuery {
     #[prost(uint64, repeated, tag = "1")]
     pub numbers: Vec<u64>,
-    /// The ledger that they were sent to.
+    /// The ledger that was current when the hops were sent.
     #[prost(fixed64, tag = "2")]
     pub ledger: u64,
 }
 
-/// For one number; what has ended comes as an answer instead.
+/// Reply for one number. A finished hop is reported by an `Answer` instead.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct StatusReply {
     #[prost(uint64, tag = "1")]
@@ -213,23 +216,23 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    #[error("a message of {0} bytes")]
+    #[error("message length {0} is out of range")]
     Length(usize),
-    #[error("no protobuf of ours")]
+    #[error("malformed message")]
     Encoding,
-    #[error("{0} may not be sent so")]
+    #[error("invalid {0}")]
     Value(&'static str),
 }
 
-pub fn encode(said: Message) -> Vec<u8> {
-    let envelope = Envelope { message: Some(said) };
-    let mut out = Vec::with_capacity(4 + envelope.encoded_len());
-    out.extend((envelope.encoded_len() as u32).to_be_bytes());
-    out.extend(envelope.encode_to_vec());
-    out
+pub fn encode(message: Message) -> Vec<u8> {
+    let envelope = Envelope { message: Some(message) };
+    let mut buffer = Vec::with_capacity(4 + envelope.encoded_len());
+    buffer.extend((envelope.encoded_len() as u32).to_be_bytes());
+    buffer.extend(envelope.encode_to_vec());
+    buffer
 }
 
-/// The length of a message by its first four bytes.
+/// Length of a message, from its four-byte prefix.
 pub fn decode_length(bytes: [u8; 4]) -> Result<usize, DecodeError> {
     match u32::from_be_bytes(bytes) as usize {
         n @ 1..=MAX_MESSAGE_BYTES => Ok(n),
@@ -237,88 +240,93 @@
     }
 }
 
-/// The message at the start of `bytes` and its length with the four bytes before it; `None` while it is not whole.
+/// Decodes the message at the start of `bytes` and returns it with its length including the prefix; `None`
+/// while it is incomplete.
 pub fn decode(bytes: &[u8]) -> Result<Option<(Message, usize)>, DecodeError> {
     let Some((first, rest)) = bytes.split_first_chunk::<4>() else { return Ok(None) };
     let n = decode_length(*first)?;
     if rest.len() < n { Ok(None) } else { Ok(Some((decode_message(&rest[..n])?, n + 4))) }
 }
 
-/// A whole message without its length.
+/// Decodes a complete message without its prefix.
 pub fn decode_message(bytes: &[u8]) -> Result<Message, DecodeError> {
-    let said =
+    let message =
         Envelope::decode(bytes).map_err(|_| DecodeError::Encoding)?.message.ok_or(DecodeError::Encoding)?;
-    validate(&said).map_err(DecodeError::Value)?;
-    Ok(said)
+    validate(&message).map_err(DecodeError::Value)?;
+    Ok(message)
 }
 
-fn validate(said: &Message) -> Result<(), &'static str> {
-    let need = |is: bool, what| if is { Ok(()) } else { Err(what) };
-    match said {
+fn validate(message: &Message) -> Result<(), &'static str> {
+    let ensure = |valid: bool, what| if valid { Ok(()) } else { Err(what) };
+    match message {
         Message::Hello(h) => {
-            need(h.version == VERSION || !h.site.is_empty(), "a version")?;
-            // Of another version only the version counts: it is turned away by that.
-            need(h.version != VERSION || is_name(&h.site) && is_name(&h.gateway), "a name")?;
-            need(h.version != VERSION || h.run_id != 0 && h.next_number != 0, "a run or its first number")
+            ensure(h.version == VERSION || !h.site.is_empty(), "version")?;
+            // Of another version only the version number is validated, so that the hello can be refused for
+            // it.
+            ensure(h.version != VERSION || is_name(&h.site) && is_name(&h.gateway), "site or gateway name")?;
+            ensure(h.version != VERSION || h.run_id != 0 && h.next_number != 0, "run id or next number")
         }
-        Message::Welcome(w) => need(is_name(&w.site) && is_name(&w.gateway) && w.ledger != 0, "a welcome"),
-        Message::Refusal(r) => need(r.reason.len() <= 200, "a refusal"),
+        Message::Welcome(w) => ensure(is_name(&w.site) && is_name(&w.gateway) && w.ledger != 0, "welcome"),
+        Message::Refusal(r) => ensure(r.reason.len() <= 200, "refusal reason"),
         Message::Request(r) => {
-            need(r.number != 0, "number 0")?;
-            need(is_name(&r.rule), "a rule's name")?;
-            need(r.body.len() <= MAX_REQUEST_BODY_BYTES, "so long a body")?;
-            need(r.group <= 255, "a group")?;
-            need(r.size_kb.is_none_or(|kb| kb.is_finite() && kb > 0.0), "a size")?;
-            let tag = |t: &str| t.len() == 16 && t.bytes().all(|b| b.is_ascii_hexdigit());
-            need(r.etag.as_deref().is_none_or(tag), "a tag")?;
-            let mark = |m: &str| {
+            ensure(r.number != 0, "hop number 0")?;
+            ensure(is_name(&r.rule), "rule name")?;
+            ensure(r.body.len() <= MAX_REQUEST_BODY_BYTES, "body length")?;
+            ensure(r.group <= 255, "group")?;
+            ensure(r.size_kb.is_none_or(|kb| kb.is_finite() && kb > 0.0), "size")?;
+            let is_etag = |t: &str| t.len() == 16 && t.bytes().all(|b| b.is_ascii_hexdigit());
+            ensure(r.etag.as_deref().is_none_or(is_etag), "etag")?;
+            let is_key = |m: &str| {
                 (1..=MAX_IDEMPOTENCY_KEY_BYTES).contains(&m.len()) && m.bytes().all(|b| b.is_ascii_graphic())
             };
-            need(r.idempotency_key.as_deref().is_none_or(mark), "a mark")?;
-            need((1..=MAX_DURATION_US).contains(&r.time_left_us), "a time")?;
-            need(r.max_age_us != Some(0), "an age of 0")?;
-            need(r.path.len() <= MAX_PATH_SITES && !r.path.is_empty(), "a path")?;
-            need(r.path.iter().all(|site| is_name(site)) && r.importance <= 9, "a path or importance")
+            ensure(r.idempotency_key.as_deref().is_none_or(is_key), "idempotency key")?;
+            ensure((1..=MAX_DURATION_US).contains(&r.time_left_us), "time")?;
+            ensure(r.max_age_us != Some(0), "maximum age 0")?;
+            ensure(r.path.len() <= MAX_PATH_SITES && !r.path.is_empty(), "path")?;
+            ensure(r.path.iter().all(|site| is_name(site)) && r.importance <= 9, "path or importance")
         }
         Message::Answer(a) => {
-            need(a.number != 0, "number 0")?;
-            need(a.body_len as usize <= MAX_ANSWER_BODY_BYTES, "so long an answer")?;
-            need(
-                matches!(AnswerCode::try_from(a.code), Ok(word) if word != AnswerCode::Unspecified),
-                "a word",
+            ensure(a.number != 0, "hop number 0")?;
+            ensure(a.body_len as usize <= MAX_ANSWER_BODY_BYTES, "answer length")?;
+            ensure(
+                matches!(AnswerCode::try_from(a.code), Ok(code) if code != AnswerCode::Unspecified),
+                "answer code",
             )?;
             let served = a.code == AnswerCode::Served as i32;
-            need(served || a.body_len == 0, "bytes behind such a word")?;
-            need(a.retry_after_us.is_none_or(|us| us <= MAX_DURATION_US), "a time")
+            ensure(served || a.body_len == 0, "body for this answer code")?;
+            ensure(a.retry_after_us.is_none_or(|us| us <= MAX_DURATION_US), "time")
         }
-        Message::StatusQuery(a) => {
-            need(a.numbers.len() <= MAX_QUERY_NUMBERS && !a.numbers.contains(&0), "so many numbers")
+        Message::StatusQuery(a) => ensure(
+            a.numbers.len() <= MAX_QUERY_NUMBERS && !a.numbers.contains(&0),
+            "numbers in a status query",
+        ),
+        Message::StatusReply(f) => {
+            ensure(f.number != 0 && TxnStatus::try_from(f.status).is_ok(), "status reply")
         }
-        Message::StatusReply(f) => need(f.number != 0 && TxnStatus::try_from(f.status).is_ok(), "a fate"),
-        Message::Accepted(n) | Message::Cancel(n) | Message::Settle(n) => need(*n != 0, "number 0"),
-        Message::Ledger(n) => need(*n != 0, "ledger 0"),
+        Message::Accepted(n) | Message::Cancel(n) | Message::Settle(n) => ensure(*n != 0, "hop number 0"),
+        Message::Ledger(n) => ensure(*n != 0, "ledger 0"),
         Message::Ping(_) | Message::Pong(_) | Message::Leaving(_) => Ok(()),
     }
 }
 
 impl Answer {
-    pub fn new(number: u64, ending: TxnOutcome, length: usize) -> Answer {
-        let (word, come_back) = match ending {
+    pub fn new(number: u64, outcome: TxnOutcome, body_len: usize) -> Answer {
+        let (code, retry_after) = match outcome {
             TxnOutcome::Served => (AnswerCode::Served, None),
             TxnOutcome::NotModified => (AnswerCode::NotModified, None),
-            TxnOutcome::Rejected { retry_after: come_back } => (AnswerCode::Rejected, come_back),
+            TxnOutcome::Rejected { retry_after } => (AnswerCode::Rejected, retry_after),
             TxnOutcome::Aborted => (AnswerCode::Aborted, None),
             TxnOutcome::Invalid => (AnswerCode::Invalid, None),
         };
-        let come_back_us = come_back.map(Span::as_micros);
-        Answer { number, code: word as i32, retry_after_us: come_back_us, body_len: length as u32 }
+        let retry_after_us = retry_after.map(Span::as_micros);
+        Answer { number, code: code as i32, retry_after_us, body_len: body_len as u32 }
     }
 
-    pub fn refused(number: u64, word: AnswerCode) -> Answer {
-        Answer { number, code: word as i32, retry_after_us: None, body_len: 0 }
+    pub fn refused(number: u64, code: AnswerCode) -> Answer {
+        Answer { number, code: code as i32, retry_after_us: None, body_len: 0 }
     }
 
-    /// How it ended there; `None` where it did not come to an end.
+    /// The txn's outcome; `None` if it did not finish at the acceptor.
     pub fn outcome(&self) -> Option<TxnOutcome> {
         Some(match AnswerCode::try_from(self.code).ok()? {
             AnswerCode::Served => TxnOutcome::Served,
--- a/sites/tests/cases.rs
+++ b/sites/tests/cases.rs
@@ -584,10 +584,10 @@
         }
     };
     let old = Hello { version: VERSION + 1, ..hello() };
-    assert_eq!(why(&mut world, 3, &old, true), "version 1 is spoken here, not 2");
+    assert_eq!(why(&mut world, 3, &old, true), "protocol version 1 is required, got 2");
     assert!(why(&mut world, 3, &hello(), false).contains("certificate"));
     let stranger = Hello { site: "north".to_owned(), ..hello() };
-    assert!(why(&mut world, 3, &stranger, true).contains("nothing is taken"));
+    assert!(why(&mut world, 3, &stranger, true).contains("the site is not in `accept`"));
     assert!(why(&mut world, 1, &hello(), true).contains("second hello"));
 }
 
