--- a/sites/src/quic.rs
+++ b/sites/src/quic.rs
@@ -210,8 +210,8 @@
         SmolRuntime.new_timer(at)
     }
 
-    fn spawn(&self, executor: Pin<Box<dyn Future<Output = ()> + Send>>) {
-        self.0.spawn(executor).detach();
+    fn spawn(&self, task: Pin<Box<dyn Future<Output = ()> + Send>>) {
+        self.0.spawn(task).detach();
     }
 
     fn wrap_udp_socket(&self, socket: UdpSocket) -> std::io::Result<Arc<dyn AsyncUdpSocket>> {
