--- a/gateway/tests/sites.rs
+++ b/gateway/tests/sites.rs
@@ -1,5 +1,6 @@
-//! Two sites on loopback: real gateways as processes, a link between them that the test holds in its hand, and stand-ins
-//! at the far one. No test depends on how fast the machine is: all limits are long, and each step waits for its sign.
+//! Two sites on loopback: real gateways as processes, a link between them through a relay that the test
+//! controls, and simulated caches and origin at the accepting site. No test depends on the machine's speed:
+//! all limits are long, and each step waits for a log line or counter.
 
 mod common;
 
@@ -17,25 +18,25 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-struct World {
+struct TestSites {
     folder: PathBuf,
     site: Arc<Site>,
     places: Vec<Place>,
-    near_bulletin: Bulletin,
-    far_bulletin: Bulletin,
+    initiator_bulletin: Bulletin,
+    acceptor_bulletin: Bulletin,
     authority: Authority,
     listen: SocketAddr,
 }
 
-impl Drop for World {
+impl Drop for TestSites {
     fn drop(&mut self) {
         self.site.end();
         _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-impl World {
-    fn new(name: &str) -> World {
+impl TestSites {
+    fn new(name: &str) -> TestSites {
         let folder = format!("{}/sites-{name}-{}", env!("CARGO_TARGET_TMPDIR"), std::process::id());
         let folder = PathBuf::from(folder);
         std::fs::create_dir_all(&folder).unwrap();
@@ -45,11 +46,11 @@
         let places = [("e1", "box"), ("p1", "parent"), ("o", "origin")].map(place).to_vec();
         let authority = Authority::new().unwrap();
         ["near", "far"].iter().for_each(|site| authority.write(&folder, site).unwrap());
-        World {
+        TestSites {
             site,
             places,
-            near_bulletin: Bulletin::start(1).unwrap(),
-            far_bulletin: Bulletin::start(1).unwrap(),
+            initiator_bulletin: Bulletin::start(1).unwrap(),
+            acceptor_bulletin: Bulletin::start(1).unwrap(),
             authority,
             listen: free_udp().unwrap(),
             folder,
@@ -66,7 +67,7 @@
         all
     }
 
-    fn sites(&self, site: &str, rest: Value) -> Value {
+    fn site_settings(&self, site: &str, rest: Value) -> Value {
         let path = |name: &str| self.folder.join(name).display().to_string();
         let mut all = json!({
             "site": site, "gateway": format!("{site}-1"), "importance": {"book": 9},
@@ -77,24 +78,29 @@
         all
     }
 
-    fn far(&self, rest: Value) -> Gateway {
+    fn acceptor(&self, rest: Value) -> Gateway {
         let mut all = json!({"listen": self.listen.to_string(), "accept": ["near"]});
         all.as_object_mut().unwrap().extend(rest.as_object().unwrap().clone());
-        let config = self.config("far-1", &self.far_bulletin, &self.places);
-        Gateway::start(program(), &self.folder, &config, Some(&self.sites("far", all))).unwrap()
+        let config = self.config("far-1", &self.acceptor_bulletin, &self.places);
+        Gateway::start(program(), &self.folder, &config, Some(&self.site_settings("far", all))).unwrap()
     }
 
-    fn durable_far(&self) -> Gateway {
+    fn durable_acceptor(&self) -> Gateway {
         let file = self.folder.join("ledger.redb").display().to_string();
-        self.far(json!({"ledger": {"file": file}}))
+        self.acceptor(json!({"ledger": {"file": file}}))
     }
 
-    fn near(&self, by: &Relay) -> Gateway {
-        let peer = json!({"name": "far-1", "site": "far", "address": by.address.to_string(),
+    fn initiator(&self, relay: &Relay) -> Gateway {
+        let peer = json!({"name": "far-1", "site": "far", "address": relay.address.to_string(),
             "as": ["parent", "origin"], "size": 64.0});
-        let config = self.config("near-1", &self.near_bulletin, &[]);
-        Gateway::start(program(), &self.folder, &config, Some(&self.sites("near", json!({"peers": [peer]}))))
-            .unwrap()
+        let config = self.config("near-1", &self.initiator_bulletin, &[]);
+        Gateway::start(
+            program(),
+            &self.folder,
+            &config,
+            Some(&self.site_settings("near", json!({"peers": [peer]}))),
+        )
+        .unwrap()
     }
 
     fn relay(&self) -> Relay {
@@ -107,192 +113,193 @@
 }
 
 #[test]
-fn reads_and_writes_cross_and_a_purge_at_the_near_site_bounds_copies_at_the_far_one() {
-    let world = World::new("cross");
-    let (far, relay) = (world.far(json!({})), world.relay());
-    let near = world.near(&relay);
-    wait_for(&near, "(far-1) is up", 1);
-    let mut client = Client::of(&near);
+fn reads_and_writes_cross_a_link_and_a_purge_at_one_site_bounds_copies_at_the_other() {
+    let sites = TestSites::new("cross");
+    let (acceptor, relay) = (sites.acceptor(json!({})), sites.relay());
+    let initiator = sites.initiator(&relay);
+    wait_for(&initiator, "(far-1) is up", 1);
+    let mut client = Client::of(&initiator);
     let (_, first) = client.served("media", 6);
     let born_first = born(6, &first.body).unwrap();
     assert_eq!(first.body.len(), 30_000);
     let (trace, _) = client.served("book", 77);
-    assert_eq!(world.ran(trace), 1);
-    // Another read is served by the copy at the far cache.
+    assert_eq!(sites.ran(trace), 1);
+    // Another read is served from the copy at the accepting site's cache.
     assert_eq!(born(6, &client.served("media", 6).1.body), Some(born_first));
-    // Only the near gateway hears of the purge.
+    // Only the initiating gateway is told of the purge.
     std::thread::sleep(Duration::from_millis(3));
     let at = kelpcart_rig::caches::unix_ms();
-    world.near_bulletin.purge(6, at);
-    let began = Instant::now();
-    while near.counters().contains("purges kept 0") {
-        assert!(began.elapsed() < PATIENCE);
+    sites.initiator_bulletin.purge(6, at);
+    let started = Instant::now();
+    while initiator.counters().contains("purges kept 0") {
+        assert!(started.elapsed() < PATIENCE);
     }
     let after = born(6, &client.served("media", 6).1.body).unwrap();
     assert!(after >= at, "{after} {at}");
-    drop(far);
+    drop(acceptor);
 }
 
 #[test]
-fn a_cut_between_commit_and_answer_gives_the_one_answer_once_the_link_is_back() {
-    let world = World::new("cut");
-    let (_far, relay) = (world.far(json!({})), world.relay());
-    let near = world.near(&relay);
-    wait_for(&near, "(far-1) is up", 1);
-    let mut client = Client::of(&near);
+fn a_disconnect_between_commit_and_answer_gives_one_answer_after_reconnecting() {
+    let sites = TestSites::new("cut");
+    let (_acceptor, relay) = (sites.acceptor(json!({})), sites.relay());
+    let initiator = sites.initiator(&relay);
+    wait_for(&initiator, "(far-1) is up", 1);
+    let mut client = Client::of(&initiator);
     client.served("book", 1);
-    let trace = client.held_book(&world.site);
+    let trace = client.held_book(&sites.site);
     relay.set(|w| w.dark = [true; 2]);
-    wait_for(&near, "link to far-1 closed", 1);
-    // It ends while nobody can be told.
-    world.site.hold(false);
+    wait_for(&initiator, "link to far-1 closed", 1);
+    // The txn finishes while the link is down.
+    sites.site.hold(false);
     relay.set(|w| w.dark = [false; 2]);
-    assert_eq!((client.answer().word, world.ran(trace)), (Word::Served, 1));
-    wait_for(&near, "(far-1) is up", 2);
-    // Nothing more comes for it: the next answer is the next txn's.
+    assert_eq!((client.answer().word, sites.ran(trace)), (Word::Served, 1));
+    wait_for(&initiator, "(far-1) is up", 2);
+    // No duplicate answer arrives: the next answer is the next txn's.
     let (_, next) = client.served("media", 6);
     assert!(born(6, &next.body).is_some());
 }
 
 #[test]
-fn one_direction_dark_is_seen_and_a_book_that_never_arrived_runs_once_later() {
-    let world = World::new("half");
-    let (_far, relay) = (world.far(json!({})), world.relay());
-    let near = world.near(&relay);
-    wait_for(&near, "(far-1) is up", 1);
-    let mut client = Client::of(&near);
+fn a_one_way_failure_is_detected_and_a_booking_that_never_arrived_runs_once_later() {
+    let sites = TestSites::new("half");
+    let (_acceptor, relay) = (sites.acceptor(json!({})), sites.relay());
+    let initiator = sites.initiator(&relay);
+    wait_for(&initiator, "(far-1) is up", 1);
+    let mut client = Client::of(&initiator);
     client.served("book", 1);
     relay.set(|w| w.dark = [true, false]);
     let trace = client.ask("book", 77);
-    wait_for(&near, "link to far-1 closed", 1);
-    assert_eq!(world.ran(trace), 0);
+    wait_for(&initiator, "link to far-1 closed", 1);
+    assert_eq!(sites.ran(trace), 0);
     relay.set(|w| w.dark = [false; 2]);
-    // Never taken, as the far end says: the module may try again, or reject.
+    // The acceptor reports it as never accepted: the module may retry it, or reject it.
     let answer = client.answer();
     let ran = u32::from(answer.word == Word::Served);
-    assert!(answer.word != Word::Failed && world.ran(trace) == ran, "{answer:?}");
+    assert!(answer.word != Word::Failed && sites.ran(trace) == ran, "{answer:?}");
 }
 
 #[test]
-fn a_far_gateway_that_was_killed_with_a_book_running_makes_it_an_abort_and_never_a_second_run() {
+fn a_booking_running_at_a_killed_acceptor_is_aborted_and_never_runs_twice() {
     for durable in [false, true] {
-        let world = World::new(if durable { "killed-disk" } else { "killed" });
-        let start = || if durable { world.durable_far() } else { world.far(json!({})) };
-        let (mut far, relay) = (start(), world.relay());
-        let near = world.near(&relay);
-        wait_for(&near, "(far-1) is up", 1);
-        let mut client = Client::of(&near);
+        let sites = TestSites::new(if durable { "killed-disk" } else { "killed" });
+        let start = || if durable { sites.durable_acceptor() } else { sites.acceptor(json!({})) };
+        let (mut acceptor, relay) = (start(), sites.relay());
+        let initiator = sites.initiator(&relay);
+        wait_for(&initiator, "(far-1) is up", 1);
+        let mut client = Client::of(&initiator);
         client.served("book", 1);
-        let trace = client.held_book(&world.site);
-        far.kill();
-        world.site.hold(false);
-        let _far = start();
+        let trace = client.held_book(&sites.site);
+        acceptor.kill();
+        sites.site.hold(false);
+        let _acceptor = start();
         let answer = client.answer();
-        assert_eq!((answer.word, world.ran(trace)), (Word::Failed, 1), "durable: {durable}");
+        assert_eq!((answer.word, sites.ran(trace)), (Word::Failed, 1), "durable: {durable}");
     }
 }
 
 #[test]
-fn a_durable_ledger_knows_after_a_kill_how_a_book_ended() {
-    let world = World::new("disk");
-    let (mut far, relay) = (world.durable_far(), world.relay());
-    let near = world.near(&relay);
-    wait_for(&near, "(far-1) is up", 1);
-    let mut client = Client::of(&near);
+fn a_durable_ledger_keeps_the_outcome_of_a_booking_after_a_kill() {
+    let sites = TestSites::new("disk");
+    let (mut acceptor, relay) = (sites.durable_acceptor(), sites.relay());
+    let initiator = sites.initiator(&relay);
+    wait_for(&initiator, "(far-1) is up", 1);
+    let mut client = Client::of(&initiator);
     client.served("book", 1);
-    // The answer can't cross; that it ended is on the disk when the process is killed.
-    let trace = client.held_book(&world.site);
+    // The answer can't be sent; its outcome is on disk when the process is killed.
+    let trace = client.held_book(&sites.site);
     relay.set(|w| w.dark = [false, true]);
-    world.site.hold(false);
-    let began = Instant::now();
-    while !far.counters().contains("txns completed 2") {
-        assert!(began.elapsed() < PATIENCE);
+    sites.site.hold(false);
+    let started = Instant::now();
+    while !acceptor.counters().contains("txns completed 2") {
+        assert!(started.elapsed() < PATIENCE);
     }
-    // The end goes to the disk behind it; a later entry shows that it is there.
+    // The outcome is written to disk after the counter changes; wait until it is there.
     std::thread::sleep(Duration::from_millis(300));
-    far.kill();
-    let _far = world.durable_far();
+    acceptor.kill();
+    let _acceptor = sites.durable_acceptor();
     relay.set(|w| w.dark = [false; 2]);
-    assert_eq!((client.answer().word, world.ran(trace)), (Word::Served, 1));
+    assert_eq!((client.answer().word, sites.ran(trace)), (Word::Served, 1));
 }
 
 #[test]
-fn a_gateway_told_to_stop_answers_what_came_over_the_link_and_takes_no_more() {
-    let world = World::new("stop");
-    let (mut far, relay) = (world.far(json!({})), world.relay());
-    let near = world.near(&relay);
-    wait_for(&near, "(far-1) is up", 1);
-    let mut client = Client::of(&near);
+fn a_stopping_acceptor_answers_running_requests_and_accepts_no_more() {
+    let sites = TestSites::new("stop");
+    let (mut acceptor, relay) = (sites.acceptor(json!({})), sites.relay());
+    let initiator = sites.initiator(&relay);
+    wait_for(&initiator, "(far-1) is up", 1);
+    let mut client = Client::of(&initiator);
     client.served("book", 1);
-    let trace = client.held_book(&world.site);
-    far.signal("TERM").unwrap();
-    wait_for(&near, "accepts no more txns", 1);
+    let trace = client.held_book(&sites.site);
+    acceptor.signal("TERM").unwrap();
+    wait_for(&initiator, "accepts no more txns", 1);
     let other = client.ask("book", 78);
     assert_eq!(client.answer().word, Word::Rejected);
-    world.site.hold(false);
-    assert_eq!((client.answer().word, world.ran(trace), world.ran(other)), (Word::Served, 1, 0));
-    let began = Instant::now();
-    while !far.has_ended() {
-        assert!(began.elapsed() < PATIENCE);
+    sites.site.hold(false);
+    assert_eq!((client.answer().word, sites.ran(trace), sites.ran(other)), (Word::Served, 1, 0));
+    let started = Instant::now();
+    while !acceptor.has_ended() {
+        assert!(started.elapsed() < PATIENCE);
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 #[test]
-fn strangers_are_turned_away_and_keys_change_while_links_go_on() {
-    let world = World::new("keys");
-    let far = world.far(json!({}));
-    let relay = world.relay();
-    let near = world.near(&relay);
-    wait_for(&near, "(far-1) is up", 1);
-    let mut client = Client::of(&near);
+fn untrusted_peers_are_refused_and_keys_are_reloaded_while_links_stay_up() {
+    let sites = TestSites::new("keys");
+    let acceptor = sites.acceptor(json!({}));
+    let relay = sites.relay();
+    let initiator = sites.initiator(&relay);
+    wait_for(&initiator, "(far-1) is up", 1);
+    let mut client = Client::of(&initiator);
     client.served("media", 6);
-    // Another authority's certificates at the near site: the link stands, a new one would not come about.
+    // Certificates of another authority at the initiating site: the link stays up, but a new one could not
+    // be established.
     let other = Authority::new().unwrap();
-    other.write(&world.folder, "near").unwrap();
-    near.signal("HUP").unwrap();
-    wait_for(&near, "new links use the reloaded keys", 1);
+    other.write(&sites.folder, "near").unwrap();
+    initiator.signal("HUP").unwrap();
+    wait_for(&initiator, "new links use the reloaded keys", 1);
     client.served("media", 6);
     relay.set(|w| w.dark = [true; 2]);
-    wait_for(&near, "link to far-1 closed", 1);
+    wait_for(&initiator, "link to far-1 closed", 1);
     relay.set(|w| w.dark = [false; 2]);
-    wait_for(&near, "connecting to far-1 failed", 1);
-    // The right ones again, by a signal alone.
-    world.authority.write(&world.folder, "near").unwrap();
-    near.signal("HUP").unwrap();
-    wait_for(&near, "(far-1) is up", 2);
+    wait_for(&initiator, "connecting to far-1 failed", 1);
+    // The right certificates again, reloaded on a signal.
+    sites.authority.write(&sites.folder, "near").unwrap();
+    initiator.signal("HUP").unwrap();
+    wait_for(&initiator, "(far-1) is up", 2);
     client.served("media", 6);
     // Files that can't be used change nothing.
-    std::fs::write(world.folder.join("near.key"), "no key").unwrap();
-    near.signal("HUP").unwrap();
-    wait_for(&near, "links keep the previous keys", 1);
+    std::fs::write(sites.folder.join("near.key"), "no key").unwrap();
+    initiator.signal("HUP").unwrap();
+    wait_for(&initiator, "links keep the previous keys", 1);
     client.served("media", 6);
-    drop(far);
+    drop(acceptor);
 }
 
 #[test]
-fn a_file_that_cannot_be_used_ends_the_start_with_its_fault() {
-    let world = World::new("file");
-    let config = world.config("near-1", &world.near_bulletin, &[]);
-    let start = |sites: Value| match Gateway::start(program(), &world.folder, &config, Some(&sites)) {
+fn an_invalid_settings_file_fails_the_start_with_its_error() {
+    let sites = TestSites::new("file");
+    let config = sites.config("near-1", &sites.initiator_bulletin, &[]);
+    let start = |settings: Value| match Gateway::start(program(), &sites.folder, &config, Some(&settings)) {
         Ok(_) => panic!("it started"),
-        Err(why) => why.to_string(),
+        Err(error) => error.to_string(),
     };
-    let why = start(world.sites("near", json!({})));
-    assert!(why.contains("listen, peers: at least one of them is required"), "{why}");
-    let why = start(world.sites(
+    let error = start(sites.site_settings("near", json!({})));
+    assert!(error.contains("listen, peers: at least one of them is required"), "{error}");
+    let error = start(sites.site_settings(
         "near",
         json!({"listen": "127.0.0.1:0", "accept": ["far"], "keys": {
         "certificate": "/nowhere", "key": "/nowhere", "roots": "/nowhere"}}),
     ));
-    assert!(why.contains("/nowhere"), "{why}");
+    assert!(error.contains("/nowhere"), "{error}");
 }
 
 #[test]
-fn without_the_file_nothing_of_it_is_there() {
-    let world = World::new("off");
-    let config = world.config("alone", &world.near_bulletin, &world.places);
-    let alone = Gateway::start(program(), &world.folder, &config, None).unwrap();
+fn without_the_settings_file_there_are_no_link_counters() {
+    let sites = TestSites::new("off");
+    let config = sites.config("alone", &sites.initiator_bulletin, &sites.places);
+    let alone = Gateway::start(program(), &sites.folder, &config, None).unwrap();
     let mut client = Client::of(&alone);
     client.served("media", 6);
     let counters = alone.counters();
@@ -300,64 +307,79 @@
 }
 
 #[test]
-fn a_near_gateway_told_to_stop_answers_what_is_in_doubt_before_it_ends() {
-    let world = World::new("doubt");
-    let (_far, relay) = (world.far(json!({})), world.relay());
-    let mut near = world.near(&relay);
-    wait_for(&near, "(far-1) is up", 1);
-    let mut client = Client::of(&near);
+fn a_stopping_initiator_answers_hops_in_doubt_before_it_exits() {
+    let sites = TestSites::new("doubt");
+    let (_acceptor, relay) = (sites.acceptor(json!({})), sites.relay());
+    let mut initiator = sites.initiator(&relay);
+    wait_for(&initiator, "(far-1) is up", 1);
+    let mut client = Client::of(&initiator);
     client.served("book", 1);
-    let trace = client.held_book(&world.site);
+    let trace = client.held_book(&sites.site);
     relay.set(|w| w.dark = [true; 2]);
-    wait_for(&near, "link to far-1 closed", 1);
-    near.signal("TERM").unwrap();
-    // It may have run, and more will not be known in time.
-    assert_eq!((client.answer().word, world.ran(trace)), (Word::Failed, 1));
-    let began = Instant::now();
-    while !near.has_ended() {
-        assert!(began.elapsed() < PATIENCE);
+    wait_for(&initiator, "link to far-1 closed", 1);
+    initiator.signal("TERM").unwrap();
+    // It may have run, and nothing more can be learned before the deadline.
+    assert_eq!((client.answer().word, sites.ran(trace)), (Word::Failed, 1));
+    let started = Instant::now();
+    while !initiator.has_ended() {
+        assert!(started.elapsed() < PATIENCE);
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// What a far gateway does with a peer that says these to it first.
-fn say_to_far(world: &World, far: &Gateway, said: &[Vec<u8>], sign: &str) {
+/// Connects as a peer, sends these messages, and waits for the line in the acceptor's log.
+fn send_to_acceptor(sites: &TestSites, acceptor: &Gateway, messages: &[Vec<u8>], log_line: &str) {
     use kelpcart_sites::quic::{self, Endpoint, Keys};
     use kelpcart_sites::settings::{Congestion, KeyFiles};
-    let file = |name: &str| world.folder.join(name);
+    let file = |name: &str| sites.folder.join(name);
     let files = KeyFiles { certificate: file("near.pem"), key: file("near.key"), roots: file("roots.pem") };
     let keys = Keys::read(&files, Congestion::Delay).unwrap();
     let endpoint = Endpoint::start(None, &keys).unwrap();
     let work = async {
-        let connection = endpoint.dial(&keys, world.listen, "far").await.unwrap();
+        let connection = endpoint.dial(&keys, sites.listen, "far").await.unwrap();
         let (mut send, _recv) = connection.open_bi().await.unwrap();
-        for bytes in said {
+        for bytes in messages {
             quic::write(&mut send, bytes).await.unwrap();
         }
         connection.closed().await;
     };
     async_io::block_on(futures_lite::future::or(work, endpoint.drive()));
-    wait_for(far, sign, 1);
+    wait_for(acceptor, log_line, 1);
 }
 
 #[test]
-fn a_peer_that_sends_what_it_may_not_loses_its_connection_and_nothing_else() {
+fn a_peer_that_sends_invalid_messages_only_loses_its_connection() {
     use kelpcart_sites::wire::{self, Message};
-    let world = World::new("hostile");
-    let (far, relay) = (world.far(json!({})), world.relay());
-    let near = world.near(&relay);
-    wait_for(&near, "(far-1) is up", 1);
+    let sites = TestSites::new("hostile");
+    let (acceptor, relay) = (sites.acceptor(json!({})), sites.relay());
+    let initiator = sites.initiator(&relay);
+    wait_for(&initiator, "(far-1) is up", 1);
     let hello = |version, site: &str| {
         let (site, gateway) = (site.to_owned(), "n9".to_owned());
         wire::encode(Message::Hello(wire::Hello { version, site, gateway, run_id: 99, next_number: 1 }))
     };
-    say_to_far(&world, &far, &[hello(7, "near")], "protocol version 1 is required, got 7");
-    say_to_far(&world, &far, &[hello(1, "far")], "the certificate is not valid for the site");
-    say_to_far(&world, &far, &[wire::encode(Message::Ping(1))], "the first message is not a hello");
-    say_to_far(&world, &far, &[vec![0xff; 64]], "message length 4294967295 is out of range");
-    say_to_far(&world, &far, &[hello(1, "near"), vec![0, 0, 0, 2, 0x28, 0]], "invalid hop number 0");
-    say_to_far(&world, &far, &[hello(1, "near"), wire::encode(Message::Leaving(true))], "unexpected message");
-    let mut client = Client::of(&near);
+    send_to_acceptor(&sites, &acceptor, &[hello(7, "near")], "protocol version 1 is required, got 7");
+    send_to_acceptor(&sites, &acceptor, &[hello(1, "far")], "the certificate is not valid for the site");
+    send_to_acceptor(
+        &sites,
+        &acceptor,
+        &[wire::encode(Message::Ping(1))],
+        "the first message is not a hello",
+    );
+    send_to_acceptor(&sites, &acceptor, &[vec![0xff; 64]], "message length 4294967295 is out of range");
+    send_to_acceptor(
+        &sites,
+        &acceptor,
+        &[hello(1, "near"), vec![0, 0, 0, 2, 0x28, 0]],
+        "invalid hop number 0",
+    );
+    send_to_acceptor(
+        &sites,
+        &acceptor,
+        &[hello(1, "near"), wire::encode(Message::Leaving(true))],
+        "unexpected message",
+    );
+    let mut client = Client::of(&initiator);
     let (trace, _) = client.served("book", 77);
-    assert_eq!(world.ran(trace), 1);
+    assert_eq!(sites.ran(trace), 1);
 }
--- a/sites/src/delay.rs
+++ b/sites/src/delay.rs
@@ -214,7 +214,7 @@
     }
 
     #[test]
-    fn loss_and_jitter_cost_little_of_a_link_and_the_queue_stays_short() {
+    fn loss_and_jitter_cost_little_throughput_and_the_queue_stays_short() {
         for (loss, least) in [(0.0, 0.9), (0.02, 0.88), (0.1, 0.8)] {
             let link = Link { rate: 2e6, trip: 0.16, jitter: 0.02, loss, queue: 1e6 };
             let mut delay = DelayController::new(at(0.0), PACKET as u16);
@@ -225,7 +225,7 @@
     }
 
     #[test]
-    fn it_follows_a_link_that_narrows_and_widens() {
+    fn the_window_follows_changes_of_the_link_rate() {
         let mut delay = DelayController::new(at(0.0), PACKET as u16);
         let wide = Link { rate: 4e6, trip: 0.1, jitter: 0.01, loss: 0.01, queue: 1e6 };
         let narrow = Link { rate: 0.4e6, ..wide };
@@ -237,7 +237,7 @@
     }
 
     #[test]
-    fn a_queue_too_short_to_be_seen_is_told_by_its_heavy_loss() {
+    fn a_queue_too_short_to_measure_is_detected_by_heavy_loss() {
         let link = Link { rate: 1e6, trip: 0.1, jitter: 0.0, loss: 0.0, queue: 6_000.0 };
         let mut delay = DelayController::new(at(0.0), PACKET as u16);
         let (part, _) = run(&mut delay, &link, 0.0, 40.0);
@@ -247,7 +247,7 @@
     }
 
     #[test]
-    fn one_that_asks_for_little_keeps_its_window_and_a_dead_link_starts_anew() {
+    fn an_application_limited_sender_keeps_its_window_and_persistent_congestion_resets_it() {
         let mut delay = DelayController::new(at(0.0), 1_200);
         let before = delay.window();
         for i in 0..100 {
--- a/sites/src/pace.rs
+++ b/sites/src/pace.rs
@@ -203,7 +203,7 @@
     }
 
     #[test]
-    fn it_finds_the_rate_of_a_link_and_follows_when_that_narrows() {
+    fn the_rate_of_a_link_is_found_and_followed_when_it_drops() {
         let mut pace = Pacer::default();
         let (now, _) = run(&mut pace, Time::from_micros(1), 2e6, 20e3, 2_000);
         let found = pace.rate().unwrap();
@@ -217,7 +217,7 @@
     }
 
     #[test]
-    fn an_idle_link_is_not_taken_for_a_narrow_one() {
+    fn an_idle_link_is_not_taken_for_a_slow_one() {
         let mut pace = Pacer::default();
         let (mut now, _) = run(&mut pace, Time::from_micros(1), 2e6, 20e3, 1_000);
         let before = pace.rate().unwrap();
--- a/sites/src/rtt.rs
+++ b/sites/src/rtt.rs
@@ -56,7 +56,7 @@
     use quickcheck::quickcheck;
 
     #[test]
-    fn the_first_sample_sets_all_as_the_rfc_says() {
+    fn the_first_sample_initializes_the_estimator_as_in_the_rfc() {
         let mut rtt = RttEstimator::default();
         assert_eq!((rtt.smoothed(), rtt.timeout()), (INITIAL_RTT, INITIAL_RTT + TIMER_GRANULARITY));
         rtt.sample(Span::from_millis(100));
@@ -64,7 +64,7 @@
     }
 
     quickcheck! {
-        fn the_timeout_lies_above_the_estimate_and_settles_on_steady_samples(wild: Vec<u16>, steady: u8) -> bool {
+        fn the_timeout_exceeds_the_estimate_and_converges_on_steady_samples(wild: Vec<u16>, steady: u8) -> bool {
             let mut rtt = RttEstimator::default();
             for ms in wild {
                 rtt.sample(Span::from_millis(ms.into()));
--- a/sites/tests/cases.rs
+++ b/sites/tests/cases.rs
@@ -1,4 +1,4 @@
-//! The hard cases of a link, one by one: each is played by hand against the cores of both ends.
+//! Single failure cases of a link, played step by step against the cores of both ends.
 
 use kelpcart::{Span, Time};
 use kelpcart_sites::acceptor::{Acceptor, Call, RefusalReason, RequestMeta, SessionAction};
@@ -34,47 +34,47 @@
     Sites::read(&all.to_string()).unwrap()
 }
 
-/// A near end with its first link up, at a round trip of 100 ms.
-fn near() -> Initiator {
-    let mut near = Initiator::new(&settings("east", "west", false), 7, at(0));
-    acts(&mut near, 0);
-    near.connected(at(0), 0, &welcome(70));
-    pong(&mut near, 0, 100);
-    near
+/// An initiator whose first link is up, with an RTT of 100 ms.
+fn initiator() -> Initiator {
+    let mut initiator = Initiator::new(&settings("east", "west", false), 7, at(0));
+    link_actions(&mut initiator, 0);
+    initiator.connected(at(0), 0, &welcome(70));
+    pong(&mut initiator, 0, 100);
+    initiator
 }
 
-fn acts(near: &mut Initiator, now: u64) -> Vec<LinkAction> {
-    std::iter::from_fn(|| near.poll(at(now))).collect()
+fn link_actions(initiator: &mut Initiator, now: u64) -> Vec<LinkAction> {
+    std::iter::from_fn(|| initiator.poll(at(now))).collect()
 }
 
-/// Answers the newest sign of life that was asked for on the first link.
-fn pong(near: &mut Initiator, asked: u64, answered: u64) -> bool {
-    let ping = acts(near, asked).into_iter().rev().find_map(|a| match a {
+/// Answers the newest ping on the first link.
+fn pong(initiator: &mut Initiator, polled_at: u64, answered_at: u64) -> bool {
+    let ping = link_actions(initiator, polled_at).into_iter().rev().find_map(|a| match a {
         LinkAction::Ping { link: 0, number } => Some(number),
         _ => None,
     });
     if let Some(number) = ping {
-        near.pong_received(at(answered), 0, number, 64, false);
+        initiator.pong_received(at(answered_at), 0, number, 64, false);
     }
     ping.is_some()
 }
 
-fn want(once: bool, until: u64) -> HopSpec<'static> {
+fn spec(unrepeatable: bool, deadline: u64) -> HopSpec<'static> {
     HopSpec {
         importance: 5,
-        unrepeatable: once,
+        unrepeatable,
         size_kb: Some(1.0),
         body_bytes: 0,
-        deadline: at(until),
-        sla_deadline: at(until),
+        deadline: at(deadline),
+        sla_deadline: at(deadline),
         path: &[],
     }
 }
 
-fn ends(all: &[LinkAction]) -> Vec<(u64, HopOutcome)> {
+fn outcomes(all: &[LinkAction]) -> Vec<(u64, HopOutcome)> {
     all.iter()
         .filter_map(|a| {
-            if let LinkAction::Finished { number, outcome: end } = a { Some((*number, *end)) } else { None }
+            if let LinkAction::Finished { number, outcome } = a { Some((*number, *outcome)) } else { None }
         })
         .collect()
 }
@@ -85,358 +85,367 @@
         .collect()
 }
 
-fn asked(all: &[LinkAction]) -> Vec<u64> {
+fn queried(all: &[LinkAction]) -> Vec<u64> {
     let numbers = |a: &LinkAction| {
         if let LinkAction::QueryStatus { numbers, .. } = a { numbers.clone() } else { Vec::new() }
     };
     all.iter().flat_map(numbers).collect()
 }
 
-/// Waits out the time before the next try, and has the first link's connection stand again.
-fn back(near: &mut Initiator, now: u64, ledger: u64) -> Vec<LinkAction> {
-    let all = acts(near, now);
+/// At the time of the next attempt, reconnects the first link.
+fn reconnect(initiator: &mut Initiator, now: u64, ledger: u64) -> Vec<LinkAction> {
+    let all = link_actions(initiator, now);
     assert!(all.contains(&LinkAction::Dial { link: 0 }), "{all:?}");
-    near.connected(at(now), 0, &welcome(ledger));
-    acts(near, now)
+    initiator.connected(at(now), 0, &welcome(ledger));
+    link_actions(initiator, now)
 }
 
 #[test]
-fn a_cut_between_commit_and_answer_is_asked_about_and_the_answer_given_once() {
-    let mut near = near();
-    let book = near.submit(at(100), 0, &want(true, 3_000));
-    assert_eq!(sent(&acts(&mut near, 100)), [book]);
-    near.accepted(at(200), book);
-    near.disconnected(at(210), 0);
-    assert_eq!(ends(&acts(&mut near, 210)), []);
-    assert_eq!(asked(&back(&mut near, 600, 70)), [book]);
-    near.answered(at(700), 0, book, 10.0);
-    // The same once more, as an older connection could still bring it.
-    near.answered(at(701), 0, book, 10.0);
-    assert_eq!(ends(&acts(&mut near, 701)), [(book, HopOutcome::Answered)]);
-    assert_eq!(ends(&acts(&mut near, 4_000)), []);
+fn a_disconnect_between_commit_and_answer_is_queried_and_answered_once() {
+    let mut initiator = initiator();
+    let booking = initiator.submit(at(100), 0, &spec(true, 3_000));
+    assert_eq!(sent(&link_actions(&mut initiator, 100)), [booking]);
+    initiator.accepted(at(200), booking);
+    initiator.disconnected(at(210), 0);
+    assert_eq!(outcomes(&link_actions(&mut initiator, 210)), []);
+    assert_eq!(queried(&reconnect(&mut initiator, 600, 70)), [booking]);
+    initiator.answered(at(700), 0, booking, 10.0);
+    // A duplicate, as an older connection could still deliver it.
+    initiator.answered(at(701), 0, booking, 10.0);
+    assert_eq!(outcomes(&link_actions(&mut initiator, 701)), [(booking, HopOutcome::Answered)]);
+    assert_eq!(outcomes(&link_actions(&mut initiator, 4_000)), []);
 }
 
 #[test]
-fn only_what_was_never_taken_counts_as_not_run() {
-    for (fate, end) in
+fn only_never_accepted_counts_as_not_run() {
+    for (status, outcome) in
         [(TxnStatus::NeverAccepted, HopOutcome::NeverAccepted), (TxnStatus::Unknown, HopOutcome::Lost)]
     {
-        let mut near = near();
-        let book = near.submit(at(100), 0, &want(true, 3_000));
-        acts(&mut near, 100);
-        near.disconnected(at(110), 0);
-        assert_eq!(asked(&back(&mut near, 600, 70)), [book]);
-        near.status_received(at(700), 0, book, fate);
-        assert_eq!(ends(&acts(&mut near, 700)), [(book, end)]);
+        let mut initiator = initiator();
+        let booking = initiator.submit(at(100), 0, &spec(true, 3_000));
+        link_actions(&mut initiator, 100);
+        initiator.disconnected(at(110), 0);
+        assert_eq!(queried(&reconnect(&mut initiator, 600, 70)), [booking]);
+        initiator.status_received(at(700), 0, booking, status);
+        assert_eq!(outcomes(&link_actions(&mut initiator, 700)), [(booking, outcome)]);
     }
-    // One that runs is waited for, by its time at the longest.
-    let mut near = near();
-    let book = near.submit(at(100), 0, &want(true, 3_000));
-    acts(&mut near, 100);
-    near.disconnected(at(110), 0);
-    back(&mut near, 600, 70);
-    near.status_received(at(700), 0, book, TxnStatus::Running);
-    assert_eq!(ends(&acts(&mut near, 2_900)), []);
-    assert_eq!(ends(&acts(&mut near, 3_000)), [(book, HopOutcome::TimedOut)]);
+    // A running hop is waited for until its deadline.
+    let mut initiator = initiator();
+    let booking = initiator.submit(at(100), 0, &spec(true, 3_000));
+    link_actions(&mut initiator, 100);
+    initiator.disconnected(at(110), 0);
+    reconnect(&mut initiator, 600, 70);
+    initiator.status_received(at(700), 0, booking, TxnStatus::Running);
+    assert_eq!(outcomes(&link_actions(&mut initiator, 2_900)), []);
+    assert_eq!(outcomes(&link_actions(&mut initiator, 3_000)), [(booking, HopOutcome::TimedOut)]);
 }
 
 #[test]
-fn a_far_gateway_that_started_anew_without_a_durable_ledger_knows_nothing() {
-    let mut near = near();
-    let book = near.submit(at(100), 0, &want(true, 3_000));
-    acts(&mut near, 100);
-    near.disconnected(at(110), 0);
-    let all = back(&mut near, 600, 71);
-    assert_eq!((asked(&all), ends(&all)), (vec![], vec![(book, HopOutcome::Lost)]));
+fn hops_in_doubt_are_lost_when_the_acceptor_restarts_without_a_durable_ledger() {
+    let mut initiator = initiator();
+    let booking = initiator.submit(at(100), 0, &spec(true, 3_000));
+    link_actions(&mut initiator, 100);
+    initiator.disconnected(at(110), 0);
+    let all = reconnect(&mut initiator, 600, 71);
+    assert_eq!((queried(&all), outcomes(&all)), (vec![], vec![(booking, HopOutcome::Lost)]));
 }
 
 #[test]
-fn another_link_to_the_same_gateway_settles_what_is_in_doubt() {
-    let mut near = near();
-    near.connected(at(100), 1, &welcome(70));
-    let book = near.submit(at(100), 0, &want(true, 3_000));
-    acts(&mut near, 100);
-    near.disconnected(at(110), 0);
-    assert!(acts(&mut near, 110).contains(&LinkAction::QueryStatus {
+fn hops_in_doubt_are_queried_over_another_link_to_the_same_gateway() {
+    let mut initiator = initiator();
+    initiator.connected(at(100), 1, &welcome(70));
+    let booking = initiator.submit(at(100), 0, &spec(true, 3_000));
+    link_actions(&mut initiator, 100);
+    initiator.disconnected(at(110), 0);
+    assert!(link_actions(&mut initiator, 110).contains(&LinkAction::QueryStatus {
         link: 1,
         ledger: 70,
-        numbers: vec![book]
+        numbers: vec![booking]
     }));
-    near.status_received(at(200), 1, book, TxnStatus::NeverAccepted);
-    assert_eq!(ends(&acts(&mut near, 200)), [(book, HopOutcome::NeverAccepted)]);
+    initiator.status_received(at(200), 1, booking, TxnStatus::NeverAccepted);
+    assert_eq!(outcomes(&link_actions(&mut initiator, 200)), [(booking, HopOutcome::NeverAccepted)]);
 }
 
 #[test]
-fn what_may_run_again_is_given_back_at_the_cut_and_what_was_not_whole_is_not_run() {
-    let mut near = near();
-    let (media, book) =
-        (near.submit(at(100), 0, &want(false, 3_000)), near.submit(at(100), 0, &want(true, 3_000)));
-    acts(&mut near, 100);
-    near.send_failed(at(110), book);
-    near.disconnected(at(110), 0);
-    assert_eq!(ends(&acts(&mut near, 110)), [(book, HopOutcome::Down), (media, HopOutcome::Lost)]);
+fn on_disconnect_repeatable_hops_are_lost_and_partly_written_ones_have_not_run() {
+    let mut initiator = initiator();
+    let (read, booking) =
+        (initiator.submit(at(100), 0, &spec(false, 3_000)), initiator.submit(at(100), 0, &spec(true, 3_000)));
+    link_actions(&mut initiator, 100);
+    initiator.send_failed(at(110), booking);
+    initiator.disconnected(at(110), 0);
+    assert_eq!(
+        outcomes(&link_actions(&mut initiator, 110)),
+        [(booking, HopOutcome::Down), (read, HopOutcome::Lost)]
+    );
 }
 
 #[test]
-fn a_silent_link_is_suspected_and_new_txns_are_told_at_once() {
-    let mut near = near();
-    let book = near.submit(at(1_000), 0, &want(true, 9_000));
-    assert_eq!(sent(&acts(&mut near, 1_000)), [book]);
+fn a_silent_link_is_suspected_and_fails_new_txns_at_once() {
+    let mut initiator = initiator();
+    let booking = initiator.submit(at(1_000), 0, &spec(true, 9_000));
+    assert_eq!(sent(&link_actions(&mut initiator, 1_000)), [booking]);
     let mut now = 1_000;
-    // Half-open: what is sent goes out, nothing comes back.
-    while near.link_stats(0).phase == LinkPhase::Up {
+    // Half-open: messages are sent, and nothing comes back.
+    while initiator.link_stats(0).phase == LinkPhase::Up {
         now += 10;
-        acts(&mut near, now);
+        link_actions(&mut initiator, now);
         assert!(now < 2_500, "never suspected");
     }
-    // Round trip of 100 ms, spread 50 ms: three time-outs of 300 ms at the most.
+    // RTT 100 ms, variation 50 ms: at most three time-outs of 300 ms.
     assert!(now <= 1_000 + 910, "{now}");
-    let other = near.submit(at(now), 0, &want(false, 9_000));
-    assert_eq!(ends(&acts(&mut near, now)), [(other, HopOutcome::Down)]);
-    // Dark for long: the connection is given up, and what is in doubt stays so.
+    let other = initiator.submit(at(now), 0, &spec(false, 9_000));
+    assert_eq!(outcomes(&link_actions(&mut initiator, now)), [(other, HopOutcome::Down)]);
+    // Silent for long: the connection is closed, and the hop stays in doubt.
     let mut all = Vec::new();
     for t in now..now + 2_000 {
-        all.extend(acts(&mut near, t));
+        all.extend(link_actions(&mut initiator, t));
     }
-    assert!(all.contains(&LinkAction::Disconnect { link: 0 }) && ends(&all).is_empty());
+    assert!(all.contains(&LinkAction::Disconnect { link: 0 }) && outcomes(&all).is_empty());
 }
 
 #[test]
-fn a_link_that_comes_back_proves_itself_and_returns_in_steps() {
-    let mut near = near();
-    near.disconnected(at(1_000), 0);
-    back(&mut near, 1_500, 70);
-    let refused = near.submit(at(1_500), 0, &want(false, 9_000));
-    assert_eq!(ends(&acts(&mut near, 1_500)), [(refused, HopOutcome::Down)]);
+fn a_reconnected_link_passes_trial_pings_and_regains_credit_in_steps() {
+    let mut initiator = initiator();
+    initiator.disconnected(at(1_000), 0);
+    reconnect(&mut initiator, 1_500, 70);
+    let refused = initiator.submit(at(1_500), 0, &spec(false, 9_000));
+    assert_eq!(outcomes(&link_actions(&mut initiator, 1_500)), [(refused, HopOutcome::Down)]);
     let mut now = 1_500;
     for _ in 0..3 {
-        assert_ne!(near.link_stats(0).phase, LinkPhase::Up);
-        near.poll(at(now));
+        assert_ne!(initiator.link_stats(0).phase, LinkPhase::Up);
+        initiator.poll(at(now));
         let mut pinged = false;
         while !pinged {
-            pinged = pong(&mut near, now, now + 90);
+            pinged = pong(&mut initiator, now, now + 90);
             now += 100;
         }
     }
-    assert_eq!(near.link_stats(0).phase, LinkPhase::Up);
-    let mut last = near.link_stats(0).credit_share;
+    assert_eq!(initiator.link_stats(0).phase, LinkPhase::Up);
+    let mut last = initiator.link_stats(0).credit_share;
     assert!(last <= 0.05);
     for second in 1..20 {
-        pong(&mut near, now + second * 1_000, now + second * 1_000 + 90);
-        let part = near.link_stats(0).credit_share;
-        assert!(part >= last && part - last <= 0.075 + 1e-9, "{last} to {part}");
-        last = part;
+        pong(&mut initiator, now + second * 1_000, now + second * 1_000 + 90);
+        let share = initiator.link_stats(0).credit_share;
+        assert!(share >= last && share - last <= 0.075 + 1e-9, "{last} to {share}");
+        last = share;
     }
     assert!(last > 0.95, "{last}");
 }
 
-/// A host that calls the core whenever it asks for that would do nothing else.
+/// Guards against a busy loop: a host that polls at `next_wake` would poll without pause.
 #[test]
-fn a_link_on_trial_does_not_ask_to_be_called_at_once() {
-    let mut near = near();
+fn next_wake_of_a_link_on_trial_is_in_the_future() {
+    let mut initiator = initiator();
     let mut now = 0;
-    // Owed a sign of life until it is suspected, then one comes in time.
-    while near.link_stats(0).phase == LinkPhase::Up {
+    // No reply until the link is suspected, then one pong in time.
+    while initiator.link_stats(0).phase == LinkPhase::Up {
         now += 10;
-        acts(&mut near, now);
+        link_actions(&mut initiator, now);
     }
-    while !matches!(near.link_stats(0).phase, LinkPhase::Trial(_)) {
+    while !matches!(initiator.link_stats(0).phase, LinkPhase::Trial(_)) {
         now += 10;
-        pong(&mut near, now, now + 5);
-        assert!(now < 60_000, "{:?}", near.link_stats(0));
+        pong(&mut initiator, now, now + 5);
+        assert!(now < 60_000, "{:?}", initiator.link_stats(0));
     }
     now += 3_000;
-    near.peer_active(at(now), 0);
-    acts(&mut near, now);
-    assert!(matches!(near.link_stats(0).phase, LinkPhase::Trial(_)), "{:?}", near.link_stats(0));
-    assert!(near.next_wake() > at(now), "{:?}", near.next_wake());
+    initiator.peer_active(at(now), 0);
+    link_actions(&mut initiator, now);
+    assert!(matches!(initiator.link_stats(0).phase, LinkPhase::Trial(_)), "{:?}", initiator.link_stats(0));
+    assert!(initiator.next_wake() > at(now), "{:?}", initiator.next_wake());
 }
 
 #[test]
-fn gateways_do_not_come_back_at_one_moment() {
-    let first_try = |seed| {
-        let mut near = Initiator::new(&settings("east", "west", false), seed, at(0));
-        acts(&mut near, 0);
-        near.disconnected(at(0), 0);
-        (0..10_000).find(|&t| acts(&mut near, t).contains(&LinkAction::Dial { link: 0 })).unwrap()
+fn reconnects_are_jittered() {
+    let first_attempt = |seed| {
+        let mut initiator = Initiator::new(&settings("east", "west", false), seed, at(0));
+        link_actions(&mut initiator, 0);
+        initiator.disconnected(at(0), 0);
+        (0..10_000)
+            .find(|&t| link_actions(&mut initiator, t).contains(&LinkAction::Dial { link: 0 }))
+            .unwrap()
     };
-    let mut tries: Vec<u64> = (0..40).map(first_try).collect();
-    tries.sort_unstable();
-    tries.dedup();
-    assert!(tries.len() > 20 && tries[0] >= 50 && tries[tries.len() - 1] <= 101, "{tries:?}");
+    let mut attempts: Vec<u64> = (0..40).map(first_attempt).collect();
+    attempts.sort_unstable();
+    attempts.dedup();
+    assert!(attempts.len() > 20 && attempts[0] >= 50 && attempts[attempts.len() - 1] <= 101, "{attempts:?}");
 }
 
 #[test]
-fn a_far_end_that_answers_signs_of_life_and_no_txn_costs_its_hops_their_time_only() {
-    let mut near = near();
-    let media = near.submit(at(200), 0, &want(false, 1_200));
-    acts(&mut near, 200);
+fn an_acceptor_that_answers_pings_but_no_txns_only_times_out_its_hops() {
+    let mut initiator = initiator();
+    let read = initiator.submit(at(200), 0, &spec(false, 1_200));
+    link_actions(&mut initiator, 200);
     let mut all = Vec::new();
     for t in (200..1_300).step_by(20) {
-        let now = acts(&mut near, t);
+        let now = link_actions(&mut initiator, t);
         for act in &now {
             if let LinkAction::Ping { link: 0, number } = act {
-                near.pong_received(at(t), 0, *number, 64, false);
+                initiator.pong_received(at(t), 0, *number, 64, false);
             }
         }
         all.extend(now);
     }
-    assert_eq!((ends(&all), near.link_stats(0).phase), (vec![(media, HopOutcome::TimedOut)], LinkPhase::Up));
+    assert_eq!(
+        (outcomes(&all), initiator.link_stats(0).phase),
+        (vec![(read, HopOutcome::TimedOut)], LinkPhase::Up)
+    );
     assert!(
-        all.contains(&LinkAction::Cancel { link: 0, number: media }) && near.link_stats(0).in_flight == 0
+        all.contains(&LinkAction::Cancel { link: 0, number: read }) && initiator.link_stats(0).in_flight == 0
     );
 }
 
 #[test]
-fn a_book_goes_before_fifty_megabytes_that_wait() {
-    let mut near = near();
+fn an_important_hop_overtakes_fifty_queued_megabytes() {
+    let mut initiator = initiator();
     for _ in 0..200 {
-        near.submit(
+        initiator.submit(
             at(100),
             0,
-            &HopSpec { size_kb: Some(250_000.0 / 1_024.0), importance: 2, ..want(false, 60_000) },
+            &HopSpec { size_kb: Some(250_000.0 / 1_024.0), importance: 2, ..spec(false, 60_000) },
         );
     }
-    let before = sent(&acts(&mut near, 100));
+    let before = sent(&link_actions(&mut initiator, 100));
     assert!((1..10).contains(&before.len()), "{}", before.len());
-    let book = near.submit(at(110), 0, &HopSpec { importance: 9, ..want(true, 3_000) });
-    near.answered(at(300), 0, before[0], 250_000.0);
-    let next = sent(&acts(&mut near, 300));
-    assert_eq!(next.first(), Some(&book));
+    let booking = initiator.submit(at(110), 0, &HopSpec { importance: 9, ..spec(true, 3_000) });
+    initiator.answered(at(300), 0, before[0], 250_000.0);
+    let next = sent(&link_actions(&mut initiator, 300));
+    assert_eq!(next.first(), Some(&booking));
 }
 
 #[test]
-fn what_cannot_cross_in_its_time_is_told_at_once_and_never_sent() {
-    let mut near = near();
-    // A link of 1 MB/s that is always asked for more than it carries: 100 KB arrive each 100 ms.
+fn a_hop_that_cannot_meet_its_deadline_fails_at_once_and_is_never_sent() {
+    let mut initiator = initiator();
+    // A link of 1 MB/s that is always offered more than its capacity: 100 KB arrive each 100 ms.
     let mut now = 200;
-    let (mut out, mut told) = (VecDeque::new(), Vec::new());
-    let large = |now, limit| HopSpec { size_kb: Some(100_000.0 / 1_024.0), ..want(false, now + limit) };
+    let (mut in_flight, mut reported) = (VecDeque::new(), Vec::new());
+    let large = |now, limit| HopSpec { size_kb: Some(100_000.0 / 1_024.0), ..spec(false, now + limit) };
     for _ in 0..60 {
         for _ in 0..3 {
-            near.submit(at(now), 0, &large(now, 60_000));
+            initiator.submit(at(now), 0, &large(now, 60_000));
         }
-        let all = acts(&mut near, now);
-        out.extend(sent(&all));
+        let all = link_actions(&mut initiator, now);
+        in_flight.extend(sent(&all));
         now += 100;
-        near.answered(at(now), 0, out.pop_front().unwrap(), 100_000.0);
+        initiator.answered(at(now), 0, in_flight.pop_front().unwrap(), 100_000.0);
     }
-    // What is out and waits already takes seconds: one for less time is told off at once, one for more is not.
+    // The bytes in flight and queued already take seconds: a hop with less time fails at once, one with
+    // more does not.
     let (short, long) =
-        (near.submit(at(now), 0, &large(now, 2_000)), near.submit(at(now), 0, &large(now, 60_000)));
-    let all = acts(&mut near, now);
-    told.extend(ends(&all));
-    assert!(told.contains(&(short, HopOutcome::Full)) && !sent(&all).contains(&short));
-    assert!(told.iter().all(|(number, _)| *number != long));
-    // What matters more goes before what waits, and is not told off for it.
-    let book = near.submit(at(now), 0, &HopSpec { importance: 9, ..want(true, now + 3_000) });
-    let mut all = acts(&mut near, now);
-    near.answered(at(now + 50), 0, out.pop_front().unwrap(), 100_000.0);
-    all.extend(acts(&mut near, now + 50));
-    assert!(sent(&all).contains(&book) && ends(&all).iter().all(|e| e.0 != book));
+        (initiator.submit(at(now), 0, &large(now, 2_000)), initiator.submit(at(now), 0, &large(now, 60_000)));
+    let all = link_actions(&mut initiator, now);
+    reported.extend(outcomes(&all));
+    assert!(reported.contains(&(short, HopOutcome::Full)) && !sent(&all).contains(&short));
+    assert!(reported.iter().all(|(number, _)| *number != long));
+    // A more important hop goes ahead of the queue, and does not fail.
+    let booking = initiator.submit(at(now), 0, &HopSpec { importance: 9, ..spec(true, now + 3_000) });
+    let mut all = link_actions(&mut initiator, now);
+    initiator.answered(at(now + 50), 0, in_flight.pop_front().unwrap(), 100_000.0);
+    all.extend(link_actions(&mut initiator, now + 50));
+    assert!(sent(&all).contains(&booking) && outcomes(&all).iter().all(|e| e.0 != booking));
 }
 
 #[test]
-fn what_never_could_be_in_time_waits_for_one_sla_time_at_the_most() {
-    let mut near = near();
-    // Round trips of 100 ms, wanted within 50: its client waits for a minute, the queue is full of such.
+fn a_hop_that_never_could_meet_its_sla_waits_one_sla_time_at_most() {
+    let mut initiator = initiator();
+    // RTT 100 ms, SLA time 50 ms, client time limit one minute; the queue is full of such hops.
     let slow =
-        |now: u64| HopSpec { size_kb: Some(200.0), sla_deadline: at(now + 50), ..want(false, now + 60_000) };
-    let all: Vec<u64> = (0..20).map(|_| near.submit(at(200), 0, &slow(200))).collect();
-    let out = sent(&acts(&mut near, 200));
-    assert!(!out.is_empty() && out.len() < all.len());
-    let told = ends(&acts(&mut near, 251));
-    assert_eq!(told.len() + out.len(), all.len());
-    assert!(told.iter().all(|(_, end)| *end == HopOutcome::Full));
+        |now: u64| HopSpec { size_kb: Some(200.0), sla_deadline: at(now + 50), ..spec(false, now + 60_000) };
+    let all: Vec<u64> = (0..20).map(|_| initiator.submit(at(200), 0, &slow(200))).collect();
+    let in_flight = sent(&link_actions(&mut initiator, 200));
+    assert!(!in_flight.is_empty() && in_flight.len() < all.len());
+    let reported = outcomes(&link_actions(&mut initiator, 251));
+    assert_eq!(reported.len() + in_flight.len(), all.len());
+    assert!(reported.iter().all(|(_, outcome)| *outcome == HopOutcome::Full));
 }
 
 #[test]
-fn the_far_end_is_told_what_time_is_left_and_no_time_of_day() {
-    // An hour apart, nothing differs: only spans cross.
+fn requests_carry_a_time_budget_and_no_wall_clock_time() {
+    // An hour of clock skew makes no difference: only spans are sent.
     for skew in [0, 3_600_000] {
-        let mut near = Initiator::new(&settings("east", "west", false), 7, at(skew));
-        acts(&mut near, skew);
-        near.connected(at(skew), 0, &welcome(70));
-        pong(&mut near, skew, skew + 100);
-        near.submit(at(skew + 200), 0, &want(true, skew + 2_200));
-        let left = acts(&mut near, skew + 200).into_iter().find_map(|a| match a {
-            LinkAction::Send { time_left: left, .. } => Some(left),
+        let mut initiator = Initiator::new(&settings("east", "west", false), 7, at(skew));
+        link_actions(&mut initiator, skew);
+        initiator.connected(at(skew), 0, &welcome(70));
+        pong(&mut initiator, skew, skew + 100);
+        initiator.submit(at(skew + 200), 0, &spec(true, skew + 2_200));
+        let time_left = link_actions(&mut initiator, skew + 200).into_iter().find_map(|a| match a {
+            LinkAction::Send { time_left, .. } => Some(time_left),
             _ => None,
         });
-        // Two seconds less a careful round trip.
-        assert_eq!(left, Some(ms(1_700)));
+        // Two seconds less one RTT time-out.
+        assert_eq!(time_left, Some(ms(1_700)));
     }
 }
 
 #[test]
-fn a_txn_does_not_go_where_it_has_been() {
-    let mut near = near();
+fn a_txn_is_not_sent_to_a_site_it_has_crossed() {
+    let mut initiator = initiator();
     let path = ["west".to_owned()];
-    let number = near.submit(at(100), 0, &HopSpec { path: &path, ..want(false, 3_000) });
-    assert_eq!(ends(&acts(&mut near, 100)), [(number, HopOutcome::Loop)]);
+    let number = initiator.submit(at(100), 0, &HopSpec { path: &path, ..spec(false, 3_000) });
+    assert_eq!(outcomes(&link_actions(&mut initiator, 100)), [(number, HopOutcome::Loop)]);
     let path = ["north".to_owned(), "south".to_owned()];
-    let number = near.submit(at(100), 0, &HopSpec { path: &path, ..want(false, 3_000) });
-    assert_eq!(ends(&acts(&mut near, 100)), [(number, HopOutcome::Loop)]);
+    let number = initiator.submit(at(100), 0, &HopSpec { path: &path, ..spec(false, 3_000) });
+    assert_eq!(outcomes(&link_actions(&mut initiator, 100)), [(number, HopOutcome::Loop)]);
 }
 
 #[test]
-fn one_that_leaves_gets_nothing_new_and_what_waits_is_told() {
-    let mut near = near();
-    let out = near.submit(at(100), 0, &want(true, 3_000));
-    acts(&mut near, 100);
-    near.peer_leaving(at(110), 0);
-    let new = near.submit(at(120), 0, &want(true, 3_000));
-    assert_eq!(ends(&acts(&mut near, 120)), [(new, HopOutcome::Down)]);
-    near.answered(at(200), 0, out, 10.0);
-    assert_eq!(ends(&acts(&mut near, 200)), [(out, HopOutcome::Answered)]);
-}
-
-/// A far end with sessions 1 and 2 of the same gateway's run.
-struct World {
-    far: Acceptor,
+fn a_leaving_acceptor_gets_no_new_hops_and_answers_those_in_flight() {
+    let mut initiator = initiator();
+    let in_flight = initiator.submit(at(100), 0, &spec(true, 3_000));
+    link_actions(&mut initiator, 100);
+    initiator.peer_leaving(at(110), 0);
+    let new = initiator.submit(at(120), 0, &spec(true, 3_000));
+    assert_eq!(outcomes(&link_actions(&mut initiator, 120)), [(new, HopOutcome::Down)]);
+    initiator.answered(at(200), 0, in_flight, 10.0);
+    assert_eq!(outcomes(&link_actions(&mut initiator, 200)), [(in_flight, HopOutcome::Answered)]);
+}
+
+/// An acceptor with sessions 1 and 2 of the same sender run.
+struct Harness {
+    acceptor: Acceptor,
     calls: Vec<(Call, u64)>,
 }
 
-fn far(durable: bool) -> World {
-    let mut far = Acceptor::new(&settings("west", "east", durable), at(0));
+fn acceptor(durable: bool) -> Harness {
+    let mut acceptor = Acceptor::new(&settings("west", "east", durable), at(0));
     for session in [1, 2] {
-        far.hello(at(0), session, &hello(), true);
+        acceptor.hello(at(0), session, &hello(), true);
     }
-    World { far, calls: Vec::new() }
+    Harness { acceptor, calls: Vec::new() }
 }
 
 fn hello() -> Hello {
     Hello { version: VERSION, site: "east".to_owned(), gateway: "e1".to_owned(), run_id: 5, next_number: 1 }
 }
 
-impl World {
+impl Harness {
     fn request(&mut self, now: u64, session: u64, number: u64) -> Vec<SessionAction> {
         self.request_by(now, session, number, &["east".to_owned()])
     }
 
     fn request_by(&mut self, now: u64, session: u64, number: u64, path: &[String]) -> Vec<SessionAction> {
-        let call = self.far.request(
+        let call = self.acceptor.request(
             at(now),
             session,
             &RequestMeta { number, unrepeatable: true, importance: 5, path },
         );
         self.calls.extend(call.map(|call| (call, number)));
-        self.does(now)
+        self.actions(now)
     }
 
-    fn does(&mut self, now: u64) -> Vec<SessionAction> {
-        std::iter::from_fn(|| self.far.poll(at(now))).collect()
+    fn actions(&mut self, now: u64) -> Vec<SessionAction> {
+        std::iter::from_fn(|| self.acceptor.poll(at(now))).collect()
     }
 
-    fn ask(&mut self, now: u64, session: u64, number: u64) -> Vec<SessionAction> {
-        self.far.query_status(at(now), session, 0, &[number]);
-        self.does(now)
+    fn query(&mut self, now: u64, session: u64, number: u64) -> Vec<SessionAction> {
+        self.acceptor.query_status(at(now), session, 0, &[number]);
+        self.actions(now)
     }
 
-    fn end(&mut self, now: u64, number: u64, body: &[u8]) -> Option<(u64, u64)> {
+    fn finish(&mut self, now: u64, number: u64, body: &[u8]) -> Option<(u64, u64)> {
         let at_call = self.calls.iter().position(|c| c.1 == number).unwrap();
         let (call, _) = self.calls.remove(at_call);
-        self.far.finished(at(now), call, &answer(body))
+        self.acceptor.finished(at(now), call, &answer(body))
     }
 }
 
@@ -449,178 +458,181 @@
 }
 
 #[test]
-fn a_request_that_an_old_connection_brings_late_does_not_run_once_it_was_called_never_taken() {
-    let mut world = far(false);
-    world.does(0);
-    let said = world.ask(10, 2, 9);
-    assert_eq!(said, [SessionAction::SendStatus { session: 2, number: 9, status: TxnStatus::NeverAccepted }]);
-    let late = world.request(20, 1, 9);
+fn a_late_request_does_not_run_after_it_was_reported_never_accepted() {
+    let mut harness = acceptor(false);
+    harness.actions(0);
+    let replies = harness.query(10, 2, 9);
+    assert_eq!(
+        replies,
+        [SessionAction::SendStatus { session: 2, number: 9, status: TxnStatus::NeverAccepted }]
+    );
+    let late = harness.request(20, 1, 9);
     assert_eq!(late, [SessionAction::RefuseHop { session: 1, number: 9, reason: RefusalReason::Fenced }]);
 }
 
 #[test]
-fn what_was_told_off_stays_so_when_it_comes_again() {
-    let mut world = far(false);
-    world.does(0);
-    // Two sessions: each may have two here.
-    assert_eq!((runs(&world.request(1, 1, 1)), runs(&world.request(1, 1, 2))), (1, 1));
+fn a_refused_request_stays_refused_when_repeated() {
+    let mut harness = acceptor(false);
+    harness.actions(0);
+    // Each of the two sessions has a credit of two.
+    assert_eq!((runs(&harness.request(1, 1, 1)), runs(&harness.request(1, 1, 2))), (1, 1));
     assert_eq!(
-        world.request(1, 1, 3),
+        harness.request(1, 1, 3),
         [SessionAction::RefuseHop { session: 1, number: 3, reason: RefusalReason::Full }]
     );
-    world.end(2, 1, b"done");
+    harness.finish(2, 1, b"done");
     assert_eq!(
-        world.request(3, 1, 3),
+        harness.request(3, 1, 3),
         [SessionAction::RefuseHop { session: 1, number: 3, reason: RefusalReason::Fenced }]
     );
-    assert_eq!(runs(&world.request(3, 1, 4)), 1);
+    assert_eq!(runs(&harness.request(3, 1, 4)), 1);
 }
 
 #[test]
-fn what_has_run_is_never_told_off_as_not_run_when_it_comes_again() {
-    let mut world = far(false);
-    world.does(0);
-    world.request(1, 1, 1);
-    world.end(2, 1, b"done");
-    // No room is left, and then it leaves: the second coming is still answered by what became of the first.
-    assert_eq!((runs(&world.request(3, 1, 2)), runs(&world.request(3, 1, 3))), (1, 1));
-    let told = |session| [SessionAction::SendAnswer { session, number: 1, answer: answer(b"done") }];
-    assert_eq!(world.request(4, 1, 1), told(1));
-    world.far.stop();
-    world.does(5);
-    assert_eq!(world.request(6, 1, 1), told(1));
+fn a_finished_request_is_never_refused_as_not_run_when_repeated() {
+    let mut harness = acceptor(false);
+    harness.actions(0);
+    harness.request(1, 1, 1);
+    harness.finish(2, 1, b"done");
+    // Out of room and later leaving: the duplicate still gets the outcome of the first.
+    assert_eq!((runs(&harness.request(3, 1, 2)), runs(&harness.request(3, 1, 3))), (1, 1));
+    let reported = |session| [SessionAction::SendAnswer { session, number: 1, answer: answer(b"done") }];
+    assert_eq!(harness.request(4, 1, 1), reported(1));
+    harness.acceptor.stop();
+    harness.actions(5);
+    assert_eq!(harness.request(6, 1, 1), reported(1));
 }
 
 #[test]
-fn a_resumed_session_gets_the_answer_while_the_old_one_still_stands() {
-    let mut world = far(false);
-    world.does(0);
-    assert_eq!(runs(&world.request(1, 1, 1)), 1);
+fn a_resumed_session_gets_the_answer_while_the_old_one_is_open() {
+    let mut harness = acceptor(false);
+    harness.actions(0);
+    assert_eq!(runs(&harness.request(1, 1, 1)), 1);
     assert_eq!(
-        world.ask(5, 2, 1),
+        harness.query(5, 2, 1),
         [SessionAction::SendStatus { session: 2, number: 1, status: TxnStatus::Running }]
     );
-    // Once more by either connection: it joins.
-    assert_eq!(world.request(6, 1, 1), [SessionAction::AlreadyRunning { session: 1, number: 1 }]);
-    world.ask(7, 2, 1);
-    assert_eq!(world.end(9, 1, b"done"), Some((2, 1)));
-    let told = SessionAction::SendAnswer { session: 2, number: 1, answer: answer(b"done") };
-    assert_eq!(world.ask(10, 2, 1), [told]);
+    // A duplicate over either connection joins the running txn.
+    assert_eq!(harness.request(6, 1, 1), [SessionAction::AlreadyRunning { session: 1, number: 1 }]);
+    harness.query(7, 2, 1);
+    assert_eq!(harness.finish(9, 1, b"done"), Some((2, 1)));
+    let reported = SessionAction::SendAnswer { session: 2, number: 1, answer: answer(b"done") };
+    assert_eq!(harness.query(10, 2, 1), [reported]);
 }
 
 #[test]
-fn a_cut_gives_up_what_may_run_again_and_lets_the_rest_run_to_its_end() {
-    let mut world = far(false);
-    world.does(0);
-    world.request(1, 1, 1);
+fn a_disconnect_cancels_repeatable_txns_and_lets_unrepeatable_ones_finish() {
+    let mut harness = acceptor(false);
+    harness.actions(0);
+    harness.request(1, 1, 1);
     let path = ["east".to_owned()];
-    let media = world
-        .far
+    let read = harness
+        .acceptor
         .request(at(1), 1, &RequestMeta { number: 2, unrepeatable: false, importance: 5, path: &path })
         .unwrap();
-    world.does(1);
-    world.far.disconnected(1);
-    assert_eq!(world.does(2), [SessionAction::Cancel { call: media }]);
-    assert_eq!(world.end(5, 1, b"done"), None);
+    harness.actions(1);
+    harness.acceptor.disconnected(1);
+    assert_eq!(harness.actions(2), [SessionAction::Cancel { call: read }]);
+    assert_eq!(harness.finish(5, 1, b"done"), None);
     assert_eq!(
-        world.ask(6, 2, 1),
+        harness.query(6, 2, 1),
         [SessionAction::SendAnswer { session: 2, number: 1, answer: answer(b"done") }]
     );
 }
 
 #[test]
-fn nothing_runs_before_the_disk_has_it_nor_if_it_was_given_up_till_then() {
-    let mut world = far(true);
-    let first = world.does(0);
+fn nothing_runs_before_it_is_on_disk_or_if_it_was_cancelled_by_then() {
+    let mut harness = acceptor(true);
+    let first = harness.actions(0);
     assert!(matches!(&first[0], SessionAction::Persist { seq: 1, .. }));
-    let all = world.request(1, 1, 1);
+    let all = harness.request(1, 1, 1);
     let key = Key { sender: 5, number: 1 };
     assert_eq!(all, [SessionAction::Persist { seq: 2, changes: vec![Change::Accepted(key)] }]);
-    world.request(1, 1, 2);
-    world.far.cancelled(1, 2);
-    world.far.persisted(at(2), 1);
-    assert_eq!(world.does(2), []);
-    world.far.persisted(at(3), 3);
-    let all = world.does(3);
+    harness.request(1, 1, 2);
+    harness.acceptor.cancelled(1, 2);
+    harness.acceptor.persisted(at(2), 1);
+    assert_eq!(harness.actions(2), []);
+    harness.acceptor.persisted(at(3), 3);
+    let all = harness.actions(3);
     assert_eq!(runs(&all), 1, "{all:?}");
-    // The disk fails: what waits for it is told off, and has not run.
-    world.request(4, 2, 3);
-    world.far.persist_failed(at(5), 9);
-    let all = world.does(5);
-    let told = |d: &SessionAction| matches!(d, SessionAction::SendAnswer { number: 3, answer, .. } if matches!(answer.outcome, TxnOutcome::Rejected { .. }));
-    assert!(runs(&all) == 0 && all.iter().any(told), "{all:?}");
+    // The disk fails: the call that waits for it is rejected and has not run.
+    harness.request(4, 2, 3);
+    harness.acceptor.persist_failed(at(5), 9);
+    let all = harness.actions(5);
+    let reported = |d: &SessionAction| matches!(d, SessionAction::SendAnswer { number: 3, answer, .. } if matches!(answer.outcome, TxnOutcome::Rejected { .. }));
+    assert!(runs(&all) == 0 && all.iter().any(reported), "{all:?}");
 }
 
 #[test]
-fn after_a_restart_the_disk_tells_what_was_taken_and_what_never_was() {
-    let mut world = far(true);
+fn after_a_restart_the_ledger_on_disk_tells_accepted_from_never_accepted() {
+    let mut harness = acceptor(true);
     let (lost, ended) = (Key { sender: 5, number: 7 }, Key { sender: 5, number: 8 });
     let floors = [Key { sender: 5, number: 4 }];
-    let taken = [(lost, None), (ended, Some(Answer::clone(&answer(b"done"))))];
-    world.far = Acceptor::new(&settings("west", "east", true), at(0));
-    world.far.recover(at(0), &floors, &taken);
-    world.far.hello(at(0), 1, &Hello { next_number: 10, ..hello() }, true);
-    world.does(0);
-    let say = |number, fate| SessionAction::SendStatus { session: 1, number, status: fate };
-    assert_eq!(world.ask(1, 1, 7), [say(7, TxnStatus::Unknown)]);
+    let accepted = [(lost, None), (ended, Some(Answer::clone(&answer(b"done"))))];
+    harness.acceptor = Acceptor::new(&settings("west", "east", true), at(0));
+    harness.acceptor.recover(at(0), &floors, &accepted);
+    harness.acceptor.hello(at(0), 1, &Hello { next_number: 10, ..hello() }, true);
+    harness.actions(0);
+    let status_reply = |number, status| SessionAction::SendStatus { session: 1, number, status };
+    assert_eq!(harness.query(1, 1, 7), [status_reply(7, TxnStatus::Unknown)]);
     assert_eq!(
-        world.ask(1, 1, 8),
+        harness.query(1, 1, 8),
         [SessionAction::SendAnswer { session: 1, number: 8, answer: answer(b"done") }]
     );
-    assert_eq!(world.ask(1, 1, 9), [say(9, TxnStatus::NeverAccepted)]);
-    // Let go of before the restart: not never taken.
-    assert_eq!(world.ask(1, 1, 3), [say(3, TxnStatus::Unknown)]);
+    assert_eq!(harness.query(1, 1, 9), [status_reply(9, TxnStatus::NeverAccepted)]);
+    // Evicted before the restart, so not never accepted.
+    assert_eq!(harness.query(1, 1, 3), [status_reply(3, TxnStatus::Unknown)]);
 }
 
 #[test]
-fn a_peer_of_another_version_site_or_certificate_is_turned_away() {
-    let mut world = far(false);
-    world.does(0);
-    let why = |world: &mut World, session: u64, hello: &Hello, proven: bool| {
-        world.far.hello(at(1), session, hello, proven);
-        match world.does(1).pop() {
-            Some(SessionAction::RefuseSession { reason: why, .. }) => why,
+fn a_peer_with_another_version_site_or_certificate_is_refused() {
+    let mut harness = acceptor(false);
+    harness.actions(0);
+    let reason = |harness: &mut Harness, session: u64, hello: &Hello, proven: bool| {
+        harness.acceptor.hello(at(1), session, hello, proven);
+        match harness.actions(1).pop() {
+            Some(SessionAction::RefuseSession { reason, .. }) => reason,
             other => panic!("{other:?}"),
         }
     };
     let old = Hello { version: VERSION + 1, ..hello() };
-    assert_eq!(why(&mut world, 3, &old, true), "protocol version 1 is required, got 2");
-    assert!(why(&mut world, 3, &hello(), false).contains("certificate"));
+    assert_eq!(reason(&mut harness, 3, &old, true), "protocol version 1 is required, got 2");
+    assert!(reason(&mut harness, 3, &hello(), false).contains("certificate"));
     let stranger = Hello { site: "north".to_owned(), ..hello() };
-    assert!(why(&mut world, 3, &stranger, true).contains("the site is not in `accept`"));
-    assert!(why(&mut world, 1, &hello(), true).contains("second hello"));
+    assert!(reason(&mut harness, 3, &stranger, true).contains("the site is not in `accept`"));
+    assert!(reason(&mut harness, 1, &hello(), true).contains("second hello"));
 }
 
 #[test]
-fn two_sites_that_name_each_other_do_not_pass_a_txn_back_and_forth() {
-    let mut world = far(false);
-    world.does(0);
-    let turned = |number| [SessionAction::RefuseHop { session: 1, number, reason: RefusalReason::Loop }];
+fn routing_loops_between_sites_are_refused() {
+    let mut harness = acceptor(false);
+    harness.actions(0);
+    let refused = |number| [SessionAction::RefuseHop { session: 1, number, reason: RefusalReason::Loop }];
     let paths = [
         vec!["west".to_owned(), "east".to_owned()],
         vec!["a".to_owned(), "b".to_owned(), "east".to_owned()],
         vec!["north".to_owned()],
     ];
     for (number, path) in (1..).zip(paths) {
-        assert_eq!(world.request_by(1, 1, number, &path), turned(number), "{path:?}");
+        assert_eq!(harness.request_by(1, 1, number, &path), refused(number), "{path:?}");
     }
 }
 
 #[test]
-fn a_far_end_told_to_stop_takes_no_more_and_answers_what_it_has() {
-    let mut world = far(false);
-    world.does(0);
-    world.request(1, 1, 1);
-    world.far.stop();
+fn a_stopped_acceptor_refuses_new_requests_and_answers_running_ones() {
+    let mut harness = acceptor(false);
+    harness.actions(0);
+    harness.request(1, 1, 1);
+    harness.acceptor.stop();
     assert_eq!(
-        world.does(2),
+        harness.actions(2),
         [SessionAction::AnnounceLeaving { session: 1 }, SessionAction::AnnounceLeaving { session: 2 }]
     );
     assert_eq!(
-        world.request(3, 1, 2),
+        harness.request(3, 1, 2),
         [SessionAction::RefuseHop { session: 1, number: 2, reason: RefusalReason::Leaving }]
     );
-    assert_eq!(world.end(4, 1, b"done"), Some((1, 1)));
+    assert_eq!(harness.finish(4, 1, b"done"), Some((1, 1)));
 }
 
 fn small() -> Ledger {
@@ -635,19 +647,19 @@
 }
 
 #[test]
-fn a_full_ledger_takes_no_more_until_its_old_entries_may_go() {
+fn a_full_ledger_accepts_nothing_until_old_entries_expire() {
     let mut ledger = small();
     assert_eq!(
         (ledger.accept(at(0), key(1)), ledger.accept(at(0), key(2))),
         (Admission::New, Admission::New)
     );
     assert_eq!(ledger.accept(at(0), key(3)), Admission::Full);
-    // It can't be fenced without room: it is not called never taken.
+    // Without room it can't be fenced, so it is not called never accepted.
     assert_eq!(ledger.lookup(at(0), key(3)), Lookup::Unknown);
     ledger.finish(at(10), key(1), &answer(b"one"));
     assert_eq!(ledger.accept(at(500), key(3)), Admission::Full);
     assert_eq!(ledger.accept(at(1_010), key(4)), Admission::New);
-    // What went is not known any more, and the floor is told before what it covers is dropped.
+    // The evicted number is unknown, and the floor is recorded before the entry that it covers is dropped.
     assert_eq!(ledger.lookup(at(1_010), key(1)), Lookup::Unknown);
     let changes = ledger.changes();
     let tail = [Change::Floor(key(2)), Change::Dropped(key(1)), Change::Accepted(key(4))];
@@ -655,7 +667,7 @@
 }
 
 #[test]
-fn answers_beyond_the_bytes_are_let_go_oldest_first() {
+fn answers_over_the_byte_bound_are_evicted_oldest_first() {
     let mut ledger = small();
     for number in [1, 2] {
         ledger.accept(at(0), key(number));
@@ -666,7 +678,7 @@
 }
 
 #[test]
-fn a_sender_that_is_not_remembered_is_not_told_that_anything_was_never_taken() {
+fn an_evicted_sender_gets_no_never_accepted() {
     let mut ledger = small();
     ledger.accept(at(0), key(1));
     assert!(!ledger.register(at(10), 6, 1), "one that runs here makes room for another");
@@ -674,7 +686,7 @@
     assert!(ledger.register(at(1_100), 6, 1));
     assert_eq!(ledger.lookup(at(1_100), key(1)), Lookup::Unknown);
     assert_eq!(ledger.accept(at(1_100), key(2)), Admission::Forgotten);
-    // It comes back: what it sent before that stays unknown.
+    // The sender returns: what it sent before stays unknown.
     assert!(ledger.register(at(2_200), 5, 2));
     assert_eq!(ledger.lookup(at(2_200), key(1)), Lookup::Unknown);
     assert_eq!(ledger.lookup(at(2_200), key(2)), Lookup::NeverAccepted);
--- a/sites/tests/model.rs
+++ b/sites/tests/model.rs
@@ -1,9 +1,11 @@
-//! The core of both ends against a plain reference, in simulated time: near and far gateways, connections that lose,
-//! reorder, repeat and hold back what they carry, break at either end first, and processes that are killed between
-//! any two steps. After every step: nothing ran twice, nothing that was called not run has run or runs later, each
-//! hop ended once and in time, what was told of it is so, and all tables keep their bounds.
+//! Model test of both cores in simulated time against a plain reference: initiators and acceptors;
+//! connections that lose, reorder, duplicate and delay messages and break at either end first; processes
+//! that are killed between any two steps.
 //!
-//! `KELPCART_RUNS` sets how many runs of 3,000 steps there are.
+//! Checked after every step: nothing ran twice, nothing reported as not run has run or runs later, each hop
+//! finished once and in time, its outcome is true, and all tables keep their bounds.
+//!
+//! `KELPCART_RUNS` sets the number of runs of 3,000 steps.
 
 use kelpcart::{Span, Time};
 use kelpcart_sites::acceptor::{Acceptor, Call, RefusalReason, RequestMeta, SessionAction};
@@ -16,70 +18,70 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-const NEARS: usize = 2;
-const FARS: usize = 2;
+const INITIATORS: usize = 2;
+const ACCEPTORS: usize = 2;
 const ENTRIES: usize = 14;
 const QUEUE: usize = 6;
 
 #[derive(Clone, Debug)]
 enum Msg {
-    Request { number: u64, once: bool, path: Vec<String> },
-    Ask(Vec<u64>),
+    Request { number: u64, unrepeatable: bool, path: Vec<String> },
+    StatusQuery(Vec<u64>),
     Settle(u64),
-    GiveUp(u64),
+    Cancel(u64),
     Ping(u64),
     Welcome { ledger: u64, credit: u32, leaving: bool },
-    Taken(u64),
+    Accepted(u64),
     Answer { number: u64, body: Vec<u8>, served: bool },
-    Turned { number: u64, why: RefusalReason },
-    Found { number: u64, fate: TxnStatus },
+    Refused { number: u64, reason: RefusalReason },
+    StatusReply { number: u64, status: TxnStatus },
     Pong { number: u64, credit: u32, leaving: bool },
     Leaving,
 }
 
-/// A connection: what is on its way each way, and whether each end still has it.
-struct Conn {
-    near: usize,
+/// A connection: the messages in flight in each direction, and whether each end still has it open.
+struct Connection {
+    initiator: usize,
     run: u64,
-    far: usize,
-    far_run: u64,
-    there: Vec<Msg>,
-    back: Vec<Msg>,
-    near_has: bool,
-    far_has: bool,
-    /// Nothing moves that way.
-    dark: [bool; 2],
+    acceptor: usize,
+    acceptor_run: u64,
+    to_acceptor: Vec<Msg>,
+    to_initiator: Vec<Msg>,
+    initiator_open: bool,
+    acceptor_open: bool,
+    /// Whether each direction is blocked.
+    blocked: [bool; 2],
 }
 
-struct NearEnd {
+struct InitiatorEnd {
     core: Initiator,
     run: u64,
-    conn: Vec<Option<u64>>,
+    connection: Vec<Option<u64>>,
 }
 
-/// What a disk holds: what was brought there, in order.
+/// Changes applied to a disk, in order.
 #[derive(Default)]
 struct Disk {
     floors: BTreeMap<u64, u64>,
-    taken: BTreeMap<Key, Option<Answer>>,
+    accepted: BTreeMap<Key, Option<Answer>>,
 }
 
 impl Disk {
     fn apply(&mut self, change: &Change) {
         match change {
-            Change::Accepted(key) => _ = self.taken.insert(*key, None),
-            Change::Ended(key, answer) => _ = self.taken.insert(*key, Some(Answer::clone(answer))),
+            Change::Accepted(key) => _ = self.accepted.insert(*key, None),
+            Change::Ended(key, answer) => _ = self.accepted.insert(*key, Some(Answer::clone(answer))),
             Change::Floor(key) => _ = self.floors.insert(key.sender, key.number),
-            Change::Dropped(key) => _ = self.taken.remove(key),
+            Change::Dropped(key) => _ = self.accepted.remove(key),
             Change::SenderDropped(sender) => {
                 self.floors.remove(sender);
-                self.taken.retain(|key, _| key.sender != *sender);
+                self.accepted.retain(|key, _| key.sender != *sender);
             }
         }
     }
 }
 
-struct FarEnd {
+struct AcceptorEnd {
     core: Acceptor,
     run: u64,
     ledger: u64,
@@ -89,14 +91,14 @@
     unwritten: VecDeque<(u64, Vec<Change>)>,
 }
 
-/// What the reference knows of a hop.
+/// The reference's record of a hop.
 #[derive(Debug, Default)]
-struct Known {
-    once: bool,
-    until: Time,
+struct HopRecord {
+    unrepeatable: bool,
+    deadline: Time,
     runs: u32,
-    ended: Option<HopOutcome>,
-    given_up: bool,
+    outcome: Option<HopOutcome>,
+    cancelled: bool,
     answers: BTreeSet<Vec<u8>>,
 }
 
@@ -105,11 +107,11 @@
     now: Time,
     durable: bool,
     settings: Sites,
-    nears: Vec<NearEnd>,
-    fars: Vec<FarEnd>,
-    conns: BTreeMap<u64, Conn>,
+    initiators: Vec<InitiatorEnd>,
+    acceptors: Vec<AcceptorEnd>,
+    connections: BTreeMap<u64, Connection>,
     next: u64,
-    known: BTreeMap<(u64, u64), Known>,
+    hops: BTreeMap<(u64, u64), HopRecord>,
     seen: BTreeMap<&'static str, u64>,
 }
 
@@ -121,7 +123,7 @@
     let file = durable.then_some("somewhere");
     let all = serde_json::json!({
         "site": "east", "gateway": "e", "listen": "127.0.0.1:1", "accept": ["west"],
-        "peers": (0..FARS).map(peer).collect::<Vec<_>>(),
+        "peers": (0..ACCEPTORS).map(peer).collect::<Vec<_>>(),
         "keys": {"certificate": "", "key": "", "roots": ""},
         "limits": {"queue": QUEUE, "taken": 12, "sessions": 8, "reconnect_ms": 10, "reconnect_most_ms": 200,
             "dark_after_ms": 300, "connect_ms": 200, "answer_before_ms": 0},
@@ -130,7 +132,7 @@
     Sites::read(&all.to_string()).unwrap()
 }
 
-fn far_settings(durable: bool) -> Sites {
+fn acceptor_settings(durable: bool) -> Sites {
     let mut all = settings(durable);
     (all.site, all.accept) = ("west".to_owned(), BTreeSet::from(["east".to_owned()]));
     all
@@ -138,26 +140,26 @@
 
 impl World {
     fn new(seed: u64, durable: bool) -> World {
-        let (now, set) = (Time::from_micros(1_000_000), settings(durable));
+        let (now, sites_settings) = (Time::from_micros(1_000_000), settings(durable));
         let mut world = World {
             rng: Pcg64Mcg::seed_from_u64(seed),
             now,
             durable,
-            settings: set,
-            nears: Vec::new(),
-            fars: Vec::new(),
-            conns: BTreeMap::new(),
+            settings: sites_settings,
+            initiators: Vec::new(),
+            acceptors: Vec::new(),
+            connections: BTreeMap::new(),
             next: 100,
-            known: BTreeMap::new(),
+            hops: BTreeMap::new(),
             seen: BTreeMap::new(),
         };
-        (0..NEARS).for_each(|_| {
-            let near = world.near();
-            world.nears.push(near);
+        (0..INITIATORS).for_each(|_| {
+            let initiator = world.new_initiator();
+            world.initiators.push(initiator);
         });
-        (0..FARS).for_each(|_| {
-            let far = world.far(Disk::default());
-            world.fars.push(far);
+        (0..ACCEPTORS).for_each(|_| {
+            let acceptor = world.new_acceptor(Disk::default());
+            world.acceptors.push(acceptor);
         });
         world
     }
@@ -167,19 +169,23 @@
         self.next
     }
 
-    fn near(&mut self) -> NearEnd {
+    fn new_initiator(&mut self) -> InitiatorEnd {
         let run = self.id();
-        NearEnd { core: Initiator::new(&self.settings, run, self.now), run, conn: vec![None; FARS] }
+        InitiatorEnd {
+            core: Initiator::new(&self.settings, run, self.now),
+            run,
+            connection: vec![None; ACCEPTORS],
+        }
     }
 
-    fn far(&mut self, disk: Disk) -> FarEnd {
+    fn new_acceptor(&mut self, disk: Disk) -> AcceptorEnd {
         let run = self.id();
-        let mut core = Acceptor::new(&far_settings(self.durable), self.now);
+        let mut core = Acceptor::new(&acceptor_settings(self.durable), self.now);
         let floors: Vec<Key> = disk.floors.iter().map(|(&sender, &number)| Key { sender, number }).collect();
-        let taken: Vec<_> = disk.taken.iter().map(|(k, a)| (*k, a.clone())).collect();
-        core.recover(self.now, &floors, &taken);
+        let accepted: Vec<_> = disk.accepted.iter().map(|(key, a)| (*key, a.clone())).collect();
+        core.recover(self.now, &floors, &accepted);
         let (requests, running, unwritten) = Default::default();
-        FarEnd { core, run, ledger: run, requests, running, disk, unwritten }
+        AcceptorEnd { core, run, ledger: run, requests, running, disk, unwritten }
     }
 
     fn count(&mut self, what: &'static str) {
@@ -189,378 +195,430 @@
     fn step(&mut self) {
         match self.rng.random_range(0..1_000) {
             0..150 => self.now += Span::from_millis(self.rng.random_range(0..30)),
-            150..300 => self.ask(),
+            150..300 => self.submit(),
             300..800 => self.deliver(),
             800..900 => self.finish(),
-            900..905 => self.cut(),
-            905..909 => self.darken(),
-            909..920 => self.repeat(),
-            920..930 => self.give_up(),
-            930..990 => self.flush(),
-            990..994 => self.notice(),
+            900..905 => self.disconnect(),
+            905..909 => self.toggle_partition(),
+            909..920 => self.duplicate_requests(),
+            920..930 => self.cancel(),
+            930..990 => self.write_to_disk(),
+            990..994 => self.detect_closed(),
             994..996 => self.kill(),
             996 if self.rng.random_bool(0.05) => {
-                let i = self.rng.random_range(0..FARS);
-                self.fars[i].core.stop();
-                self.count("told to stop");
+                let i = self.rng.random_range(0..ACCEPTORS);
+                self.acceptors[i].core.stop();
+                self.count("stopped");
             }
             _ => {}
         }
-        self.pull();
+        self.run_actions();
         self.check();
     }
 
-    fn ask(&mut self) {
-        let (i, link) = (self.rng.random_range(0..NEARS), self.rng.random_range(0..FARS));
-        let once = self.rng.random_bool(0.7);
-        let until = self.now + Span::from_millis(self.rng.random_range(50..1_500));
+    fn submit(&mut self) {
+        let (i, link) = (self.rng.random_range(0..INITIATORS), self.rng.random_range(0..ACCEPTORS));
+        let unrepeatable = self.rng.random_bool(0.7);
+        let deadline = self.now + Span::from_millis(self.rng.random_range(50..1_500));
         let path = if self.rng.random_bool(0.03) { vec!["west".to_owned()] } else { Vec::new() };
-        let (importance, need) = (self.rng.random_range(0..9), Some(self.rng.random_range(0.1..50.0)));
-        let want = HopSpec {
+        let (importance, size_kb) = (self.rng.random_range(0..9), Some(self.rng.random_range(0.1..50.0)));
+        let spec = HopSpec {
             importance,
-            unrepeatable: once,
-            size_kb: need,
+            unrepeatable,
+            size_kb,
             body_bytes: 10,
-            deadline: until,
-            sla_deadline: until,
+            deadline,
+            sla_deadline: deadline,
             path: &path,
         };
-        let number = self.nears[i].core.submit(self.now, link, &want);
-        let known = Known { once, until, ..Known::default() };
-        self.known.insert((self.nears[i].run, number), known);
+        let number = self.initiators[i].core.submit(self.now, link, &spec);
+        let record = HopRecord { unrepeatable, deadline, ..HopRecord::default() };
+        self.hops.insert((self.initiators[i].run, number), record);
     }
 
     fn deliver(&mut self) {
-        let moves = |(id, c): (&u64, &Conn)| {
-            let (there, back) = (!c.there.is_empty() && !c.dark[0], !c.back.is_empty() && !c.dark[1]);
-            [there.then_some((*id, true)), back.then_some((*id, false))]
+        let moves = |(id, connection): (&u64, &Connection)| {
+            let (to_acceptor, to_initiator) = (
+                !connection.to_acceptor.is_empty() && !connection.blocked[0],
+                !connection.to_initiator.is_empty() && !connection.blocked[1],
+            );
+            [to_acceptor.then_some((*id, true)), to_initiator.then_some((*id, false))]
         };
-        let ways: Vec<(u64, bool)> = self.conns.iter().flat_map(moves).flatten().collect();
-        if ways.is_empty() {
+        let directions: Vec<(u64, bool)> = self.connections.iter().flat_map(moves).flatten().collect();
+        if directions.is_empty() {
             return;
         }
-        let (id, there) = ways[self.rng.random_range(0..ways.len())];
-        let Some(conn) = self.conns.get_mut(&id) else { return };
-        let all = if there { &mut conn.there } else { &mut conn.back };
-        // A welcome comes first; else any stream may be the next.
+        let (id, to_acceptor) = directions[self.rng.random_range(0..directions.len())];
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let all = if to_acceptor { &mut connection.to_acceptor } else { &mut connection.to_initiator };
+        // A welcome is delivered first; otherwise any stream may be next.
         let at = if matches!(all[0], Msg::Welcome { .. }) { 0 } else { self.rng.random_range(0..all.len()) };
         let msg = all.swap_remove(at);
-        if there {
-            self.at_far(id, msg);
+        if to_acceptor {
+            self.receive_at_acceptor(id, msg);
         } else {
-            self.at_near(id, msg);
+            self.receive_at_initiator(id, msg);
         }
     }
 
-    fn at_far(&mut self, id: u64, msg: Msg) {
-        let (now, conn) = (self.now, &self.conns[&id]);
-        let far = &mut self.fars[conn.far];
-        if !conn.far_has || conn.far_run != far.run {
+    fn receive_at_acceptor(&mut self, id: u64, msg: Msg) {
+        let (now, connection) = (self.now, &self.connections[&id]);
+        let acceptor = &mut self.acceptors[connection.acceptor];
+        if !connection.acceptor_open || connection.acceptor_run != acceptor.run {
             return;
         }
         match msg {
-            Msg::Request { number, once, path } => {
-                if let Some(call) = far.core.request(
+            Msg::Request { number, unrepeatable, path } => {
+                if let Some(call) = acceptor.core.request(
                     now,
                     id,
-                    &RequestMeta { number, unrepeatable: once, importance: 5, path: &path },
+                    &RequestMeta { number, unrepeatable, importance: 5, path: &path },
                 ) {
-                    far.requests.insert(call, (conn.run, number));
+                    acceptor.requests.insert(call, (connection.run, number));
                 }
             }
-            Msg::Ask(numbers) => far.core.query_status(now, id, 0, &numbers),
-            Msg::Settle(below) => far.core.settle(id, below),
-            Msg::GiveUp(number) => far.core.cancelled(id, number),
+            Msg::StatusQuery(numbers) => acceptor.core.query_status(now, id, 0, &numbers),
+            Msg::Settle(below) => acceptor.core.settle(id, below),
+            Msg::Cancel(number) => acceptor.core.cancelled(id, number),
             Msg::Ping(number) => {
-                let (credit, leaving) = far.core.pong_state();
-                self.back(id, Msg::Pong { number, credit, leaving });
+                let (credit, leaving) = acceptor.core.pong_state();
+                self.send_to_initiator(id, Msg::Pong { number, credit, leaving });
             }
             _ => unreachable!(),
         }
     }
 
-    fn at_near(&mut self, id: u64, msg: Msg) {
-        let (now, conn) = (self.now, &self.conns[&id]);
-        let (far, near) = (conn.far, &mut self.nears[conn.near]);
-        if !conn.near_has || near.run != conn.run || near.conn[far] != Some(id) {
+    fn receive_at_initiator(&mut self, id: u64, msg: Msg) {
+        let (now, connection) = (self.now, &self.connections[&id]);
+        let (acceptor, initiator) = (connection.acceptor, &mut self.initiators[connection.initiator]);
+        if !connection.initiator_open
+            || initiator.run != connection.run
+            || initiator.connection[acceptor] != Some(id)
+        {
             return;
         }
         match msg {
-            Msg::Welcome { ledger, credit, leaving } => {
-                near.core.connected(now, far, &Welcome { ledger, credit, leaving, knows_past_ledgers: false })
-            }
-            Msg::Taken(number) => _ = near.core.accepted(now, number),
+            Msg::Welcome { ledger, credit, leaving } => initiator.core.connected(
+                now,
+                acceptor,
+                &Welcome { ledger, credit, leaving, knows_past_ledgers: false },
+            ),
+            Msg::Accepted(number) => _ = initiator.core.accepted(now, number),
             Msg::Answer { number, body, served } => {
-                let known = &self.known[&(near.run, number)];
-                // An answer is one that the far end gave; and only what ran was served.
-                assert!(!known.once || known.answers.contains(&body) || !served);
-                assert!(!served || known.runs > 0);
-                near.core.answered(now, far, number, 500.0);
+                let record = &self.hops[&(initiator.run, number)];
+                // The acceptor produced this answer, and only a txn that ran was served.
+                assert!(!record.unrepeatable || record.answers.contains(&body) || !served);
+                assert!(!served || record.runs > 0);
+                initiator.core.answered(now, acceptor, number, 500.0);
             }
-            Msg::Turned { number, why } => {
-                let end = match why {
+            Msg::Refused { number, reason } => {
+                let outcome = match reason {
                     RefusalReason::Forgotten => HopOutcome::Lost,
                     RefusalReason::Loop => HopOutcome::Loop,
                     RefusalReason::Leaving | RefusalReason::Full | RefusalReason::Fenced => {
                         HopOutcome::Refused
                     }
                 };
-                near.core.refused(now, far, number, end);
+                initiator.core.refused(now, acceptor, number, outcome);
+            }
+            Msg::StatusReply { number, status } => {
+                initiator.core.status_received(now, acceptor, number, status)
             }
-            Msg::Found { number, fate } => near.core.status_received(now, far, number, fate),
             Msg::Pong { number, credit, leaving } => {
-                near.core.pong_received(now, far, number, credit, leaving)
+                initiator.core.pong_received(now, acceptor, number, credit, leaving)
             }
-            Msg::Leaving => near.core.peer_leaving(now, far),
+            Msg::Leaving => initiator.core.peer_leaving(now, acceptor),
             _ => unreachable!(),
         }
     }
 
-    fn back(&mut self, id: u64, msg: Msg) {
-        if let Some(conn) = self.conns.get_mut(&id) {
-            conn.back.push(msg);
+    fn send_to_initiator(&mut self, id: u64, msg: Msg) {
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.to_initiator.push(msg);
         }
     }
 
-    /// A txn at a far end runs to its end.
+    /// A txn that runs at an acceptor finishes.
     fn finish(&mut self) {
-        let far = self.rng.random_range(0..FARS);
-        let calls: Vec<Call> = self.fars[far].running.keys().copied().collect();
+        let acceptor = self.rng.random_range(0..ACCEPTORS);
+        let calls: Vec<Call> = self.acceptors[acceptor].running.keys().copied().collect();
         if calls.is_empty() {
             return;
         }
         let call = calls[self.rng.random_range(0..calls.len())];
-        self.end_call(far, call);
+        self.end_call(acceptor, call);
     }
 
-    fn end_call(&mut self, far: usize, call: Call) {
-        let Some((run, number)) = self.fars[far].running.remove(&call) else { return };
+    fn end_call(&mut self, acceptor: usize, call: Call) {
+        let Some((run, number)) = self.acceptors[acceptor].running.remove(&call) else { return };
         let body = vec![self.rng.random(); self.rng.random_range(0..60)];
         let served = self.rng.random_bool(0.8);
-        let ending = if served { TxnOutcome::Served } else { TxnOutcome::Aborted };
+        let outcome = if served { TxnOutcome::Served } else { TxnOutcome::Aborted };
         let body = if served { body } else { Vec::new() };
-        if let Some(known) = self.known.get_mut(&(run, number)) {
-            known.answers.insert(body.clone());
+        if let Some(record) = self.hops.get_mut(&(run, number)) {
+            record.answers.insert(body.clone());
         }
-        let answer = Arc::new(Answer { outcome: ending, body: body.clone() });
-        if let Some((session, number)) = self.fars[far].core.finished(self.now, call, &answer) {
-            self.back(session, Msg::Answer { number, body, served });
+        let answer = Arc::new(Answer { outcome, body: body.clone() });
+        if let Some((session, number)) = self.acceptors[acceptor].core.finished(self.now, call, &answer) {
+            self.send_to_initiator(session, Msg::Answer { number, body, served });
         }
     }
 
-    fn cut(&mut self) {
-        let keys: Vec<u64> = self.conns.keys().copied().collect();
+    fn disconnect(&mut self) {
+        let keys: Vec<u64> = self.connections.keys().copied().collect();
         if keys.is_empty() {
             return;
         }
         let id = keys[self.rng.random_range(0..keys.len())];
-        self.count("cut");
-        // Either end may notice first; what is on its way may still come to the other.
+        self.count("disconnect");
+        // Either end may notice first; messages in flight may still reach the other.
         match self.rng.random_range(0..3) {
             0 => {
-                self.near_loses(id);
-                // What it sent may be held up for long.
-                let held = self.rng.random_bool(0.7);
-                _ = self.conns.get_mut(&id).map(|c| c.dark[0] = held);
+                self.close_at_initiator(id);
+                // Messages already sent may be delayed for long.
+                let delayed = self.rng.random_bool(0.7);
+                _ = self.connections.get_mut(&id).map(|connection| connection.blocked[0] = delayed);
             }
-            1 => self.far_loses(id),
+            1 => self.close_at_acceptor(id),
             _ => {
-                self.near_loses(id);
-                self.far_loses(id);
+                self.close_at_initiator(id);
+                self.close_at_acceptor(id);
             }
         }
     }
 
-    /// Far ends notice that near ones have gone.
-    fn notice(&mut self) {
-        let gone: Vec<u64> = self.conns.iter().filter(|(_, c)| !c.near_has).map(|(id, _)| *id).collect();
-        gone.into_iter().for_each(|id| self.far_loses(id));
+    /// Acceptors detect connections that their initiators have closed.
+    fn detect_closed(&mut self) {
+        let removed: Vec<u64> = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| !connection.initiator_open)
+            .map(|(id, _)| *id)
+            .collect();
+        removed.into_iter().for_each(|id| self.close_at_acceptor(id));
     }
 
-    fn near_loses(&mut self, id: u64) {
-        let Some(conn) = self.conns.get_mut(&id).filter(|c| c.near_has) else { return };
-        conn.near_has = false;
-        let (near, far) = (conn.near, conn.far);
-        if self.nears[near].run == conn.run && self.nears[near].conn[far] == Some(id) {
-            self.nears[near].conn[far] = None;
-            self.nears[near].core.disconnected(self.now, far);
+    fn close_at_initiator(&mut self, id: u64) {
+        let Some(connection) = self.connections.get_mut(&id).filter(|connection| connection.initiator_open)
+        else {
+            return;
+        };
+        connection.initiator_open = false;
+        let (initiator, acceptor) = (connection.initiator, connection.acceptor);
+        if self.initiators[initiator].run == connection.run
+            && self.initiators[initiator].connection[acceptor] == Some(id)
+        {
+            self.initiators[initiator].connection[acceptor] = None;
+            self.initiators[initiator].core.disconnected(self.now, acceptor);
         }
     }
 
-    fn far_loses(&mut self, id: u64) {
-        let Some(conn) = self.conns.get_mut(&id).filter(|c| c.far_has) else { return };
-        conn.far_has = false;
-        let far = &mut self.fars[conn.far];
-        if conn.far_run == far.run {
-            far.core.disconnected(id);
+    fn close_at_acceptor(&mut self, id: u64) {
+        let Some(connection) = self.connections.get_mut(&id).filter(|connection| connection.acceptor_open)
+        else {
+            return;
+        };
+        connection.acceptor_open = false;
+        let acceptor = &mut self.acceptors[connection.acceptor];
+        if connection.acceptor_run == acceptor.run {
+            acceptor.core.disconnected(id);
         }
     }
 
-    fn darken(&mut self) {
-        let way = self.rng.random_range(0..2);
-        let dark = self.rng.random_bool(0.3);
-        let keys: Vec<u64> = self.conns.keys().copied().collect();
+    fn toggle_partition(&mut self) {
+        let direction = self.rng.random_range(0..2);
+        let blocked = self.rng.random_bool(0.3);
+        let keys: Vec<u64> = self.connections.keys().copied().collect();
         if let Some(id) = keys.get(self.rng.random_range(0..keys.len().max(1))) {
-            self.conns.get_mut(id).unwrap().dark[way] = dark;
-            self.count("one direction dark or back");
+            self.connections.get_mut(id).unwrap().blocked[direction] = blocked;
+            self.count("direction blocked or unblocked");
         }
     }
 
-    fn repeat(&mut self) {
-        let again = self.rng.random_range(0..4);
-        for conn in self.conns.values_mut() {
-            let requests: Vec<Msg> =
-                conn.there.iter().filter(|m| matches!(m, Msg::Request { .. })).take(again).cloned().collect();
-            conn.there.extend(requests);
+    fn duplicate_requests(&mut self) {
+        let count = self.rng.random_range(0..4);
+        for connection in self.connections.values_mut() {
+            let requests: Vec<Msg> = connection
+                .to_acceptor
+                .iter()
+                .filter(|m| matches!(m, Msg::Request { .. }))
+                .take(count)
+                .cloned()
+                .collect();
+            connection.to_acceptor.extend(requests);
         }
-        self.count("requests repeated");
+        self.count("requests duplicated");
     }
 
-    fn give_up(&mut self) {
-        let near = self.rng.random_range(0..NEARS);
-        let run = self.nears[near].run;
+    fn cancel(&mut self) {
+        let initiator = self.rng.random_range(0..INITIATORS);
+        let run = self.initiators[initiator].run;
         let open: Vec<u64> = self
-            .known
+            .hops
             .range((run, 0)..=(run, u64::MAX))
-            .filter(|(_, k)| k.ended.is_none() && !k.given_up)
+            .filter(|(_, record)| record.outcome.is_none() && !record.cancelled)
             .map(|(key, _)| key.1)
             .collect();
         if let Some(&number) = open.get(self.rng.random_range(0..open.len().max(1))) {
-            self.known.get_mut(&(run, number)).unwrap().given_up = true;
-            self.nears[near].core.cancelled(self.now, number);
+            self.hops.get_mut(&(run, number)).unwrap().cancelled = true;
+            self.initiators[initiator].core.cancelled(self.now, number);
         }
     }
 
-    fn flush(&mut self) {
-        let i = self.rng.random_range(0..FARS);
-        let far = &mut self.fars[i];
-        let Some((mark, changes)) = far.unwritten.pop_front() else { return };
-        // The disk refuses now and then: nothing of a write is there then.
-        if self.rng.random_bool(0.02) && changes.iter().all(|c| matches!(c, Change::Accepted(_))) {
-            far.core.persist_failed(self.now, mark);
-            return self.count("disk refused");
-        }
-        changes.iter().for_each(|c| far.disk.apply(c));
-        far.core.persisted(self.now, mark);
+    fn write_to_disk(&mut self) {
+        let i = self.rng.random_range(0..ACCEPTORS);
+        let acceptor = &mut self.acceptors[i];
+        let Some((seq, changes)) = acceptor.unwritten.pop_front() else { return };
+        // The disk fails now and then: nothing of that write is stored.
+        if self.rng.random_bool(0.02)
+            && changes.iter().all(|connection| matches!(connection, Change::Accepted(_)))
+        {
+            acceptor.core.persist_failed(self.now, seq);
+            return self.count("disk failed");
+        }
+        changes.iter().for_each(|connection| acceptor.disk.apply(connection));
+        acceptor.core.persisted(self.now, seq);
     }
 
     fn kill(&mut self) {
         if self.rng.random_bool(0.5) {
-            let i = self.rng.random_range(0..NEARS);
-            let run = self.nears[i].run;
-            for (_, known) in self.known.range_mut((run, 0)..=(run, u64::MAX)) {
-                known.given_up = true;
+            let i = self.rng.random_range(0..INITIATORS);
+            let run = self.initiators[i].run;
+            for (_, record) in self.hops.range_mut((run, 0)..=(run, u64::MAX)) {
+                record.cancelled = true;
             }
-            let near = self.near();
-            self.nears[i] = near;
-            let of_near = |c: &Conn| c.near == i;
-            self.conns.values_mut().filter(|c| of_near(c)).for_each(|c| c.near_has = false);
-            return self.count("near killed");
-        }
-        let i = self.rng.random_range(0..FARS);
-        let disk = if self.durable { std::mem::take(&mut self.fars[i].disk) } else { Disk::default() };
-        let ledger = self.fars[i].ledger;
-        let mut far = self.far(disk);
+            let initiator = self.new_initiator();
+            self.initiators[i] = initiator;
+            let of_initiator = |connection: &Connection| connection.initiator == i;
+            self.connections
+                .values_mut()
+                .filter(|connection| of_initiator(connection))
+                .for_each(|connection| connection.initiator_open = false);
+            return self.count("initiator killed");
+        }
+        let i = self.rng.random_range(0..ACCEPTORS);
+        let disk = if self.durable { std::mem::take(&mut self.acceptors[i].disk) } else { Disk::default() };
+        let ledger = self.acceptors[i].ledger;
+        let mut acceptor = self.new_acceptor(disk);
         if self.durable {
-            far.ledger = ledger;
+            acceptor.ledger = ledger;
         }
-        self.fars[i] = far;
-        self.conns.values_mut().filter(|c| c.far == i).for_each(|c| c.far_has = false);
-        self.count("far killed");
+        self.acceptors[i] = acceptor;
+        self.connections
+            .values_mut()
+            .filter(|connection| connection.acceptor == i)
+            .for_each(|connection| connection.acceptor_open = false);
+        self.count("acceptor killed");
     }
 
-    /// Carries out what the cores order, until they order nothing.
-    fn pull(&mut self) {
+    /// Carries out the actions of the cores until there are none.
+    fn run_actions(&mut self) {
         loop {
-            let mut quiet = true;
-            for i in 0..NEARS {
-                while let Some(act) = self.nears[i].core.poll(self.now) {
-                    quiet = false;
-                    self.act(i, act);
+            let mut idle = true;
+            for i in 0..INITIATORS {
+                while let Some(action) = self.initiators[i].core.poll(self.now) {
+                    idle = false;
+                    self.handle_link_action(i, action);
                 }
             }
-            for i in 0..FARS {
-                while let Some(todo) = self.fars[i].core.poll(self.now) {
-                    quiet = false;
-                    self.carry_out(i, todo);
+            for i in 0..ACCEPTORS {
+                while let Some(action) = self.acceptors[i].core.poll(self.now) {
+                    idle = false;
+                    self.handle_session_action(i, action);
                 }
             }
-            if quiet {
+            if idle {
                 break;
             }
         }
-        let now_gone = |c: &Conn| !c.near_has && (!c.far_has || c.there.is_empty());
-        let gone: Vec<u64> = self.conns.iter().filter(|(_, c)| now_gone(c)).map(|(id, _)| *id).collect();
-        for id in gone {
-            self.far_loses(id);
-            self.conns.remove(&id);
+        let closed = |connection: &Connection| {
+            !connection.initiator_open && (!connection.acceptor_open || connection.to_acceptor.is_empty())
+        };
+        let removed: Vec<u64> =
+            self.connections.iter().filter(|(_, connection)| closed(connection)).map(|(id, _)| *id).collect();
+        for id in removed {
+            self.close_at_acceptor(id);
+            self.connections.remove(&id);
         }
     }
 
-    fn act(&mut self, near: usize, act: LinkAction) {
-        let run = self.nears[near].run;
-        let conn = |world: &World, link: usize| world.nears[near].conn[link];
-        let say = |world: &mut World, link: usize, msg: Msg| {
-            if let Some(id) = conn(world, link) {
-                world.conns.get_mut(&id).unwrap().there.push(msg);
+    fn handle_link_action(&mut self, initiator: usize, action: LinkAction) {
+        let run = self.initiators[initiator].run;
+        let connection = |world: &World, link: usize| world.initiators[initiator].connection[link];
+        let send = |world: &mut World, link: usize, msg: Msg| {
+            if let Some(id) = connection(world, link) {
+                world.connections.get_mut(&id).unwrap().to_acceptor.push(msg);
             }
         };
-        match act {
+        match action {
             LinkAction::Dial { link } => {
                 let id = self.id();
-                let far_run = self.fars[link].run;
-                let (there, back) = Default::default();
-                let (near_has, far_has, dark) = (true, true, [false; 2]);
-                let conn = Conn { near, run, far: link, far_run, there, back, near_has, far_has, dark };
-                self.conns.insert(id, conn);
-                self.nears[near].conn[link] = Some(id);
+                let acceptor_run = self.acceptors[link].run;
+                let (to_acceptor, to_initiator) = Default::default();
+                let (initiator_open, acceptor_open, blocked) = (true, true, [false; 2]);
+                let connection = Connection {
+                    initiator,
+                    run,
+                    acceptor: link,
+                    acceptor_run,
+                    to_acceptor,
+                    to_initiator,
+                    initiator_open,
+                    acceptor_open,
+                    blocked,
+                };
+                self.connections.insert(id, connection);
+                self.initiators[initiator].connection[link] = Some(id);
                 let hello = Hello {
                     version: VERSION,
                     site: "east".to_owned(),
                     gateway: "e".to_owned(),
                     run_id: run,
-                    next_number: self.nears[near].core.next_number(),
+                    next_number: self.initiators[initiator].core.next_number(),
                 };
-                self.fars[link].core.hello(self.now, id, &hello, true);
+                self.acceptors[link].core.hello(self.now, id, &hello, true);
             }
             LinkAction::Disconnect { link } => {
-                if let Some(id) = self.nears[near].conn[link].take() {
-                    self.conns.get_mut(&id).unwrap().near_has = false;
+                if let Some(id) = self.initiators[initiator].connection[link].take() {
+                    self.connections.get_mut(&id).unwrap().initiator_open = false;
                 }
             }
-            LinkAction::Send { link, number, time_left: left } => {
-                assert!(left > Span::ZERO);
-                let once = self.known[&(run, number)].once;
-                if conn(self, link).is_none() {
-                    return self.nears[near].core.send_failed(self.now, number);
+            LinkAction::Send { link, number, time_left } => {
+                assert!(time_left > Span::ZERO);
+                let unrepeatable = self.hops[&(run, number)].unrepeatable;
+                if connection(self, link).is_none() {
+                    return self.initiators[initiator].core.send_failed(self.now, number);
                 }
-                say(self, link, Msg::Request { number, once, path: vec!["east".to_owned()] });
+                send(self, link, Msg::Request { number, unrepeatable, path: vec!["east".to_owned()] });
             }
             LinkAction::LinkUp { .. } => {}
-            LinkAction::Cancel { link, number } => say(self, link, Msg::GiveUp(number)),
-            LinkAction::QueryStatus { link, numbers, .. } => say(self, link, Msg::Ask(numbers)),
-            LinkAction::Ping { link, number } => say(self, link, Msg::Ping(number)),
-            LinkAction::Settle { link, below } => say(self, link, Msg::Settle(below)),
-            LinkAction::Finished { number, outcome: end } => {
-                let known = self.known.get_mut(&(run, number)).unwrap();
-                assert!(known.ended.is_none() && !known.given_up, "{number} ended twice: {known:?}, {end:?}");
-                known.ended = Some(end);
+            LinkAction::Cancel { link, number } => send(self, link, Msg::Cancel(number)),
+            LinkAction::QueryStatus { link, numbers, .. } => send(self, link, Msg::StatusQuery(numbers)),
+            LinkAction::Ping { link, number } => send(self, link, Msg::Ping(number)),
+            LinkAction::Settle { link, below } => send(self, link, Msg::Settle(below)),
+            LinkAction::Finished { number, outcome } => {
+                let record = self.hops.get_mut(&(run, number)).unwrap();
+                assert!(
+                    record.outcome.is_none() && !record.cancelled,
+                    "{number} finished twice: {record:?}, {outcome:?}"
+                );
+                record.outcome = Some(outcome);
                 let not_run = matches!(
-                    end,
+                    outcome,
                     HopOutcome::Down
                         | HopOutcome::Full
                         | HopOutcome::Loop
                         | HopOutcome::Refused
                         | HopOutcome::NeverAccepted
                 );
-                assert!(!known.once || !not_run || known.runs == 0, "{number} has run: {known:?}");
-                let what = match end {
+                assert!(!record.unrepeatable || !not_run || record.runs == 0, "{number} has run: {record:?}");
+                let what = match outcome {
                     HopOutcome::Answered => "answered",
                     HopOutcome::Down => "down",
                     HopOutcome::Full => "full",
                     HopOutcome::Loop => "loop",
-                    HopOutcome::Refused => "turned",
-                    HopOutcome::NeverAccepted => "never taken",
+                    HopOutcome::Refused => "refused",
+                    HopOutcome::NeverAccepted => "never accepted",
                     HopOutcome::Lost => "lost",
                     HopOutcome::TimedOut => "timed out",
                 };
@@ -569,27 +627,27 @@
         }
     }
 
-    fn carry_out(&mut self, far: usize, todo: SessionAction) {
-        let ledger = self.fars[far].ledger;
-        match todo {
+    fn handle_session_action(&mut self, acceptor: usize, action: SessionAction) {
+        let ledger = self.acceptors[acceptor].ledger;
+        match action {
             SessionAction::AcceptSession { session, credit, leaving, .. } => {
-                self.back(session, Msg::Welcome { ledger, credit, leaving });
+                self.send_to_initiator(session, Msg::Welcome { ledger, credit, leaving });
             }
             SessionAction::RefuseSession { session, .. } => {
-                self.count("refused");
-                self.far_loses(session);
-                self.near_loses(session);
+                self.count("session refused");
+                self.close_at_acceptor(session);
+                self.close_at_initiator(session);
             }
             SessionAction::Run { call, session, number } => {
-                let end = &mut self.fars[far];
+                let end = &mut self.acceptors[acceptor];
                 let (run, of) = end.requests.remove(&call).unwrap();
                 assert_eq!(of, number);
                 end.running.insert(call, (run, number));
                 let key = Key { sender: run, number };
-                let known = self.known.get_mut(&(run, number)).unwrap();
-                if known.once {
-                    known.runs += 1;
-                    assert_eq!(known.runs, 1, "{number} of {run} runs twice");
+                let record = self.hops.get_mut(&(run, number)).unwrap();
+                if record.unrepeatable {
+                    record.runs += 1;
+                    assert_eq!(record.runs, 1, "{number} of {run} runs twice");
                     let not_run = [
                         HopOutcome::Down,
                         HopOutcome::Full,
@@ -597,83 +655,92 @@
                         HopOutcome::Refused,
                         HopOutcome::NeverAccepted,
                     ];
-                    let told = known.ended.is_some_and(|end| not_run.contains(&end));
-                    assert!(!told, "{number} of {run} was called not run and runs");
+                    let reported = record.outcome.is_some_and(|outcome| not_run.contains(&outcome));
+                    assert!(!reported, "{number} of {run} was reported as not run and runs");
                     assert!(
-                        !self.durable || end.disk.taken.contains_key(&key),
+                        !self.durable || end.disk.accepted.contains_key(&key),
                         "it runs before it is on disk"
                     );
                 } else {
-                    known.runs = 1;
+                    record.runs = 1;
                 }
                 if let Some(session) = session {
-                    self.back(session, Msg::Taken(number));
+                    self.send_to_initiator(session, Msg::Accepted(number));
                 }
             }
-            SessionAction::AlreadyRunning { session, number } => self.back(session, Msg::Taken(number)),
+            SessionAction::AlreadyRunning { session, number } => {
+                self.send_to_initiator(session, Msg::Accepted(number))
+            }
             SessionAction::SendAnswer { session, number, answer } => {
                 let served = answer.outcome == TxnOutcome::Served;
-                self.back(session, Msg::Answer { number, body: answer.body.clone(), served });
+                self.send_to_initiator(session, Msg::Answer { number, body: answer.body.clone(), served });
             }
-            SessionAction::RefuseHop { session, number, reason: why } => {
-                self.back(session, Msg::Turned { number, why })
+            SessionAction::RefuseHop { session, number, reason } => {
+                self.send_to_initiator(session, Msg::Refused { number, reason })
             }
-            SessionAction::SendStatus { session, number, status: fate } => {
-                self.back(session, Msg::Found { number, fate })
+            SessionAction::SendStatus { session, number, status } => {
+                self.send_to_initiator(session, Msg::StatusReply { number, status })
             }
-            SessionAction::Discard { call } => _ = self.fars[far].requests.remove(&call).unwrap(),
-            SessionAction::Cancel { call } => self.end_call(far, call),
-            SessionAction::AnnounceLeaving { session } => self.back(session, Msg::Leaving),
+            SessionAction::Discard { call } => _ = self.acceptors[acceptor].requests.remove(&call).unwrap(),
+            SessionAction::Cancel { call } => self.end_call(acceptor, call),
+            SessionAction::AnnounceLeaving { session } => self.send_to_initiator(session, Msg::Leaving),
             SessionAction::LedgerChanged { .. }
             | SessionAction::RegisterSender { .. }
             | SessionAction::ReplicateAccept { .. }
             | SessionAction::ReplicateOutcome { .. }
             | SessionAction::QueryReplicas { .. }
             | SessionAction::ReplicateSettle { .. } => {
-                panic!("no copies are kept here: {todo:?}")
+                panic!("replication is not enabled here: {action:?}")
             }
-            SessionAction::Persist { seq: mark, changes } => {
-                self.fars[far].unwritten.push_back((mark, changes))
+            SessionAction::Persist { seq, changes } => {
+                self.acceptors[acceptor].unwritten.push_back((seq, changes))
             }
         }
     }
 
     fn check(&mut self) {
-        for near in &self.nears {
-            assert!(near.core.next_wake() > self.now, "it has been called, and asks to be called at once");
-            for link in 0..FARS {
-                let view = near.core.link_stats(link);
-                assert!(view.queued <= QUEUE && (0.0..=1.0).contains(&view.credit_share));
+        for initiator in &self.initiators {
+            assert!(initiator.core.next_wake() > self.now, "next_wake is not after the time of the call");
+            for link in 0..ACCEPTORS {
+                let stats = initiator.core.link_stats(link);
+                assert!(stats.queued <= QUEUE && (0.0..=1.0).contains(&stats.credit_share));
             }
-            let late = self.known.range((near.run, 0)..=(near.run, u64::MAX));
-            for (key, known) in late {
-                let open = known.ended.is_none() && !known.given_up;
-                assert!(!open || known.until > self.now, "{key:?} is open after its time: {known:?}");
+            let hops_of_run = self.hops.range((initiator.run, 0)..=(initiator.run, u64::MAX));
+            for (key, record) in hops_of_run {
+                let open = record.outcome.is_none() && !record.cancelled;
+                assert!(
+                    !open || record.deadline > self.now,
+                    "{key:?} is open after its deadline: {record:?}"
+                );
             }
         }
-        for far in &self.fars {
-            for (what, n) in far.core.sizes() {
-                let most = match what {
+        for acceptor in &self.acceptors {
+            for (what, n) in acceptor.core.sizes() {
+                let limit = match what {
                     "ledger entries" => ENTRIES,
                     "ledger bytes" => 200,
                     "ledger senders" => 6,
                     "far sessions" => 8,
                     _ => 12,
                 };
-                assert!(n <= most, "{what}: {n}");
+                assert!(n <= limit, "{what}: {n}");
             }
         }
     }
 
-    /// All that is open comes to its end by its time, and with that the near tables are empty.
-    fn run_out(&mut self) {
+    /// All open hops finish by their deadlines, after which the initiators' tables are empty.
+    fn drain(&mut self) {
         for _ in 0..300 {
             self.now += Span::from_millis(10);
-            self.pull();
+            self.run_actions();
             self.check();
         }
-        for near in &self.nears {
-            assert!(near.core.sizes()[1..5].iter().all(|(_, n)| *n == 0), "{:?}", near.core.sizes());
+        for initiator in &self.initiators {
+            assert!(
+                initiator.core.sizes()[1..5].iter().all(|(_, n)| *n == 0),
+                "{:?}",
+                initiator.core.sizes()
+            );
         }
     }
 }
@@ -683,7 +750,7 @@
 }
 
 #[test]
-fn no_schedule_breaks_a_rule() {
+fn no_schedule_violates_an_invariant() {
     let (steps, runs) = (3_000, number("KELPCART_RUNS", 40));
     let mut seen = BTreeMap::<_, u64>::new();
     for seed in 0..runs {
@@ -691,23 +758,23 @@
         for _ in 0..steps {
             world.step();
         }
-        world.run_out();
+        world.drain();
         world.seen.into_iter().for_each(|(what, n)| *seen.entry(what).or_default() += n);
     }
     println!("{seen:?}");
-    // A schedule that never comes to these would prove nothing.
+    // Each of these must have occurred, or the run proves nothing.
     for what in [
         "answered",
         "down",
         "full",
         "loop",
-        "turned",
-        "never taken",
+        "refused",
+        "never accepted",
         "lost",
         "timed out",
-        "cut",
-        "far killed",
+        "disconnect",
+        "acceptor killed",
     ] {
-        assert!(seen.get(what).is_some_and(|n| *n > 5), "{what} was not played: {seen:?}");
+        assert!(seen.get(what).is_some_and(|n| *n > 5), "{what} did not occur: {seen:?}");
     }
 }
--- a/sites/tests/peers.rs
+++ b/sites/tests/peers.rs
@@ -1,5 +1,5 @@
-//! Real connections of the carrier on loopback: who may connect, and that early data and foreign certificates are not
-//! taken.
+//! Real QUIC connections on loopback: who may connect, and that early data and certificates of others are
+//! not accepted.
 
 use async_io::block_on;
 use futures_lite::future;
@@ -36,8 +36,8 @@
     }
 }
 
-/// Runs `work` while both endpoints move.
-fn with<T>(a: &Endpoint, b: &Endpoint, work: impl Future<Output = T>) -> T {
+/// Runs `work` while both endpoints do their I/O.
+fn run_with<T>(a: &Endpoint, b: &Endpoint, work: impl Future<Output = T>) -> T {
     let drive = async {
         future::zip(a.drive(), b.drive()).await;
         unreachable!("they never end")
@@ -46,55 +46,55 @@
 }
 
 #[test]
-fn both_ends_prove_their_sites_and_a_message_crosses_whole() {
+fn both_ends_authenticate_and_a_message_arrives_intact() {
     let (folder, authority) = (Folder::new("prove"), Authority::new().unwrap());
-    let (near, far) = (folder.keys(&authority, "near"), folder.keys(&authority, "far"));
-    let a = Endpoint::start(None, &near).unwrap();
-    let b = Endpoint::start(Some("127.0.0.1:0".parse().unwrap()), &far).unwrap();
+    let (near_keys, far_keys) = (folder.keys(&authority, "near"), folder.keys(&authority, "far"));
+    let a = Endpoint::start(None, &near_keys).unwrap();
+    let b = Endpoint::start(Some("127.0.0.1:0".parse().unwrap()), &far_keys).unwrap();
     let at = b.address().unwrap();
-    with(&a, &b, async {
-        let dial = async { a.dial(&near, at, "far").await.unwrap() };
+    run_with(&a, &b, async {
+        let dial = async { a.dial(&near_keys, at, "far").await.unwrap() };
         let accept = async { b.accept().await.unwrap().await.unwrap() };
-        let (there, here) = future::zip(dial, accept).await;
-        assert!(quic::certifies_site(&there, "far") && !quic::certifies_site(&there, "near"));
-        assert!(quic::certifies_site(&here, "near") && !quic::certifies_site(&here, "far"));
-        let (mut send, _) = there.open_bi().await.unwrap();
+        let (client, server) = future::zip(dial, accept).await;
+        assert!(quic::certifies_site(&client, "far") && !quic::certifies_site(&client, "near"));
+        assert!(quic::certifies_site(&server, "near") && !quic::certifies_site(&server, "far"));
+        let (mut send, _) = client.open_bi().await.unwrap();
         quic::write(&mut send, &wire::encode(Message::Ping(5))).await.unwrap();
-        // Longer than a message may be: told by its first bytes.
+        // Longer than a message may be; rejected by its length prefix.
         quic::write(&mut send, &[0xff; 8]).await.unwrap();
-        let (_, mut recv) = here.accept_bi().await.unwrap();
+        let (_, mut recv) = server.accept_bi().await.unwrap();
         assert_eq!(quic::read(&mut recv).await.unwrap(), Message::Ping(5));
         assert!(matches!(quic::read(&mut recv).await, Err(ReadError::Decode(_))));
     });
 }
 
 #[test]
-fn the_wrong_site_or_authority_does_not_get_in() {
+fn a_wrong_site_or_authority_is_refused() {
     let (folder, authority) = (Folder::new("wrong"), Authority::new().unwrap());
-    let (near, far) = (folder.keys(&authority, "near"), folder.keys(&authority, "far"));
-    let stranger = Folder::new("stranger").keys(&Authority::new().unwrap(), "near");
-    let a = Endpoint::start(None, &near).unwrap();
-    let b = Endpoint::start(Some("127.0.0.1:0".parse().unwrap()), &far).unwrap();
+    let (near_keys, far_keys) = (folder.keys(&authority, "near"), folder.keys(&authority, "far"));
+    let untrusted = Folder::new("stranger").keys(&Authority::new().unwrap(), "near");
+    let a = Endpoint::start(None, &near_keys).unwrap();
+    let b = Endpoint::start(Some("127.0.0.1:0".parse().unwrap()), &far_keys).unwrap();
     let at = b.address().unwrap();
     let accept = async {
         loop {
-            // Some of these fail: that is what is tried.
+            // Some of these fail, as the test intends.
             _ = b.accept().await.unwrap().await;
         }
     };
-    with(&a, &b, async {
+    run_with(&a, &b, async {
         let work = async {
-            // Another site answers than was asked for; and an authority that neither end knows.
-            assert!(a.dial(&near, at, "south").await.is_err());
-            let connection = a.dial(&stranger, at, "far").await;
-            let shut = match connection {
+            // A site other than the one asked for answers; then an authority that neither end trusts.
+            assert!(a.dial(&near_keys, at, "south").await.is_err());
+            let connection = a.dial(&untrusted, at, "far").await;
+            let closed = match connection {
                 Err(_) => true,
                 Ok(connection) => {
                     connection.closed().await;
                     true
                 }
             };
-            assert!(shut);
+            assert!(closed);
         };
         future::or(work, accept).await;
     });
--- a/sites/tests/store.rs
+++ b/sites/tests/store.rs
@@ -1,4 +1,4 @@
-//! The ledger on a real disk: what was written is there at the next start, in its order, and nothing else.
+//! The ledger on a real disk: each start finds exactly what was written before, in order.
 
 use kelpcart::Span;
 use kelpcart_sites::ledger::{Answer, Change, Key, TxnOutcome};
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-fn file(name: &str) -> PathBuf {
+fn temp_path(name: &str) -> PathBuf {
     let path = PathBuf::from(format!("{}/{name}-{}.redb", env!("CARGO_TARGET_TMPDIR"), std::process::id()));
     _ = std::fs::remove_file(&path);
     path
@@ -18,35 +18,33 @@
     Key { sender, number }
 }
 
-fn random(all: Vec<Vec<(u8, u8, u8, u8)>>) -> bool {
-    let path = file("random");
-    let (mut floors, mut taken) = (BTreeMap::new(), BTreeMap::new());
+fn replay(all: Vec<Vec<(u8, u8, u8, u8)>>) -> bool {
+    let path = temp_path("random");
+    let (mut floors, mut accepted) = (BTreeMap::new(), BTreeMap::new());
     let mut ledger = None;
     for (start, batch) in all.into_iter().enumerate() {
-        let (mut store, found) = Store::open(&path, 100 + start as u64).unwrap();
-        // The number of the first start stays.
-        assert_eq!(found.ledger, *ledger.get_or_insert(found.ledger));
-        let found_floors: BTreeMap<u64, u64> = found.floors.iter().map(|f| (f.sender, f.number)).collect();
+        let (mut store, recovered) = Store::open(&path, 100 + start as u64).unwrap();
+        // The id from the first start is kept.
+        assert_eq!(recovered.ledger, *ledger.get_or_insert(recovered.ledger));
+        let found_floors: BTreeMap<u64, u64> =
+            recovered.floors.iter().map(|f| (f.sender, f.number)).collect();
         assert_eq!(found_floors, floors);
-        assert_eq!(found.accepted.into_iter().collect::<BTreeMap<_, _>>(), taken);
+        assert_eq!(recovered.accepted.into_iter().collect::<BTreeMap<_, _>>(), accepted);
         let mut changes = Vec::new();
-        for (what, sender, number, more) in batch {
+        for (kind, sender, number, more) in batch {
             let key = key((sender % 3).into(), (number % 8).into());
-            changes.push(match what % 6 {
+            changes.push(match kind % 6 {
                 0 | 1 => {
-                    taken.insert(key, None);
+                    accepted.insert(key, None);
                     Change::Accepted(key)
                 }
                 2 => {
-                    let come_back = (more % 2 == 0).then(|| Span::from_millis(more.into()));
-                    let endings = [
-                        TxnOutcome::Served,
-                        TxnOutcome::Rejected { retry_after: come_back },
-                        TxnOutcome::Aborted,
-                    ];
+                    let retry_after = (more % 2 == 0).then(|| Span::from_millis(more.into()));
+                    let endings =
+                        [TxnOutcome::Served, TxnOutcome::Rejected { retry_after }, TxnOutcome::Aborted];
                     let answer =
                         Answer { outcome: endings[usize::from(more) % 3], body: vec![more; more.into()] };
-                    taken.insert(key, Some(answer.clone()));
+                    accepted.insert(key, Some(answer.clone()));
                     Change::Ended(key, Arc::new(answer))
                 }
                 3 => {
@@ -54,18 +52,18 @@
                     Change::Floor(key)
                 }
                 4 => {
-                    taken.remove(&key);
+                    accepted.remove(&key);
                     Change::Dropped(key)
                 }
                 _ => {
                     floors.remove(&key.sender);
-                    taken.retain(|k, _| k.sender != key.sender);
+                    accepted.retain(|k, _| k.sender != key.sender);
                     Change::SenderDropped(key.sender)
                 }
             });
         }
         store.apply(changes.iter()).unwrap();
-        assert_eq!(store.len().unwrap(), taken.len());
+        assert_eq!(store.len().unwrap(), accepted.len());
     }
     std::fs::remove_file(path).is_ok() || ledger.is_none()
 }
@@ -73,38 +71,38 @@
 #[test]
 fn each_start_finds_what_was_written_before() {
     let tests = std::env::var("QUICKCHECK_TESTS").map_or(20, |n| n.parse().unwrap_or(20)).min(20);
-    QuickCheck::new().rng(Gen::from_size_and_seed(12, 7)).tests(tests).quickcheck(random as fn(_) -> bool);
+    QuickCheck::new().rng(Gen::from_size_and_seed(12, 7)).tests(tests).quickcheck(replay as fn(_) -> bool);
 }
 
 #[test]
-fn a_mark_is_told_once_all_before_it_is_on_the_disk() {
-    let path = file("marks");
+fn a_batch_is_reported_once_all_before_it_are_on_disk() {
+    let path = temp_path("marks");
     let (store, _) = Store::open(&path, 1).unwrap();
     let writer = Writer::start(store).unwrap();
-    for mark in 1..=50 {
-        assert!(writer.write(mark, vec![Change::Accepted(key(1, mark))]));
+    for seq in 1..=50 {
+        assert!(writer.write(seq, vec![Change::Accepted(key(1, seq))]));
     }
     let mut last = 0;
     while last < 50 {
-        let (mark, written) = writer.done.recv_blocking().unwrap();
-        assert!(written && mark > last);
-        last = mark;
+        let (seq, written) = writer.done.recv_blocking().unwrap();
+        assert!(written && seq > last);
+        last = seq;
     }
     drop(writer);
-    // The file is free once the thread has seen the end.
-    let found = loop {
+    // The file is released once the writer thread has ended.
+    let recovered = loop {
         match Store::open(&path, 2) {
-            Ok((_, found)) => break found,
+            Ok((_, recovered)) => break recovered,
             Err(_) => std::thread::yield_now(),
         }
     };
-    assert_eq!((found.ledger, found.accepted.len()), (1, 50));
+    assert_eq!((recovered.ledger, recovered.accepted.len()), (1, 50));
     std::fs::remove_file(path).unwrap();
 }
 
 #[test]
-fn a_file_that_is_no_ledger_is_told_and_left_as_it_is() {
-    let path = file("other");
+fn a_file_that_is_not_a_ledger_is_an_error_and_left_unchanged() {
+    let path = temp_path("other");
     std::fs::write(&path, vec![b'x'; 5_000]).unwrap();
     assert!(Store::open(&path, 1).unwrap_err().to_string().starts_with("the ledger's file can't be used"));
     assert_eq!(std::fs::read(&path).unwrap(), vec![b'x'; 5_000]);
--- a/sites/tests/wire.rs
+++ b/sites/tests/wire.rs
@@ -1,4 +1,4 @@
-//! What crosses a link: whole and split messages, damaged ones, and values that a peer may not send.
+//! Messages on a link: whole, split and damaged ones, and values that a peer may not send.
 
 use kelpcart_sites::wire::{self, AnswerCode, DecodeError, Message};
 use quickcheck::{Arbitrary, Gen, QuickCheck, quickcheck};
@@ -23,7 +23,7 @@
     }
 }
 
-fn all() -> Vec<Message> {
+fn all_messages() -> Vec<Message> {
     let hello = wire::Hello {
         version: wire::VERSION,
         site: "east".to_owned(),
@@ -58,9 +58,9 @@
 }
 
 #[test]
-fn each_message_comes_back_as_it_was_wherever_it_is_split() {
-    let said = all();
-    let bytes: Vec<u8> = said.iter().cloned().flat_map(wire::encode).collect();
+fn each_message_round_trips_wherever_it_is_split() {
+    let messages = all_messages();
+    let bytes: Vec<u8> = messages.iter().cloned().flat_map(wire::encode).collect();
     let (mut at, mut read) = (0, Vec::new());
     while let Some((one, n)) = wire::decode(&bytes[at..]).unwrap() {
         for cut in 0..n {
@@ -69,31 +69,31 @@
         read.push(one);
         at += n;
     }
-    assert_eq!((read, at), (said, bytes.len()));
+    assert_eq!((read, at), (messages, bytes.len()));
 }
 
 #[test]
-fn what_may_not_be_sent_is_told_apart() {
+fn invalid_values_are_rejected() {
     let long = |n: usize| "x".repeat(n);
-    let change = |with: fn(&mut wire::Request)| {
+    let with_change = |edit: fn(&mut wire::Request)| {
         let mut one = request();
-        with(&mut one);
+        edit(&mut one);
         Message::Request(one)
     };
-    let bad = [
-        change(|r| r.number = 0),
-        change(|r| r.rule = "a/b".to_owned()),
-        change(|r| r.body = vec![0; wire::MAX_REQUEST_BODY_BYTES + 1]),
-        change(|r| r.group = 256),
-        change(|r| r.size_kb = Some(f64::NAN)),
-        change(|r| r.etag = Some("short".to_owned())),
-        change(|r| r.time_left_us = 0),
-        change(|r| r.time_left_us = u64::MAX),
-        change(|r| r.max_age_us = Some(0)),
-        change(|r| r.path.clear()),
-        change(|r| r.path = vec!["a".to_owned(); 17]),
-        change(|r| r.path = vec!["a\nb".to_owned()]),
-        change(|r| r.importance = 10),
+    let invalid = [
+        with_change(|r| r.number = 0),
+        with_change(|r| r.rule = "a/b".to_owned()),
+        with_change(|r| r.body = vec![0; wire::MAX_REQUEST_BODY_BYTES + 1]),
+        with_change(|r| r.group = 256),
+        with_change(|r| r.size_kb = Some(f64::NAN)),
+        with_change(|r| r.etag = Some("short".to_owned())),
+        with_change(|r| r.time_left_us = 0),
+        with_change(|r| r.time_left_us = u64::MAX),
+        with_change(|r| r.max_age_us = Some(0)),
+        with_change(|r| r.path.clear()),
+        with_change(|r| r.path = vec!["a".to_owned(); 17]),
+        with_change(|r| r.path = vec!["a\nb".to_owned()]),
+        with_change(|r| r.importance = 10),
         Message::Answer(wire::Answer { code: 99, ..wire::Answer::refused(1, AnswerCode::Refused) }),
         Message::Answer(wire::Answer { body_len: 5, ..wire::Answer::refused(1, AnswerCode::Refused) }),
         Message::Answer(wire::Answer { body_len: 240_001, ..wire::Answer::refused(1, AnswerCode::Served) }),
@@ -103,63 +103,62 @@
         Message::Settle(0),
         Message::Refusal(wire::Refusal { version: 1, reason: long(201) }),
     ];
-    for said in bad {
-        let bytes = wire::encode(said.clone());
-        assert!(matches!(wire::decode(&bytes), Err(DecodeError::Value(_))), "{said:?}");
+    for message in invalid {
+        let bytes = wire::encode(message.clone());
+        assert!(matches!(wire::decode(&bytes), Err(DecodeError::Value(_))), "{message:?}");
     }
     assert_eq!(wire::decode(&[0, 0, 0, 0]), Err(DecodeError::Length(0)));
     assert_eq!(wire::decode(&[0, 1, 0, 1]), Err(DecodeError::Length(65_537)));
     assert_eq!(wire::decode(&[0, 0, 0, 1, 0xff]), Err(DecodeError::Encoding));
-    // Another version's hello is read as far as its version, so that it can be turned away by that.
+    // A hello of another version is decoded as far as the version, so that it can be refused for it.
     let other = wire::Hello { version: 2, site: "east".to_owned(), ..wire::Hello::default() };
     assert!(wire::decode(&wire::encode(Message::Hello(other))).unwrap().is_some());
 }
 
 #[derive(Clone, Debug)]
-struct Hurt {
+struct Damage {
     which: usize,
     at: usize,
-    with: u8,
+    byte: u8,
     cut: bool,
 }
 
-impl Arbitrary for Hurt {
-    fn arbitrary(g: &mut Gen) -> Hurt {
+impl Arbitrary for Damage {
+    fn arbitrary(g: &mut Gen) -> Damage {
         let (which, at) = (usize::arbitrary(g), usize::arbitrary(g));
-        Hurt { which, at, with: u8::arbitrary(g), cut: bool::arbitrary(g) }
+        Damage { which, at, byte: u8::arbitrary(g), cut: bool::arbitrary(g) }
     }
 }
 
-/// Whatever is changed, what comes out is a message that may be sent, or a fault.
-fn hurt(all_of_it: Vec<Hurt>) -> bool {
-    let said = all();
-    all_of_it.into_iter().all(|h| {
-        let mut bytes = wire::encode(said[h.which % said.len()].clone());
-        let at = h.at % bytes.len();
-        if h.cut {
+/// Whatever is changed, decoding gives a valid message or an error.
+fn decode_damaged(damages: Vec<Damage>) -> bool {
+    let messages = all_messages();
+    damages.into_iter().all(|damage| {
+        let mut bytes = wire::encode(messages[damage.which % messages.len()].clone());
+        let at = damage.at % bytes.len();
+        if damage.cut {
             bytes.truncate(at);
         } else {
-            bytes[at] = h.with;
+            bytes[at] = damage.byte;
         }
         match wire::decode(&bytes) {
-            Ok(Some((said, _))) => {
-                wire::decode(&wire::encode(said.clone())).is_ok_and(|again| again.unwrap().0 == said)
-            }
+            Ok(Some((message, _))) => wire::decode(&wire::encode(message.clone()))
+                .is_ok_and(|decoded| decoded.unwrap().0 == message),
             Ok(None) | Err(_) => true,
         }
     })
 }
 
 #[test]
-fn damaged_messages_never_get_through_as_what_may_not_be_sent() {
+fn damaged_messages_never_decode_to_invalid_ones() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(200, 7))
         .tests(300)
-        .quickcheck(hurt as fn(Vec<Hurt>) -> bool);
+        .quickcheck(decode_damaged as fn(Vec<Damage>) -> bool);
 }
 
 quickcheck! {
-    fn any_bytes_are_read_without_a_panic(bytes: Vec<u8>) -> bool {
+    fn arbitrary_bytes_decode_without_a_panic(bytes: Vec<u8>) -> bool {
         _ = wire::decode(&bytes);
         _ = wire::decode_message(&bytes);
         true
