--- a/copies/src/machine.rs
+++ b/copies/src/machine.rs
@@ -254,7 +254,7 @@
             self.ledger.finish(now, key, &answer);
             return Outcome::Noted;
         }
-        match self.ledger.known(now, key) {
+        match self.ledger.previous_admission(now, key) {
             Some(Admission::Ended(kept)) if kept == answer => Outcome::Noted,
             _ => Outcome::TooLate,
         }
--- a/gateway/src/sites.rs
+++ b/gateway/src/sites.rs
@@ -67,7 +67,7 @@
             Some(())
         };
         let written = match frame.write_deadline {
-            Some(until) => clock.by(until, write).await.flatten(),
+            Some(deadline) => clock.by(deadline, write).await.flatten(),
             None => write.await,
         };
         if written.is_none() {
@@ -162,8 +162,8 @@
 ) -> Result<(Vec<ListedMember>, BTreeMap<MemberId, usize>), String> {
     let (mut all, mut links) = (Vec::new(), BTreeMap::new());
     for (link, peer) in settings.peers.iter().enumerate() {
-        for &stands in &peer.roles {
-            let (id, kind, what) = match stands {
+        for &role in &peer.roles {
+            let (id, kind, what) = match role {
                 Role::Parent => (peer.name.clone(), config.settings.parent_kind, "parent"),
                 Role::Origin => (format!("{}/origin", peer.name), config.settings.origin_kind, "origin"),
             };
--- a/gateway/src/sites/acceptor.rs
+++ b/gateway/src/sites/acceptor.rs
@@ -187,8 +187,8 @@
         let Some(purpose) = self.replica_queries.borrow_mut().remove(&query) else { return };
         match purpose {
             QueryPurpose::RegisterSender(session, group) => {
-                let known = result == Ok(Outcome::Greeted(true));
-                let ledger = self.copies.as_ref().and_then(|c| c.ledger(group)).filter(|_| known);
+                let registered = result == Ok(Outcome::Greeted(true));
+                let ledger = self.copies.as_ref().and_then(|c| c.ledger(group)).filter(|_| registered);
                 self.with_core(|core, now| core.sender_registered(now, session, ledger));
             }
             QueryPurpose::ReplicateAccept(call, asked_at) => {
--- a/gateway/src/sites/initiator.rs
+++ b/gateway/src/sites/initiator.rs
@@ -27,7 +27,7 @@
 }
 
 /// A link's connection. The generation is increased when a connection is closed, so that messages of an
-/// earlier one are told apart.
+/// earlier one can be ignored.
 #[derive(Default)]
 struct Link {
     generation: u64,
--- a/sites/src/acceptor.rs
+++ b/sites/src/acceptor.rs
@@ -136,7 +136,7 @@
     welcome_deadline: Option<Time>,
     /// Ledger of the replica group in which the sender is registered.
     replica_ledger: Option<u64>,
-    /// Ledger that the sender has been told of.
+    /// Ledger that was last announced to the sender.
     announced_ledger: Option<u64>,
     /// When to register with the replicas again.
     register_at: Option<Time>,
@@ -339,7 +339,7 @@
     /// registered again.
     pub fn replica_ledger_changed(&mut self, now: Time, ledger: u64, matches: impl Fn(u64) -> bool) {
         for state in self.sessions.values_mut().filter(|s| matches(s.sender)) {
-            if state.replica_ledger.is_some_and(|known| known != ledger) {
+            if state.replica_ledger.is_some_and(|current| current != ledger) {
                 (state.replica_ledger, state.register_at) = (None, Some(now));
             }
         }
@@ -350,7 +350,8 @@
         (self.credit(), self.leaving)
     }
 
-    /// Returns a call if the request may run; the host keeps the request under it until `Run`, `Discard` or `SendAnswer`.
+    /// Returns a call if the request may run; the host keeps the request under it until `Run`, `Discard` or
+    /// `SendAnswer`.
     pub fn request(&mut self, now: Time, session: SessionId, meta: &RequestMeta) -> Option<Call> {
         let result = self.admit(now, session, meta);
         // A request refused as not run is fenced, so that it does not run when it arrives again.
@@ -376,7 +377,7 @@
         let from = self.sessions.get(&session).ok_or(None)?;
         let key = Key { sender: from.sender, number };
         // A duplicate gets the outcome of the first whether or not there is room now: it may have run.
-        let previous = if meta.unrepeatable { self.ledger.known(now, key) } else { None };
+        let previous = if meta.unrepeatable { self.ledger.previous_admission(now, key) } else { None };
         if let Some(previous) = previous {
             return Err(Some(self.reply_to_duplicate(session, key, previous)));
         }
@@ -584,7 +585,7 @@
             Some(Lookup::Unknown) | None => wire::TxnStatus::Unknown,
         };
         if status != wire::TxnStatus::Running && self.unwatch(session, number) {
-            // The sender was told that the txn runs, and accepts only an answer now.
+            // The sender has received the status running, after which it accepts only an answer.
             let answer = Arc::new(Answer { outcome: TxnOutcome::Aborted, body: Vec::new() });
             return self.actions.push_back(SessionAction::SendAnswer { session, number, answer });
         }
@@ -664,7 +665,7 @@
         for &number in numbers {
             let key = Key { sender, number };
             if self.replicated {
-                // Txns that run here are known here; for all others the replicas decide.
+                // Running txns are looked up locally; the replicas decide about all others.
                 if self.calls_by_key.contains_key(&key) {
                     self.attach_session(session, key);
                     self.actions.push_back(SessionAction::SendStatus {
--- a/sites/src/delay.rs
+++ b/sites/src/delay.rs
@@ -104,7 +104,7 @@
     pub fn on_ack(&mut self, now: Time, sent: Time, bytes: f64, limited: bool) {
         let sample = now - sent;
         self.base_rtt.add(now, sample, BASE_RTT_WINDOW);
-        self.round_min_rtt = Some(self.round_min_rtt.map_or(sample, |least| least.min(sample)));
+        self.round_min_rtt = Some(self.round_min_rtt.map_or(sample, |min| min.min(sample)));
         self.round_acked += bytes;
         self.round_acked_busy += if limited { 0.0 } else { bytes };
         if sent >= self.round_start {
--- a/sites/src/initiator.rs
+++ b/sites/src/initiator.rs
@@ -619,9 +619,9 @@
             // Query here about ledgers that no connected link serves any more.
             let in_doubt = |h: &&Hop| h.state == HopState::InDoubt;
             let ledgers: BTreeSet<u64> = self.hops.values().filter(in_doubt).map(|h| h.ledger).collect();
-            let known = |ledger: &u64| self.links.iter().any(|l| l.connected() && l.ledger == Some(*ledger));
+            let served = |ledger: &u64| self.links.iter().any(|l| l.connected() && l.ledger == Some(*ledger));
             let unserved: Vec<u64> =
-                ledgers.into_iter().filter(|l| knows_past_ledgers && !known(l)).collect();
+                ledgers.into_iter().filter(|l| knows_past_ledgers && !served(l)).collect();
             unserved.into_iter().for_each(|ledger| self.query_ledger(link, ledger));
         }
     }
@@ -818,8 +818,9 @@
                     if phase == LinkPhase::Up {
                         at = at.min(l.next_step);
                     }
-                    let owed = l.awaiting_since.map(|since| since + l.rtt.timeout() * SUSPECT_AFTER_TIMEOUTS);
-                    at = owed.map_or(at, |owed| at.min(owed));
+                    let silence_limit =
+                        l.awaiting_since.map(|since| since + l.rtt.timeout() * SUSPECT_AFTER_TIMEOUTS);
+                    at = silence_limit.map_or(at, |limit| at.min(limit));
                 }
                 at
             }
--- a/sites/src/ledger.rs
+++ b/sites/src/ledger.rs
@@ -196,7 +196,7 @@
 
     /// The reply to a duplicate, or to a number that may have been accepted before; `None` if it certainly
     /// was not.
-    pub fn known(&mut self, now: Time, key: Key) -> Option<Admission> {
+    pub fn previous_admission(&mut self, now: Time, key: Key) -> Option<Admission> {
         let Some(sender) = self.senders.get_mut(&key.sender) else { return Some(Admission::Forgotten) };
         sender.last_seen = now;
         match sender.entries.get(&key.number).map(|e| &e.state) {
@@ -210,8 +210,8 @@
 
     /// Accepts a txn. It may run only on `New`.
     pub fn accept(&mut self, now: Time, key: Key) -> Admission {
-        if let Some(known) = self.known(now, key) {
-            return known;
+        if let Some(previous) = self.previous_admission(now, key) {
+            return previous;
         }
         if !self.has_room(now) {
             return Admission::Full;
--- a/sites/src/pace.rs
+++ b/sites/src/pace.rs
@@ -93,9 +93,9 @@
 
     /// Bytes that may be in flight.
     pub fn window(&self) -> f64 {
-        let bdp =
+        let window =
             self.rate().zip(self.neg_min_answer_secs.get()).map(|(rate, secs)| rate * -secs * WINDOW_GAIN);
-        bdp.unwrap_or(0.0).clamp(MIN_WINDOW_BYTES, MAX_WINDOW_BYTES)
+        window.unwrap_or(0.0).clamp(MIN_WINDOW_BYTES, MAX_WINDOW_BYTES)
     }
 
     /// Whether `bytes` fit into the window beside the `out` bytes in flight of at least the same
@@ -154,8 +154,8 @@
         let Some(rate) = self.saturated_rate.get().filter(|_| self.blocked_since.is_some()) else {
             return Span::ZERO;
         };
-        let total_bytes = (ahead + bytes) / rate.max(1.0);
-        Span::from_secs_f64(total_bytes - self.min_answer_time().as_secs_f64())
+        let delay_secs = (ahead + bytes) / rate.max(1.0);
+        Span::from_secs_f64(delay_secs - self.min_answer_time().as_secs_f64())
     }
 
     /// A new connection: nothing is in flight, and the rate has to be measured again.
