--- a/gateway/src/sites/copies.rs
+++ b/gateway/src/sites/copies.rs
@@ -391,9 +391,9 @@
         };
         // One that gave up before it said anything is no sign of harm.
         let Some(begun) = clock.within(CONNECTS * 2.0, begun).await else { return Ok(()) };
-        let (connection, mut recv, initial_window) = begun?;
+        let (connection, mut recv, first) = begun?;
         let known = self.peers.borrow().len();
-        let (holder, id) = self.tell(|node, now| node.greeted(now, &initial_window))?;
+        let (holder, id) = self.tell(|node, now| node.greeted(now, &first))?;
         debug_assert!(holder < known);
         log::info!("{} is here", self.file.holders[holder].name);
         {
