--- a/feed/src/compose.rs
+++ b/feed/src/compose.rs
@@ -1,5 +1,8 @@
-//! Events of the list services as bundles: what has come since the last one, and ranges for those who were away. Must
-//! never leave a purge out of a range that it names; where names are short of room they cover more.
+//! Composes bundles from the events of the list services: live bundles of what is new, and retransmissions of requested
+//! ranges.
+//!
+//! Invariant: a bundle contains every purge of the ranges it names; where space is short, hash prefixes are shortened
+//! so that they cover more objects.
 
 use crate::EventError;
 use crate::config::SIGNATURE_LEN;
@@ -12,31 +15,33 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, VecDeque};
 
-/// A bundle ends sooner rather than that its names get shorter than this: 0.8% of all objects, at the fullest.
+/// Live bundles are cut off before hash prefixes get shorter than this; at that length a full bundle covers 0.8% of all
+/// objects.
 const MIN_LIVE_BITS: u8 = 17;
-/// Names for those who were away.
+/// Prefix length for which retransmissions are sized.
 const RETRANSMIT_BITS: u8 = 24;
-/// Numbers behind that are told live after a list service was away; who needs older ones asks for them.
+/// Number of events up to which a backlog is published live after a list service was unreachable; older ones are sent
+/// on request.
 const MAX_LIVE_BACKLOG: u64 = 20_000;
-/// Pieces that wait for the next bundles, and the bytes of all events that are kept and no purges.
+/// Maximum number of pieces queued for the next bundles.
 const MAX_QUEUED_PIECES: usize = 8_192;
 const MAX_KEPT_LINE_BYTES: usize = 16 * 1024 * 1024;
-/// Purges bind for so long; what came before that is no more of late, whatever its stamp. Seconds are marked.
+/// Purges have an effect for this long; events that arrived earlier are not recent, whatever their timestamps.
 const RECENT_WINDOW: Span = Span::from_millis(30_000);
 const MARK_INTERVAL: Span = Span::from_millis(1_000);
 const MAX_MARKS: usize = 40;
-/// So many stale stamps in a row: what lies before is no more of late.
+/// After this many stale timestamps in a row, older events are not recent either.
 const MAX_STALE_IN_ROW: usize = 32;
-/// Bundles of late, and events of each stream, by whose stamps a bundle without purges has its own: not those of all
-/// times, since one may come from a clock that was far ahead.
+/// Number of recent bundles whose timestamps are used for a bundle without purges. Not all of them, since one may come
+/// from a clock that was far ahead.
 const RECENT_BUNDLES: usize = 64;
 const RECENT_EVENTS: usize = 512;
-/// In place of a stamp: the event is no purge.
+/// Stored in place of a timestamp for an event that is not a purge.
 const NOT_A_PURGE: u64 = u64::MAX;
 
 #[derive(Clone, Debug, PartialEq)]
 enum Event {
-    /// Names at full length, one of them or both.
+    /// Full-length hashes of the object, of the group, or of both.
     Purge {
         names: [Option<u64>; 2],
         issued_ms: u64,
@@ -49,11 +54,11 @@
         return Err(EventError::TooLarge);
     }
     let value: Value = serde_json::from_slice(line).map_err(|_| EventError::Json)?;
-    let seq = value.get("no").and_then(Value::as_u64).ok_or(EventError::Malformed("no number"))?;
+    let seq = value.get("no").and_then(Value::as_u64).ok_or(EventError::Malformed("no sequence number"))?;
     if seq == 0 || seq > MAX_SEQ {
-        return Err(EventError::Malformed("a number out of bounds"));
+        return Err(EventError::Malformed("sequence number out of range"));
     }
-    // What isn't known for a purge for sure goes on as it is.
+    // Anything that is not certainly a purge is passed on verbatim.
     let purge = || {
         let recall = value.get("recall")?;
         let issued_ms = recall.get("issued")?.as_u64().filter(|i| *i < NOT_A_PURGE)?;
@@ -71,27 +76,27 @@
     Ok((seq, purge().unwrap_or(Event::Other)))
 }
 
-/// What one list service has told.
+/// The events of one list service.
 pub struct Source {
     pub position: u64,
-    /// It may begin further on than where it was asked from.
+    /// The first event may have a higher sequence number than the one requested.
     accepts_later_start: bool,
-    /// All up to it has been told in bundles; `None`: nothing yet.
+    /// Everything up to it has been published in bundles; `None`: nothing yet.
     pub published: Option<u64>,
-    /// The list service has no more than this.
+    /// All events of the list service up to `position` have been received.
     pub caught_up: bool,
     pub fresh_at: Option<Time>,
-    /// Of the front of `kept`.
+    /// Sequence number of the front of `events`.
     first_kept: u64,
-    /// Name and stamp by number.
+    /// Hash and timestamp of each event, in sequence.
     events: VecDeque<(u64, u64)>,
-    /// The second names of purges that have two.
+    /// The second hash of purges that have two.
     second_names: BTreeMap<u64, u64>,
     lines: BTreeMap<u64, Vec<u8>>,
-    /// The latest stamps: of all, and of those that are not kept any more.
+    /// The latest timestamps: of all events, and of those that are no longer kept.
     latest_issued_ms: u64,
     dropped_issued_ms: u64,
-    /// Positions at times of late.
+    /// Positions at recent points in time.
     marks: VecDeque<(Time, u64)>,
 }
 
@@ -113,7 +118,7 @@
         }
     }
 
-    /// The list service has nothing older than this number, which is the first one that it tells here.
+    /// Starts at this sequence number if it is the first one received: the list service has no older events.
     fn begin_at(&mut self, seq: u64) -> bool {
         let is = self.accepts_later_start && self.events.is_empty() && seq > self.position;
         if is {
@@ -122,7 +127,7 @@
         is
     }
 
-    /// Notes how far it is.
+    /// Records the current position, at intervals.
     fn add_mark(&mut self, now: Time) {
         if self.marks.back().is_none_or(|(at, _)| now - *at >= MARK_INTERVAL) {
             self.marks.push_back((now, self.position));
@@ -132,7 +137,7 @@
         }
     }
 
-    /// All up to this number came before a time.
+    /// The position at a point in time: all events up to it had arrived by then.
     fn position_at(&self, time: Time) -> u64 {
         self.marks.iter().rev().find(|(at, _)| *at <= time).map_or(0, |(_, position)| *position)
     }
@@ -152,17 +157,17 @@
     }
 }
 
-/// What is said in a bundle beside events.
+/// Contents of a live bundle besides events.
 pub struct LiveHeader {
     pub now: Time,
-    /// The watermarks by stream: at sites in touch, and at all.
+    /// The watermarks by stream: at sites in touch, and at all sites.
     pub watermarks: Vec<(u64, u64)>,
     pub site_count: u32,
 }
 
 pub struct Composer {
     pub sources: Vec<Source>,
-    /// Pieces that wait: stream, number and offset.
+    /// Pieces to send: stream, sequence number and offset.
     piece_queue: VecDeque<(usize, u64, u32)>,
     hub_id: u32,
     run_id: u32,
@@ -171,13 +176,13 @@
     line_bytes: usize,
     piece_len: usize,
     recent_issued_ms: VecDeque<u64>,
-    /// The latest stamps that other hubs know of.
+    /// The latest timestamps that other hubs have announced.
     pub latest_by_hub: BTreeMap<u32, u64>,
-    /// Events that were let go of although nobody can have them again.
+    /// Events dropped although no one else has them.
     pub dropped: u64,
 }
 
-/// Bytes that so many names want with so many bits, with some room to spare.
+/// Upper estimate of the encoded length of this many hashes at this prefix length.
 fn estimate_names_len(names: usize, bits: u8) -> usize {
     if names == 0 {
         return 0;
@@ -189,7 +194,7 @@
 
 impl Composer {
     pub fn new(hub_id: u32, run_id: u32, positions: &[u64], max_kept: usize) -> Composer {
-        // A hub has what was before the configuration, too, for those who were away.
+        // A hub also reads events from before the configured position, for gateways that are behind.
         let before = |p: &u64| if hub_id == 0 { *p } else { p.saturating_sub(max_kept as u64) };
         Composer {
             sources: positions.iter().map(|p| Source::new(before(p), hub_id != 0)).collect(),
@@ -199,7 +204,7 @@
             seq: 0,
             max_kept,
             line_bytes: 0,
-            // So that the heads of many streams and a piece fit together.
+            // Leaves room for the headers of many streams beside one piece.
             piece_len: MAX_PIECE_BYTES.min(1_010 - 13 * positions.len()),
             recent_issued_ms: VecDeque::new(),
             latest_by_hub: BTreeMap::new(),
@@ -207,7 +212,7 @@
         }
     }
 
-    // What a list service tells.
+    // Input from list services.
 
     pub fn add_line(&mut self, now: Time, stream: usize, line: &[u8]) -> Result<(), EventError> {
         let line = line.trim_ascii();
@@ -246,7 +251,7 @@
         Ok(())
     }
 
-    /// Where all together are too much, the oldest go of the stream that has most.
+    /// Over the limit, the oldest lines are dropped of the stream that has the most.
     fn enforce_line_limit(&mut self) {
         while self.line_bytes > MAX_KEPT_LINE_BYTES {
             let most = self.sources.iter_mut().max_by_key(|s| s.lines.len());
@@ -256,7 +261,7 @@
         }
     }
 
-    /// Begins a stream anew behind a number, from which on all is told.
+    /// Restarts a stream after a position; everything after it is published.
     pub fn reset(&mut self, stream: usize, position: u64) {
         let stale_in_row = std::mem::replace(&mut self.sources[stream], Source::new(position, false));
         self.line_bytes -= stale_in_row.lines.values().map(Vec::len).sum::<usize>();
@@ -264,7 +269,7 @@
         self.piece_queue.retain(|(s, _, _)| *s != stream);
     }
 
-    /// `false`: the list service has more than it told.
+    /// Returns `false` if the list service has events that were not received.
     pub fn set_last(&mut self, now: Time, stream: usize, seq: u64) -> bool {
         let Some(source) = self.sources.get_mut(stream) else { return true };
         if seq > source.position && !source.begin_at(seq + 1) {
@@ -285,7 +290,7 @@
         }
     }
 
-    /// Whether there is something to tell.
+    /// Whether there is anything left to publish.
     pub fn has_more(&self) -> bool {
         !self.piece_queue.is_empty() || self.sources.iter().any(|s| s.unpublished() > 0)
     }
@@ -306,7 +311,7 @@
         first.into_iter().chain(source.second_names.get(&seq).copied())
     }
 
-    /// The stamp of a purge; `None`: it is none, or not kept.
+    /// The timestamp of a purge; `None` if the event is not a purge or not kept.
     fn issued_at(&self, stream: usize, seq: u64) -> Option<u64> {
         let source = &self.sources[stream];
         let (_, issued_ms) = source.events.get(seq.checked_sub(source.first_kept)? as usize)?;
@@ -320,7 +325,7 @@
         Bundle { hub: self.hub_id, run_id: self.run_id, seq: self.seq, firsts, counts, ..Bundle::default() }
     }
 
-    /// Guards against a gap that is told as a purge of everything with a stamp of before what it hides.
+    /// Guards against a gap that is reported as a purge of everything with a timestamp older than what it hides.
     fn set_latest_delta(&self, bundle: &mut Bundle) {
         let latest =
             self.latest_recent_issued_ms().max(self.latest_by_hub.values().copied().max().unwrap_or(0));
@@ -332,13 +337,15 @@
         if !all.is_empty() {
             let room = (MAX_BUNDLE_BYTES - SIGNATURE_LEN).saturating_sub(bundle.encoded_len() + 3);
             let (_, name_codec) = name_codec::encode_within(all, room);
-            // Can't be with what `wants` has left; too much is purged rather than too little.
+            // Not expected, given the room that `estimate_names_len` reserves; purging too much is safer than too
+            // little.
             bundle.names =
                 if name_codec.len() > room { name_codec::encode(&PrefixSet::all()) } else { name_codec };
         }
     }
 
-    /// The latest stamp of late, also of what was never told here: a gap that a bundle shows may hide that.
+    /// The latest recent timestamp, including events that were never published here: a gap revealed by a bundle may
+    /// hide them.
     fn latest_recent_issued_ms(&self) -> u64 {
         let kept = self
             .sources
@@ -347,7 +354,7 @@
         kept.filter(|i| *i != NOT_A_PURGE).chain(self.recent_issued_ms.iter().copied()).max().unwrap_or(0)
     }
 
-    /// The next bundle of what has not been told.
+    /// The next bundle of unpublished events.
     pub fn live_bundle(&mut self, head: &LiveHeader) -> Bundle {
         let mut bundle = self.new_bundle();
         let room = MAX_BUNDLE_BYTES - SIGNATURE_LEN;
@@ -356,7 +363,7 @@
             if let Some(published) = source.published {
                 bundle.firsts[s] = published + 1;
             }
-            // As long as they may get, for now.
+            // Placeholder of the maximum encoded length.
             bundle.counts[s] = 1_000;
             let age = source.fresh_at.map_or(Span::from_millis(600_000), |at| head.now - at);
             bundle.ages_10ms.push((age.as_micros().div_ceil(10_000)).min(60_000) as u32);
@@ -385,7 +392,7 @@
             self.piece_queue.pop_front();
         }
         for i in 0..n {
-            // Another one is first each time, so that a large event finds room some time.
+            // Rotates the first stream, so that a large event finds room eventually.
             let s = (i + self.seq as usize) % n;
             let Some(published) = self.sources[s].published else { continue };
             for seq in published + 1..=self.sources[s].position {
@@ -435,25 +442,26 @@
         if bundle.everywhere_lag.iter().all(|a| *a == 0) {
             bundle.everywhere_lag.clear();
         }
-        // With room for its asking, which is decided when it is known whether more follows.
+        // `wants_report` was included in the length; the caller sets it once it knows whether more follows.
         self.encode_names(&mut bundle, &all);
         bundle.wants_report = false;
         bundle
     }
 
-    /// What was asked for, as much as fits from its newest end; `None`: it is not here.
+    /// Builds a retransmission of the requested ranges, as much as fits from their newest ends; `None` if nothing is
+    /// available.
     pub fn retransmission(&mut self, now: Time, ranges: &[Range], recent_only: bool) -> Option<Bundle> {
         let mut wanted: Vec<(usize, u64, u64, u32)> = Vec::new();
         for r in ranges {
             let s = r.stream as usize;
             let Some(source) = self.sources.get(s) else { continue };
             let last = r.last.min(source.position);
-            // One range a stream, the one that was named first.
+            // One range per stream, the first one named.
             if r.first <= last && wanted.iter().all(|w| w.0 != s) {
                 wanted.push((s, r.first, last, r.offset));
             }
         }
-        // A purge has no pieces, whatever was asked for.
+        // A purge has no pieces, whatever the offset in the request.
         let is_other = |w: &&(usize, u64, u64, u32)| w.3 > 0 && self.issued_at(w.0, w.1).is_none();
         if let Some((s, seq, _, offset)) = wanted.iter().find(is_other).copied() {
             return self.retransmit_piece(s, seq, offset);
@@ -474,7 +482,7 @@
         let room = MAX_BUNDLE_BYTES - SIGNATURE_LEN;
         let (mut all, mut issued_ms) = (Vec::new(), 0);
         wanted.sort_by_key(|(_, first, last, _)| last - first);
-        // What is of late is asked of all streams at once: none keeps the others from their turn.
+        // Recent events are requested for all streams at once; the rotation gives each stream its turn.
         let turn = if recent_only { self.seq as usize % wanted.len().max(1) } else { 0 };
         wanted.rotate_left(turn);
         let most = (1..)
@@ -487,7 +495,8 @@
             let oldest = first.max(self.sources[s].first_kept);
             let before = if recent_only { self.sources[s].position_at(now.back(RECENT_WINDOW)) } else { 0 };
             let (mut low, mut taken) = (last + 1, 0);
-            // A hub that has read all anew does not know when it came: there stamps tell, but not those of a few.
+            // A hub that has just restarted does not know when events arrived. Timestamps are used then, but not those
+            // of a few outliers.
             let stale_before_ms = if recent_only {
                 self.median_issued_ms(s).saturating_sub(RECENT_WINDOW.as_micros() / 1_000)
             } else {
@@ -513,7 +522,7 @@
                         if let Some(piece) = self.piece_at(s, seq, 0) {
                             let more = piece.encoded_len() + 3;
                             if length + more + estimate_names_len(all.len().max(16), RETRANSMIT_BITS) > room {
-                                // Purges may lie behind large events: those go on their own.
+                                // Purges may lie below large events; those are sent separately.
                                 has_recent |= stale_in_row == 0;
                                 break;
                             }
@@ -541,7 +550,7 @@
         Some(bundle)
     }
 
-    /// The middle one of the latest stamps: clocks that are far ahead are few.
+    /// The median of the latest timestamps, since only few clocks are far ahead.
     fn median_issued_ms(&self, s: usize) -> u64 {
         let kept = self.sources[s].events.iter().rev().map(|(_, issued_ms)| *issued_ms);
         let mut latest: Vec<u64> = kept.take(RECENT_EVENTS).filter(|i| *i != NOT_A_PURGE).take(31).collect();
@@ -555,7 +564,7 @@
         if !is_kept && !was_kept {
             return self.purge_dropped_range(s, seq, seq);
         }
-        // Guards against a signed range without its event: only one that was let go of is passed over.
+        // Guards against a signed range without its event: only an event that was dropped is skipped.
         let piece = self.piece_at(s, seq, offset).filter(|p| !p.bytes.is_empty());
         if is_kept && piece.is_none() {
             return None;
@@ -569,7 +578,8 @@
         Some(bundle)
     }
 
-    /// A range that is not kept any more, as a purge of everything; what is known of its other events goes with it.
+    /// Covers a range that is no longer kept by a purge of everything, with the other events of the range that are
+    /// still available.
     fn purge_dropped_range(&mut self, s: usize, first: u64, last: u64) -> Option<Bundle> {
         let source = &self.sources[s];
         let issued_ms =
@@ -587,7 +597,7 @@
             let Some(piece) = self.piece_at(s, seq, 0) else { continue };
             length += piece.encoded_len() + 3;
             if length > MAX_BUNDLE_BYTES - SIGNATURE_LEN {
-                // The range begins behind it; the rest is asked for again.
+                // The range starts after it; the rest will be requested again.
                 (bundle.firsts[s], bundle.counts[s]) = (seq + 1, last - seq);
                 break;
             }
@@ -614,7 +624,7 @@
                 return Err(format!("stream {s} keeps {} events", source.events.len()));
             }
             if source.first_kept + source.events.len() as u64 != source.position + 1 {
-                return Err(format!("stream {s} keeps other events than those up to {}", source.position));
+                return Err(format!("stream {s} does not keep the events up to {}", source.position));
             }
         }
         let bytes: usize = self.sources.iter().flat_map(|s| s.lines.values()).map(Vec::len).sum();
@@ -622,7 +632,7 @@
             || bytes > MAX_KEPT_LINE_BYTES + MAX_LINE_BYTES
             || self.piece_queue.len() > MAX_QUEUED_PIECES
         {
-            return Err(format!("{bytes} bytes of events, {} pieces wait", self.piece_queue.len()));
+            return Err(format!("{bytes} bytes of events, {} pieces queued", self.piece_queue.len()));
         }
         Ok(())
     }
--- a/feed/src/gateway.rs
+++ b/feed/src/gateway.rs
@@ -1,6 +1,8 @@
-//! A gateway's part: who of its site hears a hub for the others, the tree by which a bundle goes round, repair among
-//! neighbours, and what is confirmed. Must never move a position by what no hub has signed, nor answer one that is
-//! neither of its site nor a hub.
+//! The feed endpoint of a gateway: election of the site's contact, dissemination tree, repair among neighbours,
+//! acknowledgements, and provisional bundles while no hub is reachable.
+//!
+//! Invariant: a position advances only on a bundle that a hub has signed, and requests are answered only for members of
+//! the site.
 
 use crate::compose::{Composer, LiveHeader};
 use crate::config::{self, Config, SignedKind, TokenBucket, fold_to_u32};
@@ -24,55 +26,60 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Whom each member hands a bundle to.
+/// Number of members to which each member of the tree forwards a bundle.
 const TREE_FANOUT: usize = 3;
 const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
-/// From one in the order to the next, before it steps in.
+/// Delay between one rank of the contact order and the next before it takes over as contact.
 const CONTACT_STEP: Span = Span::from_millis(150);
-/// Alone at the start: others may only not be known yet.
+/// A gateway that knows no other members waits this long after its start before it becomes the contact: the others may
+/// just not have been discovered yet.
 const ALONE_DELAY: Span = Span::from_millis(1_000);
 const SUBSCRIBE_INTERVAL: Span = Span::from_millis(1_000);
-/// With no word from any hub the next one is tried so soon.
+/// After a first timeout, the next hub is tried at this interval until one answers.
 const NEXT_HUB_TIMEOUT: Span = Span::from_millis(600);
-/// Whether the first hub in the site's order is back.
+/// Interval at which a contact tries the first hub in the site's order again.
 const FIRST_HUB_RETRY: Span = Span::from_millis(30_000);
-/// A first request waits so long for what comes out of order; on the way from a hub that is longer.
+/// A gap is first requested after this delay, so that reordered datagrams can still arrive; longer (`_WAN`) at the
+/// contact, whose datagrams come from a hub.
 const REORDER_WAIT: Span = Span::from_millis(10);
 const REORDER_WAIT_WAN: Span = Span::from_millis(40);
 const RETRY_DELAY: Span = Span::from_millis(80);
 const RETRY_DELAY_WAN: Span = Span::from_millis(250);
 const MAX_RETRY_DELAY: Span = Span::from_millis(1_000);
-/// One that is no contact leaves a gap to its contact for so long, and then to chance for as long again.
+/// A gateway that is not the contact waits this long, plus a random delay of up to the same length, before it asks a
+/// hub: its contact normally repairs the gap first.
 const HUB_REPAIR_DELAY: Span = Span::from_millis(600);
-/// What came before that does not bind any more.
+/// Purges older than this no longer have any effect, so they are not requested.
 const RECENT_WINDOW: Span = Span::from_millis(30_000);
 const ACK_DELAY: Span = Span::from_millis(150);
 const REPORT_DELAY: Span = Span::from_millis(300);
-/// A confirmation is said once more, and a report made once more of what has come since: one datagram lost, or a bundle had
-/// late by repair, would put the watermark off by a whole round, and among thousands there are some in each.
+/// Acknowledgements are sent twice, and a report is sent again with what has arrived since. One lost datagram, or a
+/// bundle repaired late, would otherwise hold the watermark back for a whole round, and with thousands of gateways
+/// every round has some.
 const RESEND_DELAY: Span = Span::from_millis(60);
 const REPORT_RESEND_DELAY: Span = Span::from_millis(500);
 const MAX_RESENDS: usize = 64;
 const MAX_PENDING_ACKS: usize = 16;
 const MAX_UNFORWARDED: usize = 64;
-/// Bundles in answer to one request, and in a second to one member.
+/// Bundles sent in response to one request.
 const MAX_RETRANSMITS_PER_REQUEST: usize = 4;
 const RETRANSMITS_PER_S: f64 = 40.0;
-/// A bundle that is older than what was known so long ago is no sign of life.
+/// A bundle that ends below the positions of this long ago does not count as a sign of life from its hub.
 const STALE_AFTER: Span = Span::from_millis(2_000);
-/// A bundle comes a period after the last one and so much later at the most, when nothing is lost.
+/// Without loss, a bundle arrives within one period plus this margin after the previous one.
 const OVERDUE_MARGIN: Span = Span::from_millis(150);
-/// Without hubs the next place in the order asks list services so much later than all had their turn.
+/// While no hub is reachable, the next rank of the contact order connects to list services this much later than the
+/// round in which all sites of the previous rank had their turn.
 const NEXT_RANK_DELAY: Span = Span::from_millis(2_000);
-/// Pieces and backlogs go out in bundles so far apart.
+/// Spacing between bundles of one period when pieces or a backlog remain.
 const BUNDLE_SPACING: Span = Span::from_millis(20);
-/// Sites that there are, as long as no hub has told.
+/// Number of sites assumed until a hub has sent the actual number.
 const DEFAULT_SITE_COUNT: u32 = 64;
-/// What is gathered without hubs is kept no longer than until it is told.
+/// Events gathered from list services are kept only until they have been sent in a provisional bundle.
 const MAX_GATHERED_EVENTS: usize = 4_096;
 
 struct Contact {
-    /// In the set's order.
+    /// Index into `Config::hub_order`.
     hub: usize,
     since: Time,
     tries: u32,
@@ -88,17 +95,19 @@
     highest_seen: u64,
     preferred_source: Option<SocketAddr>,
     asked: Option<SocketAddr>,
-    /// No request to a hub before, from one that is no contact; and to a neighbour, from a contact.
+    /// Earliest time of the next request to a hub (from a gateway that is not the contact) and to a neighbour (from the
+    /// contact).
     hub_not_before: Time,
     neighbour_not_before: Time,
 }
 
-/// What is wanted of before the start: by stream, up to which number it isn't there yet, and what is there below that.
+/// Retransmission of recent events from before the first position: for each stream, the highest sequence number still
+/// missing, and received ranges below it.
 struct Backfill {
     until: Time,
     next: Time,
     tries: u32,
-    /// The hub that was asked last, and how many had nothing.
+    /// The hub asked last, and how many hubs had nothing.
     asked: Option<SocketAddr>,
     unavailable: u32,
     floors: BTreeMap<usize, (u64, VecDeque<(u64, u64)>)>,
@@ -126,27 +135,27 @@
     rng: Pcg64Mcg,
     members: BTreeMap<String, SocketAddr>,
     by_address: BTreeMap<SocketAddr, String>,
-    /// The others in the common order, and one's own place in it.
+    /// The other members in contact order, and this gateway's own rank in it.
     ranked: Vec<String>,
     rank: usize,
     started_at: Time,
     pub streams: Streams,
     log: Log,
-    /// Got by repair and not by the tree.
+    /// Bundles received by repair and not yet through the tree.
     unforwarded: VecDeque<BundleId>,
-    /// The latest number of each hub and its run.
+    /// Run id and highest sequence number of the latest live bundle, by hub.
     latest_by_hub: BTreeMap<u32, (u32, u64)>,
-    /// Positions of late, and of somewhat earlier.
+    /// Positions at `earlier_at`, and one interval of `STALE_AFTER` before.
     earlier_positions: [Vec<u64>; 2],
     earlier_at: Time,
-    /// A hub's live bundle was heard: by any way, and from the hub itself.
+    /// When a live bundle of a hub was last received: by any path, and directly from a hub.
     last_live: Option<Time>,
     last_live_direct: Option<Time>,
-    /// When the next one has to be here.
+    /// When the next live bundle is overdue.
     overdue_at: Option<Time>,
-    /// What one before it in the order gathered without hubs.
+    /// When a provisional bundle of a member with a lower rank was last received.
     last_provisional: Option<Time>,
-    /// The place of the contact that was heard last.
+    /// Rank of the contact whose bundle was received last.
     contact_rank: u32,
     contact: Option<Contact>,
     tokens: Vec<u64>,
@@ -154,7 +163,7 @@
     repair: Repair,
     backfill: Option<Backfill>,
     pending_acks: VecDeque<PendingAck>,
-    /// To be said once more, and when.
+    /// Payloads to send a second time, and when.
     resends: VecDeque<(Time, SocketAddr, Payload)>,
     aggregates: BTreeMap<BundleId, AckAggregate>,
     list_connections: Vec<ListConnection>,
@@ -224,15 +233,16 @@
             self.repair.preferred_source.filter(|a| self.by_address.contains_key(a));
     }
 
-    // The way through the site.
+    // Dissemination within the site.
 
-    /// All of the site in the order of one bundle's tree: an order for each hub, turned on by its number, so that each
-    /// one carries as much as the others over any row of bundles.
+    /// All members of the site in the tree order of one bundle. The order is fixed per hub and rotated by the sequence
+    /// number, so that the forwarding load spreads evenly over any run of bundles.
     fn tree_order(&self, bundle: &BundleId) -> Vec<&str> {
         self.rotated_order(bundle, bundle.seq)
     }
 
-    /// Who gathers what is confirmed: every second bundle asks, and each one's turn comes.
+    /// The member that aggregates the acknowledgements of a bundle. Only every second bundle asks for a report, hence
+    /// the halved sequence number.
     fn ack_root(&self, bundle: &BundleId) -> &str {
         self.rotated_order(bundle, bundle.seq / 2)[0]
     }
@@ -241,8 +251,8 @@
         let mut all: Vec<&str> = self.members.keys().map(String::as_str).collect();
         all.push(&self.name);
         all.sort_by_cached_key(|n| std::cmp::Reverse((rank::score(n, bundle.hub.into()), *n)));
-        // By the golden section (Weyl's sequence): turns spread evenly, and who knows one member more or less turns to
-        // nearly the same place.
+        // Golden-ratio (Weyl) sequence: successive rotations spread evenly, and a member that knows one member more or
+        // less still rotates to nearly the same place.
         let start = (u128::from(turn.wrapping_mul(GOLDEN_RATIO)) * all.len() as u128) >> 64;
         all.rotate_left(start as usize);
         all
@@ -253,17 +263,18 @@
         let Some(own) = tree.iter().position(|n| *n == self.name) else { return };
         let children = (TREE_FANOUT * own + 1..=TREE_FANOUT * own + TREE_FANOUT).filter(|i| *i < tree.len());
         let root = (root_too && own != 0).then_some(0);
-        // The contact had it first.
+        // The contact already has the bundle.
         let contact = if root_too { None } else { self.member_at_rank(contact_rank) };
         let to = root.into_iter().chain(children).map(|i| tree[i]).filter(|n| contact != Some(*n));
         let to: Vec<SocketAddr> = to.filter_map(|n| self.members.get(n).copied()).collect();
         for address in to {
-            let passed = LiveBundle { bundle: bytes.to_vec(), contact_rank };
-            self.outbox.push_back((address, Payload::Live(passed)));
+            let live = LiveBundle { bundle: bytes.to_vec(), contact_rank };
+            self.outbox.push_back((address, Payload::Live(live)));
         }
     }
 
-    /// One that a neighbour gave before it came by its tree: those behind in the tree wait for it all the same.
+    /// Forwards a bundle that was repaired from a neighbour before it arrived through the tree: the children in the
+    /// tree still wait for it.
     fn forward_repaired(&mut self, bundle: &BundleId, hub: Option<usize>, contact_rank: u32) {
         let Some(at) = self.unforwarded.iter().position(|n| n == bundle) else { return };
         self.unforwarded.remove(at);
@@ -273,7 +284,8 @@
         }
     }
 
-    /// It is not older than what was known here some seconds ago, nor than the hub's latest.
+    /// Whether a bundle is live: not older than the positions of some seconds ago, and not older than the latest one of
+    /// its hub. Guards against replayed bundles passing for a live hub.
     fn is_current(&self, body: &Bundle) -> bool {
         let newer = match self.latest_by_hub.get(&body.hub) {
             Some((run_id, seq)) if *run_id == body.run_id => body.seq >= *seq,
@@ -290,7 +302,7 @@
         self.last_live.is_some_and(|at| now - at < self.config.silence_timeout)
     }
 
-    /// A bundle of a hub on its way through the site, or one that was asked for.
+    /// Handles a hub's bundle: live (`contact_rank` is set), or retransmitted (`None`).
     fn handle_bundle(
         &mut self,
         now: Time,
@@ -349,7 +361,7 @@
         match contact_rank {
             Some(_) if hub.is_some() => self.forward(&bundle, bytes, self.rank as u32, true),
             Some(contact_rank) => self.forward(&bundle, bytes, contact_rank, false),
-            // What a hub sends for one who was away the whole site has missed.
+            // What the contact had to request from a hub, the whole site has missed.
             None if hub.is_some() && self.contact.is_some() => {
                 self.forward(&bundle, bytes, self.rank as u32, true);
             }
@@ -373,7 +385,7 @@
         self.schedule_repair(now, from, missing);
     }
 
-    /// Another contact in front is heard: one is enough.
+    /// Steps down if another contact with a lower rank is active: one is enough.
     fn yield_to(&mut self, contact_rank: u32, body: &Bundle) {
         if (contact_rank as usize) < self.rank && self.contact.is_some() && self.is_current(body) {
             self.stop_contact();
@@ -387,10 +399,11 @@
         self.close_list_connections();
     }
 
-    /// A copy that came from a hub: this contact hears it, though another one was faster.
+    /// Handles a duplicate received directly from a hub: this contact is being served although another contact's copy
+    /// arrived first.
     fn note_direct_copy(&mut self, now: Time, hub: Option<usize>, body: &Bundle) {
-        let is = self.latest_by_hub.get(&body.hub) == Some(&(body.run_id, body.seq));
-        if !is {
+        let is_latest = self.latest_by_hub.get(&body.hub) == Some(&(body.run_id, body.seq));
+        if !is_latest {
             return;
         }
         self.last_live_direct = Some(now);
@@ -405,23 +418,23 @@
 
     // The contact.
 
-    /// Since when nobody brings anything to this one.
+    /// Since when neither a hub's live bundle nor a provisional bundle has been received.
     fn silent_since(&self) -> Time {
         self.last_live.max(self.last_provisional).unwrap_or(self.started_at)
     }
 
-    /// Since when it may ask list services itself: each place in the order gets its turn before the next one.
+    /// From when this gateway may connect to list services: each rank gets its turn before the next one.
     fn connects_from(&self) -> Time {
         let one = self.list_round(false) + NEXT_RANK_DELAY;
         self.silent_since() + self.config.silence_timeout * 2.0 + one * self.rank as f64
     }
 
     fn tick_contact(&mut self, now: Time, counts: &mut Counts) {
-        let quiet = now - self.silent_since();
+        let silence = now - self.silent_since();
         let known = !self.ranked.is_empty() || now - self.started_at >= ALONE_DELAY;
         let first = self.rank == 0 && known;
-        let steps_in = quiet >= self.config.silence_timeout + CONTACT_STEP * self.rank as f64;
-        if self.contact.is_none() && (first || steps_in) {
+        let takes_over = silence >= self.config.silence_timeout + CONTACT_STEP * self.rank as f64;
+        if self.contact.is_none() && (first || takes_over) {
             counts.contact_promotions += 1;
             self.contact = Some(Contact {
                 hub: 0,
@@ -454,12 +467,12 @@
         }
     }
 
-    /// A hub speaks to this contact itself: it stays with that one.
+    /// Handles a live bundle received directly from a hub: the contact stays with that hub.
     fn note_hub_live(&mut self, now: Time, hub: Option<usize>) {
         let Some(contact) = &mut self.contact else { return };
         let Some(at) = self.config.hub_order.iter().position(|h| Some(*h) == hub) else { return };
         let before = contact.hub;
-        // Back to the first one, or to whoever speaks while the one that was asked does not.
+        // Switches only to the first hub, or to any hub that sends while the subscribed one does not.
         if at != before && at != 0 && contact.tries == 0 {
             return;
         }
@@ -472,7 +485,7 @@
 
     fn send_subscribe(&mut self, hub: usize, unsubscribe: bool) {
         self.subscribe_seq += 1;
-        let follow = Subscribe {
+        let subscribe = Subscribe {
             site: self.config.site.clone(),
             gateway: self.name.clone(),
             run_id: self.run_id,
@@ -481,7 +494,7 @@
             unsubscribe,
             positions: self.streams.all.iter().map(|s| s.signed.position()).collect(),
         };
-        self.outbox.push_back((self.config.hubs[hub].address, Payload::Subscribe(follow)));
+        self.outbox.push_back((self.config.hubs[hub].address, Payload::Subscribe(subscribe)));
     }
 
     fn handle_challenge(&mut self, now: Time, from: SocketAddr, token: u64) {
@@ -520,13 +533,13 @@
         }
     }
 
-    /// What has come of before the start.
+    /// Records received ranges below the first position.
     fn advance_backfill(&mut self, body: &Bundle) {
         let Some(backfill) = &mut self.backfill else { return };
         for (s, first, last) in body.ranges().filter(|(_, first, last)| first <= last) {
             let Some((floor, below)) = backfill.floors.get_mut(&s) else { continue };
             below.push_back((first, last));
-            // Answers come in any order.
+            // Responses arrive in any order.
             while let Some(at) = below.iter().position(|(a, b)| a <= floor && *floor <= *b) {
                 *floor = below[at].0 - 1;
                 below.remove(at);
@@ -539,7 +552,7 @@
         backfill.floors.retain(|_, (floor, _)| *floor > 0);
     }
 
-    /// Sets repair going where there are gaps; `before`: numbers that were missing before this bundle.
+    /// Schedules repair while there are gaps. `before`: number of missing sequence numbers before this bundle.
     fn schedule_repair(&mut self, now: Time, from: SocketAddr, before: u64) {
         if self.streams.has_no_gaps() {
             self.repair.next = None;
@@ -547,24 +560,24 @@
         }
         let seen: u64 = self.streams.all.iter().map(|s| s.signed.highest_seen()).sum();
         let grows = self.streams.missing_count() > before;
-        let far = self.contact.is_some();
+        let is_contact = self.contact.is_some();
         if self.repair.next.is_none() || grows && seen > self.repair.highest_seen {
             self.repair.since = now;
             self.repair.tries = 0;
-            self.repair.next = Some(now + if far { REORDER_WAIT_WAN } else { REORDER_WAIT });
+            self.repair.next = Some(now + if is_contact { REORDER_WAIT_WAN } else { REORDER_WAIT });
             self.repair.preferred_source = self.by_address.contains_key(&from).then_some(from);
         }
         self.repair.highest_seen = seen;
         if self.streams.missing_count() >= before {
             return;
         }
-        let near = self.by_address.contains_key(&from);
-        if near || far {
-            // While others bring it, a hub is left to them.
+        let from_neighbour = self.by_address.contains_key(&from);
+        if from_neighbour || is_contact {
+            // As long as repair makes progress, hubs are not asked.
             self.repair.since = now;
         }
-        if near && self.repair.asked == Some(from) {
-            // It has more of it, likely.
+        if from_neighbour && self.repair.asked == Some(from) {
+            // This neighbour probably has more of the missing bundles.
             self.repair.tries = self.repair.tries.min(3);
             self.repair.next = self.repair.next.map(|at| at.min(now + RETRY_DELAY));
         }
@@ -576,16 +589,16 @@
 
     fn request_from_hub(&mut self, now: Time, hub: usize) {
         let ranges = self.missing_ranges(now);
-        let fetch = RetransmitRequest {
+        let request = RetransmitRequest {
             ranges,
             site: self.config.site.clone(),
             token: self.tokens[hub],
             ..RetransmitRequest::default()
         };
-        if !fetch.ranges.is_empty() {
+        if !request.ranges.is_empty() {
             let address = self.config.hubs[hub].address;
             self.repair.asked = Some(address);
-            self.outbox.push_back((address, Payload::RetransmitRequest(fetch)));
+            self.outbox.push_back((address, Payload::RetransmitRequest(request)));
         }
     }
 
@@ -606,25 +619,26 @@
         let tries = self.repair.tries;
         self.repair.tries += 1;
         if ranges.is_empty() {
-            // Pieces still come.
+            // The pieces of incomplete events are still arriving.
             self.repair.next = Some(now + RETRY_DELAY_WAN);
             return;
         }
         counts.retransmit_requests += 1;
         let hubs = self.config.hub_order.len();
-        let near = !self.members.is_empty() && now >= self.repair.neighbour_not_before;
+        let ask_neighbours = !self.members.is_empty() && now >= self.repair.neighbour_not_before;
         if let Some(contact) = &self.contact {
-            // The hub that is followed, and another one now and then; between them neighbours, who may have been here
-            // while this one was not.
+            // Asks the subscribed hub, and now and then another one; in between neighbours, which may have been running
+            // while this gateway was not.
             if now >= self.repair.hub_not_before {
                 let turn = tries as usize / 4;
                 let hub = self.config.hub_order[(contact.hub + if turn % 4 == 3 { turn } else { 0 }) % hubs];
                 self.repair.hub_not_before = now + RETRY_DELAY_WAN;
                 self.request_from_hub(now, hub);
-            } else if near {
+            } else if ask_neighbours {
                 self.request_from_neighbour(ranges);
             }
-            self.repair.next = Some(if near { now + RETRY_DELAY } else { self.repair.hub_not_before });
+            self.repair.next =
+                Some(if ask_neighbours { now + RETRY_DELAY } else { self.repair.hub_not_before });
             return;
         }
         let wait = if tries < 6 {
@@ -634,9 +648,9 @@
         } else {
             MAX_RETRY_DELAY
         };
-        let long =
+        let hub_due =
             tries >= 3 && now - self.repair.since >= HUB_REPAIR_DELAY * self.rng.random_range(1.0..2.0);
-        if self.members.is_empty() || long && now >= self.repair.hub_not_before {
+        if self.members.is_empty() || hub_due && now >= self.repair.hub_not_before {
             self.repair.hub_not_before = now + RETRY_DELAY_WAN * self.rng.random_range(1.0..3.0);
             self.repair.next = Some(self.repair.hub_not_before);
             self.request_from_hub(now, self.config.hub_order[tries as usize % hubs]);
@@ -648,7 +662,7 @@
 
     fn request_from_neighbour(&mut self, ranges: Vec<Range>) {
         let from = self.repair.preferred_source.take();
-        // The contact has whatever came to the site.
+        // The contact has everything that reached the site.
         let contact = (self.repair.tries == 2).then(|| self.current_contact());
         let Some(to) = from.or(contact.flatten()).or_else(|| self.random_neighbour()) else { return };
         self.repair.asked = Some(to);
@@ -658,7 +672,7 @@
         ));
     }
 
-    /// A bundle is over its time: it is asked for before the next one shows that it was lost.
+    /// Requests an overdue bundle before the next one reveals that it was lost.
     fn tick_overdue(&mut self, now: Time, counts: &mut Counts) {
         if self.overdue_at.is_none_or(|at| at > now) {
             return;
@@ -674,8 +688,8 @@
         if let Some(contact) = &self.contact {
             let hub = self.config.hub_order[contact.hub];
             let (site, token) = (self.config.site.clone(), self.tokens[hub]);
-            let fetch = RetransmitRequest { ranges, site, token, ..RetransmitRequest::default() };
-            self.outbox.push_back((self.config.hubs[hub].address, Payload::RetransmitRequest(fetch)));
+            let request = RetransmitRequest { ranges, site, token, ..RetransmitRequest::default() };
+            self.outbox.push_back((self.config.hubs[hub].address, Payload::RetransmitRequest(request)));
         } else if let Some(to) = self.current_contact() {
             self.outbox.push_back((
                 to,
@@ -684,16 +698,16 @@
         }
     }
 
-    /// Where the contact is that was heard last, if that is another one.
+    /// Address of the contact whose bundle was received last, unless it is this gateway.
     fn current_contact(&self) -> Option<SocketAddr> {
         self.member_at_rank(self.contact_rank).and_then(|n| self.members.get(n)).copied()
     }
 
-    /// Who stands there in the common order, where it is another one.
-    fn member_at_rank(&self, place: u32) -> Option<&str> {
-        let place = place as usize;
-        let at = if place > self.rank { place - 1 } else { place };
-        self.ranked.get(at).filter(|_| place != self.rank).map(String::as_str)
+    /// The member with this rank in contact order, unless it is this gateway.
+    fn member_at_rank(&self, rank: u32) -> Option<&str> {
+        let rank = rank as usize;
+        let at = if rank > self.rank { rank - 1 } else { rank };
+        self.ranked.get(at).filter(|_| rank != self.rank).map(String::as_str)
     }
 
     fn tick_backfill(&mut self, now: Time, counts: &mut Counts) {
@@ -730,15 +744,15 @@
         match hub {
             Some(hub) => {
                 let (site, token) = (self.config.site.clone(), self.tokens[hub]);
-                let fetch = RetransmitRequest { ranges, recent_only: true, site, token, bundle: None };
+                let request = RetransmitRequest { ranges, recent_only: true, site, token, bundle: None };
                 backfill.asked = Some(self.config.hubs[hub].address);
-                self.outbox.push_back((self.config.hubs[hub].address, Payload::RetransmitRequest(fetch)));
+                self.outbox.push_back((self.config.hubs[hub].address, Payload::RetransmitRequest(request)));
             }
             None => {
                 if let Some(to) = self.members.values().choose(&mut self.rng).copied() {
-                    let fetch =
+                    let request =
                         RetransmitRequest { ranges, recent_only: true, ..RetransmitRequest::default() };
-                    self.outbox.push_back((to, Payload::RetransmitRequest(fetch)));
+                    self.outbox.push_back((to, Payload::RetransmitRequest(request)));
                 }
             }
         }
@@ -748,20 +762,21 @@
         &mut self,
         now: Time,
         from: SocketAddr,
-        fetch: &RetransmitRequest,
+        request: &RetransmitRequest,
         counts: &mut Counts,
     ) {
-        // Who is not of the site gets nothing, so that what was said elsewhere opens no flood.
+        // Only members of the site are served, so that replayed requests from other addresses cause no flood of
+        // responses.
         if !self.by_address.contains_key(&from) {
             counts.refused_requests += 1;
             return;
         }
-        let since = if fetch.recent_only { now.back(RECENT_WINDOW) } else { Time::default() };
-        let found: Vec<Vec<u8>> = match fetch.bundle {
+        let since = if request.recent_only { now.back(RECENT_WINDOW) } else { Time::default() };
+        let found: Vec<Vec<u8>> = match request.bundle {
             Some(bundle) => self.log.get(bundle).map(<[u8]>::to_vec).into_iter().collect(),
             None => self
                 .log
-                .find(&fetch.ranges, since, MAX_RETRANSMITS_PER_REQUEST)
+                .find(&request.ranges, since, MAX_RETRANSMITS_PER_REQUEST)
                 .into_iter()
                 .map(<[u8]>::to_vec)
                 .collect(),
@@ -786,16 +801,16 @@
             self.repair.neighbour_not_before = now + MAX_RETRY_DELAY;
         }
         if let Some(backfill) = self.backfill.as_mut().filter(|l| l.asked == Some(from)) {
-            // Nothing more of late, if another hub says so, too.
+            // Backfill ends once a second hub has reported that it has nothing.
             (backfill.asked, backfill.unavailable) = (None, backfill.unavailable + 1);
         }
-        // The next one at once, but only a few times: others wait for the same.
+        // Asks the next neighbour at once, but only a few times: other members are waiting for the same bundles.
         if self.repair.asked == Some(from) && self.contact.is_none() && self.repair.tries <= 3 {
             self.repair.next = self.repair.next.map(|_| now);
         }
     }
 
-    // Confirmation.
+    // Acknowledgements.
 
     fn schedule_ack(&mut self, now: Time, bundle: BundleId, body: &Bundle) {
         let n = self.streams.all.len();
@@ -828,7 +843,7 @@
     fn handle_ack(&mut self, now: Time, from: SocketAddr, ack: &Ack) {
         let (Some(name), Some(bundle)) = (self.by_address.get(&from).cloned(), ack.bundle) else { return };
         let known = self.streams.seen.contains(&bundle);
-        // One that this root has reported already is over.
+        // A bundle that this root has already reported is done.
         if !self.aggregates.contains_key(&bundle)
             && (known || self.config.hub_index_by_id(bundle.hub).is_none())
         {
@@ -887,7 +902,7 @@
         }
     }
 
-    // Without hubs.
+    // Operation without hubs.
 
     pub fn wants_connection(&self, stream: usize) -> bool {
         self.contact.is_some() && self.list_connections.get(stream).is_some_and(|a| a.wanted)
@@ -904,24 +919,25 @@
         if stream >= self.list_connections.len() {
             return Err(EventError::UnknownStream);
         }
-        // Nobody waits for what still comes when a hub is back.
+        // Lines that still arrive after a hub is back are ignored.
         if self.wants_connection(stream) { self.composer.add_line(now, stream, line) } else { Ok(()) }
     }
 
-    pub fn handle_last(&mut self, now: Time, stream: usize, no: u64) -> bool {
-        !self.wants_connection(stream) || self.composer.set_last(now, stream, no)
+    pub fn handle_last(&mut self, now: Time, stream: usize, seq: u64) -> bool {
+        !self.wants_connection(stream) || self.composer.set_last(now, stream, seq)
     }
 
     pub fn handle_disconnect(&mut self, now: Time, stream: usize) {
-        let all = self.list_round(self.rank > 0);
+        let round = self.list_round(self.rank > 0);
         let Some(connection) = self.list_connections.get_mut(stream).filter(|a| a.wanted) else { return };
         connection.wanted = false;
-        let wait = all * self.rng.random_range(0.5..1.5) * f64::from(1 << connection.tries.min(3));
+        let wait = round * self.rng.random_range(0.5..1.5) * f64::from(1 << connection.tries.min(3));
         connection.tries += 1;
         connection.next = Some(now + wait + Span::from_millis(100));
     }
 
-    /// All sites have asked a list service once in this time, at the common pace; with `all` every gateway has.
+    /// Time in which one gateway of every site, or with `all` every gateway, connects to a list service once at the
+    /// configured rate.
     fn list_round(&self, all: bool) -> Span {
         let here = if all { self.members.len() + 1 } else { 1 };
         Span::from_secs_f64(f64::from(self.site_count) * here as f64 / self.config.connections_per_s)
@@ -939,14 +955,14 @@
         if now < self.connects_from() {
             return self.close_list_connections();
         }
-        let all = self.list_round(self.rank > 0);
+        let round = self.list_round(self.rank > 0);
         for s in 0..self.list_connections.len() {
             let connection = &mut self.list_connections[s];
             if connection.wanted {
                 continue;
             }
             let wait = self.rng.random_range(0.0..1.0);
-            let at = *connection.next.get_or_insert(now + all * wait);
+            let at = *connection.next.get_or_insert(now + round * wait);
             if at <= now {
                 (connection.wanted, connection.next) = (true, None);
                 counts.list_connections += 1;
@@ -966,17 +982,17 @@
             self.streams.apply_provisional(now, &body, names);
         }
         counts.provisional_made += 1;
-        // To each one itself, and once more with the next one: nobody repairs these.
+        // Sent to each member directly and repeated with the next bundle, because provisional bundles are not repaired.
         for address in self.members.values() {
-            if let Some(again) = &self.previous_provisional {
-                self.outbox.push_back((*address, Payload::Provisional(again.clone())));
+            if let Some(previous) = &self.previous_provisional {
+                self.outbox.push_back((*address, Payload::Provisional(previous.clone())));
             }
             self.outbox.push_back((*address, Payload::Provisional(bytes.clone())));
         }
         self.previous_provisional = Some(bytes);
     }
 
-    /// `None`: not as a bundle has to be.
+    /// `None`: the bundle is malformed.
     fn decode_names(body: &Bundle) -> Option<Option<PrefixSet>> {
         if !body.is_valid() {
             return None;
@@ -985,7 +1001,7 @@
     }
 
     fn handle_provisional(&mut self, now: Time, from: SocketAddr, bytes: &[u8], counts: &mut Counts) {
-        // Guards against one that has the key alone: while a hub is heard, nobody else tells.
+        // Guards against a sender that has only the shared key: while a hub is live, unsigned bundles are rejected.
         if !self.by_address.contains_key(&from) || self.hears_hub(now) {
             counts.refused_signatures += 1;
             return;
@@ -1004,8 +1020,8 @@
         }
         self.streams.seen.insert(body.id());
         counts.provisional += 1;
-        let place = self.by_address.get(&from).and_then(|n| self.ranked.iter().position(|r| r == n));
-        if place.is_some_and(|p| p < self.rank) {
+        let rank = self.by_address.get(&from).and_then(|n| self.ranked.iter().position(|r| r == n));
+        if rank.is_some_and(|r| r < self.rank) {
             self.last_provisional = Some(now);
             self.stop_contact();
         }
@@ -1020,12 +1036,12 @@
             Payload::Retransmission(bytes) => self.handle_bundle(now, from, bytes, None, counts),
             Payload::Provisional(bytes) => self.handle_provisional(now, from, bytes, counts),
             Payload::Challenge(token) => self.handle_challenge(now, from, *token),
-            Payload::RetransmitRequest(fetch) => self.handle_retransmit_request(now, from, fetch, counts),
+            Payload::RetransmitRequest(request) => self.handle_retransmit_request(now, from, request, counts),
             Payload::Unavailable(_) => self.handle_unavailable(now, from),
             Payload::Ack(ack) => self.handle_ack(now, from, ack),
-            Payload::ContactClaim(place) => {
-                let lately = self.hears_hub(now) && self.by_address.contains_key(&from);
-                if lately && (*place as usize) < self.rank {
+            Payload::ContactClaim(rank) => {
+                let is_peer_contact = self.hears_hub(now) && self.by_address.contains_key(&from);
+                if is_peer_contact && (*rank as usize) < self.rank {
                     self.stop_contact();
                 }
             }
@@ -1036,7 +1052,7 @@
     pub fn next_wake(&self, now: Time) -> Time {
         let mut at = now + Span::from_millis(1_000);
         let mut by = |t: Time| at = at.min(t);
-        let quiet = self.silent_since();
+        let silent_since = self.silent_since();
         match &self.contact {
             Some(contact) => {
                 by(contact.next_subscribe);
@@ -1051,7 +1067,7 @@
             None if self.rank == 0 => {
                 by(if self.ranked.is_empty() { self.started_at + ALONE_DELAY } else { now })
             }
-            None => by(quiet + self.config.silence_timeout + CONTACT_STEP * self.rank as f64),
+            None => by(silent_since + self.config.silence_timeout + CONTACT_STEP * self.rank as f64),
         }
         self.repair.next.into_iter().chain(self.overdue_at).for_each(&mut by);
         self.backfill.iter().for_each(|l| by(l.next));
@@ -1077,7 +1093,7 @@
         self.check_gaps(now);
     }
 
-    /// Gaps that have come or gone.
+    /// Updates the timers of gaps that have opened or closed, and purges those that have expired.
     pub fn check_gaps(&mut self, now: Time) {
         self.gap_check_at = self.streams.purge_expired_gaps(now, self.config.gap_grace);
     }
@@ -1110,22 +1126,22 @@
         self.log.check_invariants()?;
         self.composer.check_invariants()?;
         let bounds = [
-            ("confirmations due", self.pending_acks.len(), MAX_PENDING_ACKS),
-            ("to be said once more", self.resends.len(), MAX_RESENDS),
-            ("reports gathered", self.aggregates.len(), MAX_PENDING_ACKS),
+            ("pending acknowledgements", self.pending_acks.len(), MAX_PENDING_ACKS),
+            ("payloads to resend", self.resends.len(), MAX_RESENDS),
+            ("aggregates", self.aggregates.len(), MAX_PENDING_ACKS),
             ("hubs heard", self.latest_by_hub.len(), self.config.hubs.len()),
             ("budgets", self.budgets.len(), self.members.len()),
-            ("bundles not handed on", self.unforwarded.len(), MAX_UNFORWARDED),
+            ("bundles not forwarded", self.unforwarded.len(), MAX_UNFORWARDED),
             ("bundles seen", self.streams.seen.len(), crate::log::MAX_SEEN),
         ];
         for (what, is, max) in bounds {
             if is > max {
-                return Err(format!("{is} {what}, {max} at most"));
+                return Err(format!("{is} {what}, limit {max}"));
             }
         }
         let members = self.members.len() + 1;
         match self.aggregates.values().find(|g| g.acks.len() > members) {
-            Some(g) => Err(format!("{} confirmations of {members} members", g.acks.len())),
+            Some(g) => Err(format!("{} acknowledgements of {members} members", g.acks.len())),
             None => Ok(()),
         }
     }
--- a/feed/src/hub.rs
+++ b/feed/src/hub.rs
@@ -1,6 +1,8 @@
-//! A machine set aside for control: it follows all list services, makes bundles of what they tell and sends them to one
-//! gateway of each site, answers those who were away, and gathers who has confirmed. Must never sign a range of which it
-//! does not know every event, nor answer faster than its pace.
+//! The feed endpoint of a hub (control machine): reads all list services, publishes their events as signed bundles to
+//! one gateway of each site, serves retransmission requests, and aggregates acknowledgements.
+//!
+//! Invariant: a hub never signs a range of which it does not have every event, and never responds faster than its rate
+//! limit.
 
 use crate::compose::{Composer, LiveHeader};
 use crate::config::{self, Config, SignedKind, TokenBucket, fold_to_u32};
@@ -17,20 +19,20 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Who has not said for so long that it follows is sent nothing more.
+/// A subscription expires this long after its last renewal.
 const SUBSCRIPTION_TTL: Span = Span::from_millis(3_200);
-/// One that was heard so long ago gives way to another of its site.
+/// A subscriber not renewed for this long may be replaced by another one of its site.
 const REPLACEABLE_AFTER: Span = Span::from_millis(1_500);
 const MAX_SUBSCRIBERS_PER_SITE: usize = 6;
-/// Followers of before stay for as long as there is room: what they said must not come again.
+/// Expired subscribers are kept while there is room: their sequence numbers reject replayed subscriptions.
 const MAX_SUBSCRIBERS: usize = 2 * MAX_SITES;
-/// Bundles in answer to one site: so many at once, then so many a second.
+/// Retransmissions per site: burst size and rate per second.
 const RETRANSMITS_PER_S: f64 = 4.0;
-/// Bundles of one period are so far apart.
+/// Spacing between bundles of one period.
 const BUNDLE_SPACING: Span = Span::from_millis(20);
-/// A list service that told nothing for so long: another hub may know more.
+/// With nothing new from a list service for this long, another hub may know more.
 const LIST_STALE_AFTER: Span = Span::from_millis(2_000);
-/// Sites have reported by then on a bundle that asks: what they confirmed is told to the other hubs.
+/// Delay after a bundle that asks for reports, by which sites have reported; then the other hubs get a summary.
 const SUMMARY_DELAY: Span = Span::from_millis(550);
 const SUMMARY_INTERVAL: Span = Span::from_millis(1_000);
 
@@ -60,24 +62,24 @@
     pub sites: SiteTracker,
     log: Log,
     seen: Seen,
-    /// By hub, when it was heard.
+    /// By hub: when a bundle of it was last received.
     last_heard: Vec<Option<Time>>,
-    /// By stream, the hub whose bundles are handed on while this one lacks it.
+    /// By stream: the hub whose bundles are forwarded while this hub lags.
     relayed_hub: Vec<Option<usize>>,
     budgets: BTreeMap<String, TokenBucket>,
     next_period: Time,
-    /// The next bundle of a period that does not fit one.
+    /// When the next bundle of the same period is due, if one was not enough.
     next_bundle: Option<Time>,
     wants_reports: bool,
     next_summary: Time,
     summary_seq: u64,
-    /// For who begins to follow.
+    /// Sent to new subscribers.
     latest_bundle: Option<Vec<u8>>,
     pub outbox: VecDeque<(SocketAddr, Payload)>,
 }
 
 impl Hub {
-    /// `None`: its secret is not that of its public key.
+    /// Returns `None` if the secret does not match the hub's public key.
     pub fn new(
         config: Arc<Config>,
         index: usize,
@@ -89,7 +91,7 @@
         let signer = config.hubs[index].signer(&control.secret)?;
         let known: Vec<u64> = config.streams.iter().map(|s| s.known).collect();
         let hub_id = config.hubs[index].id;
-        // Hubs don't all send at the same time.
+        // Staggers the periods of the hubs.
         let first = now + config.period * (index as f64 / config.hubs.len() as f64);
         Some(Hub {
             index,
@@ -128,7 +130,7 @@
         self.composer.set_last(now, stream, no)
     }
 
-    // What goes out.
+    // Outgoing payloads.
 
     fn is_lagging(&self, now: Time, stream: usize) -> bool {
         let source = &self.composer.sources[stream];
@@ -153,7 +155,7 @@
         let head = LiveHeader { now, watermarks, site_count: self.sites.listed() as u32 };
         let mut body = self.composer.live_bundle(&head);
         let more = self.composer.has_more();
-        // Every second period, with all that it has.
+        // Asks for reports every second period, in the bundle that completes the period.
         body.wants_report = !more && self.wants_reports;
         if body.wants_report {
             let ends = body.ranges().map(|(s, _, last)| (s, last)).collect();
@@ -179,9 +181,9 @@
         }
     }
 
-    // What comes in.
+    // Incoming payloads.
 
-    /// Of an address, so that nobody can have answers sent elsewhere by saying again what another one said.
+    /// Token bound to the sender's address, so that replayed requests cannot direct responses to another address.
     fn token(&self, from: SocketAddr) -> u64 {
         xxh3_64_with_seed(from.to_string().as_bytes(), self.token_secret).max(1)
     }
@@ -257,7 +259,7 @@
             counts.refused_requests += 1;
             return;
         }
-        // Guards against one that has begun anew and takes for nothing what it has not read yet.
+        // Guards against a hub that has just restarted and would report events as unavailable that it has not read yet.
         let still_reading =
             |r: &Range| self.composer.sources.get(r.stream as usize).is_some_and(|s| !s.caught_up);
         let still_reading = request.recent_only && request.ranges.iter().any(still_reading);
@@ -276,11 +278,11 @@
         if let Some(body) = self.composer.retransmission(now, ranges, recent_only) {
             return Some(self.sign(&body));
         }
-        // What this one lacks another hub may have told.
+        // Another hub may have published what this one lacks.
         self.log.find(ranges, Time::default(), 1).first().map(|bytes| bytes.to_vec())
     }
 
-    /// Another hub's bundle: kept, and handed on where it tells of a stream that is lacking here.
+    /// Handles another hub's bundle: logged, and forwarded if it covers a stream in which this hub lags.
     fn handle_bundle(&mut self, now: Time, bytes: &[u8], counts: &mut Counts) {
         let Some(body) = config::decode_bundle(bytes) else {
             counts.refused_forms += 1;
@@ -318,7 +320,7 @@
             }
             let source = &mut self.composer.sources[s];
             if self.relayed_hub[s] == Some(hub) && source.published.is_none_or(|t| last > t) {
-                // Between what was told and the first number there may be a gap, which followers see.
+                // A gap between the published position and the first sequence number is visible to subscribers.
                 forwards |= first <= last || source.published.is_none();
                 source.published = Some(last);
             }
@@ -378,7 +380,7 @@
             self.send_summaries(now);
         }
         if now >= self.next_period {
-            // A host that was held up leaves periods out, and keeps its place among the hubs.
+            // A host that was delayed skips periods and keeps its offset to the other hubs.
             while self.next_period <= now {
                 self.next_period += self.config.period.max(Span::from_millis(1));
             }
@@ -412,7 +414,7 @@
         self.sites.check_invariants()?;
         self.log.check_invariants()?;
         if self.subscribers.len() > MAX_SUBSCRIBERS || self.budgets.len() > MAX_SITES {
-            return Err(format!("{} followers, {} budgets", self.subscribers.len(), self.budgets.len()));
+            return Err(format!("{} subscribers, {} budgets", self.subscribers.len(), self.budgets.len()));
         }
         Ok(())
     }
--- a/feed/src/lib.rs
+++ b/feed/src/lib.rs
@@ -1,6 +1,9 @@
-//! How changes (purges, lists of caches, configurations) reach every gateway of a large installation, and how it is known
-//! that they did. Everything here is without I/O and clock; the host hands in datagrams, lines and times, and pulls what
-//! is to be done. Must never decide on a txn, nor pass over a gap: what is not known is known to be missing.
+//! Disseminates changes (purges, cache lists, configurations) to every gateway of a large installation and tracks which
+//! sites have acknowledged them. Sans-IO: the host passes in datagrams, list-service lines and the time, and polls for
+//! output.
+//!
+//! Invariant: the feed decides nothing about a txn, and never skips a gap: a sequence number that has not been received
+//! is reported as missing.
 
 mod compose;
 mod config;
@@ -28,19 +31,19 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The first byte of each datagram; the fleet's have another one, so that one socket serves both.
+/// The first byte of each datagram. The fleet protocol uses another value, so that both share one socket.
 pub const VERSION: u8 = 2;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     Datagram(SocketAddr, Vec<u8>),
-    /// Objects and groups of which nothing older than `issued_ms` (Unix ms) is good any more.
+    /// Copies of these objects and groups that are older than `issued_ms` (Unix ms) must not be used any more.
     Purge {
         stream: usize,
         names: PrefixSet,
         issued_ms: u64,
     },
-    /// Any other event, verbatim, in order within its stream.
+    /// Any other event, verbatim and in order within its stream.
     Line {
         stream: usize,
         seq: u64,
@@ -50,7 +53,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StartError {
-    #[error("keys: a secret is no row of hex digits")]
+    #[error("keys: a secret is not hexadecimal")]
     Keys,
     #[error("{0}: {1}")]
     File(String, &'static str),
@@ -58,32 +61,32 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EventError {
-    #[error("not JSON")]
+    #[error("event is not valid JSON")]
     Json,
-    #[error("no event: {0}")]
+    #[error("malformed event: {0}")]
     Malformed(&'static str),
-    #[error("number {0} after {1}")]
+    #[error("sequence number {0} received after {1}")]
     Gap(u64, u64),
-    #[error("more than its bound")]
+    #[error("event exceeds the size limit")]
     TooLarge,
-    #[error("no such stream")]
+    #[error("unknown stream")]
     UnknownStream,
 }
 
-/// All numbers up to these are known: at all sites in touch, and at all sites that there are.
+/// Every sequence number up to these is acknowledged: by all sites in touch, and by all configured sites.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Watermarks {
     pub in_touch: u64,
     pub everywhere: u64,
 }
 
-/// Who has not confirmed what a hub has told.
+/// A site or gateway that has not acknowledged what a hub has sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Unacked {
     pub site: String,
-    /// `None`: the site as a whole is out of touch.
+    /// `None`: the whole site is out of touch or behind.
     pub member: Option<String>,
-    /// The stream in which it is most behind, and its position there.
+    /// The stream in which it is furthest behind, and its position there.
     pub stream: usize,
     pub position: u64,
 }
@@ -92,35 +95,36 @@
 pub struct Counts {
     pub bundles_made: u64,
     pub provisional_made: u64,
-    /// Bundles that were new here, and copies of known ones.
+    /// Bundles received for the first time, and duplicates of received ones.
     pub bundles: u64,
     pub provisional: u64,
     pub duplicates: u64,
     pub purges: u64,
     pub lines: u64,
-    /// Gaps told to the module as a purge of everything.
+    /// Gaps that were not repaired in time and were reported as a purge of everything.
     pub gaps_purged: u64,
     pub retransmit_requests: u64,
     pub repaired: u64,
-    /// Requests that could not be served.
+    /// Retransmission requests of which nothing was available.
     pub requests_unserved: u64,
-    /// Times that this gateway became its site's contact, and that a contact left its hub for another.
+    /// How often this gateway became its site's contact, and how often a contact changed its hub.
     pub contact_promotions: u64,
     pub hub_switches: u64,
-    /// Connections to list services wanted by contacts.
+    /// Connections to list services that contacts opened.
     pub list_connections: u64,
-    /// Sealed by no key of ours or damaged; of no sound form; signed by no hub; told what can't be.
+    /// Rejected input: bad MAC or unknown key; malformed message; signature of no hub; report that acknowledges what
+    /// was never sent.
     pub refused_seals: u64,
     pub refused_forms: u64,
     pub refused_signatures: u64,
     pub refused_reports: u64,
-    /// Requests beyond what one requester gets.
+    /// Requests beyond the rate limit of the requester.
     pub refused_requests: u64,
-    /// What was let go of at a bound.
+    /// Items dropped because a limit was reached.
     pub dropped: u64,
 }
 
-/// Datagrams and their bytes, without the heads of IP and UDP.
+/// Datagrams and their payload bytes, without IP and UDP headers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     pub datagrams_in: u64,
@@ -134,7 +138,7 @@
     Hub(Box<Hub>),
 }
 
-/// A gateway's or a hub's part in the feed.
+/// The feed endpoint of a gateway or of a hub.
 pub struct Feed {
     keys: seal::Keys,
     config: Arc<Config>,
@@ -146,8 +150,8 @@
 }
 
 impl Feed {
-    /// `gateway`: its name in its fleet; a control machine has the name of its hub. `run`: a number that no other start
-    /// has.
+    /// `gateway`: the gateway's name in its fleet, or the hub's name on a control machine. `run_id`: a number that no
+    /// other start of the process uses.
     pub fn new(
         file: &settings::Feed,
         keys: &[settings::Key],
@@ -158,12 +162,12 @@
     ) -> Result<Feed, StartError> {
         file.check().map_err(|(field, what)| StartError::File(field, what))?;
         let keys = seal::Keys::new(&file.name, keys).ok_or(StartError::Keys)?;
-        let public = StartError::File("hubs".to_owned(), "public keys in hex digits are wanted");
+        let public = StartError::File("hubs".to_owned(), "public keys must be hexadecimal");
         let config = Arc::new(Config::new(file).ok_or(public)?);
         let role = match (&file.control, file.control_hub_index()) {
             (Some(control), Some(index)) => {
                 let secret =
-                    StartError::File("control.secret".to_owned(), "not the seed of the hub's public key");
+                    StartError::File("control.secret".to_owned(), "does not match the hub's public key");
                 let hub = Hub::new(Arc::clone(&config), index, control, run_id, seed, now).ok_or(secret)?;
                 Role::Hub(Box::new(hub))
             }
@@ -173,7 +177,7 @@
         Ok(Feed { keys, config, role, now, counts, traffic, outputs: VecDeque::new() })
     }
 
-    /// Other keys from now on; `false`: they can't be used, and all stays.
+    /// Replaces the shared keys. Returns `false` and keeps the old ones if the new ones are unusable.
     pub fn set_keys(&mut self, keys: &[settings::Key]) -> bool {
         let new_keys = seal::Keys::new(&self.config.installation, keys);
         let usable = new_keys.is_some();
@@ -185,7 +189,7 @@
 
     // Inputs.
 
-    /// The live others of its site with their addresses, whenever they change.
+    /// The other live members of the site with their addresses; called whenever they change.
     pub fn set_members<'a>(&mut self, now: Time, live: impl Iterator<Item = (&'a str, SocketAddr)>) {
         if let Role::Gateway(gateway) = &mut self.role {
             gateway.set_members(live);
@@ -212,7 +216,7 @@
         self.collect_outputs(now);
     }
 
-    /// An event of a list service as it wrote it.
+    /// An event line exactly as the list service wrote it.
     pub fn handle_line(&mut self, now: Time, stream: usize, line: &[u8]) -> Result<(), EventError> {
         let result = match &mut self.role {
             Role::Gateway(gateway) => gateway.handle_line(now, stream, line),
@@ -222,7 +226,7 @@
         result
     }
 
-    /// A list service's last number; `false`: it has more than it told.
+    /// The last sequence number of a list service. Returns `false` if some events before it were not received.
     pub fn handle_last(&mut self, now: Time, stream: usize, seq: u64) -> bool {
         match &mut self.role {
             Role::Gateway(gateway) => gateway.handle_last(now, stream, seq),
@@ -230,14 +234,14 @@
         }
     }
 
-    /// The connection to a list service has ended or did not come up.
+    /// The connection to a list service has ended or could not be established.
     pub fn handle_disconnect(&mut self, now: Time, stream: usize) {
         if let Role::Gateway(gateway) = &mut self.role {
             gateway.handle_disconnect(now, stream);
         }
     }
 
-    /// The host keeps a connection to that list service while this holds.
+    /// Whether the host has to keep a connection to that list service.
     pub fn wants_connection(&self, stream: usize) -> bool {
         match &self.role {
             Role::Gateway(gateway) => gateway.wants_connection(stream),
@@ -245,9 +249,9 @@
         }
     }
 
-    // What is known.
+    // State.
 
-    /// All numbers of a stream up to it are known here.
+    /// Every sequence number of the stream up to this one has been received.
     pub fn position(&self, stream: usize) -> u64 {
         match &self.role {
             Role::Gateway(gateway) => gateway.streams.all.get(stream).map_or(0, |s| s.signed.position()),
@@ -255,7 +259,7 @@
         }
     }
 
-    /// What a list service is asked for: events behind this number.
+    /// A list service is asked for the events after this sequence number.
     pub fn resume_after(&self, stream: usize) -> u64 {
         match &self.role {
             Role::Gateway(gateway) => gateway.resume_after(stream),
@@ -263,7 +267,8 @@
         }
     }
 
-    /// How long ago a list service had no more than what was told here; `None`: nothing was told. At a gateway.
+    /// How long ago this gateway was known to have all events of the list service; `None` if that is unknown, and at
+    /// hubs.
     pub fn staleness(&self, now: Time, stream: usize) -> Option<Span> {
         match &self.role {
             Role::Gateway(gateway) => gateway.streams.staleness(now, stream),
@@ -271,7 +276,7 @@
         }
     }
 
-    /// Numbers of all streams that are known to be missing here.
+    /// Number of missing sequence numbers, over all streams.
     pub fn missing_count(&self) -> u64 {
         match &self.role {
             Role::Gateway(gateway) => gateway.streams.missing_count(),
@@ -279,7 +284,7 @@
         }
     }
 
-    /// The watermark: at a hub as gathered, at a gateway as told.
+    /// The watermarks: computed at a hub, received from hubs at a gateway.
     pub fn watermarks(&self, stream: usize) -> Watermarks {
         match &self.role {
             Role::Gateway(gateway) => {
@@ -296,7 +301,7 @@
         }
     }
 
-    /// At a hub: who has not confirmed, bounded.
+    /// At a hub: sites and gateways that have not acknowledged; bounded.
     pub fn unacked(&self) -> Vec<Unacked> {
         match &self.role {
             Role::Gateway(_) => Vec::new(),
@@ -304,7 +309,7 @@
         }
     }
 
-    /// At a hub: who confirmed what can't be, by site and gateway, and how often.
+    /// At a hub: site, gateway and number of acknowledgements for events that were never sent.
     pub fn false_acks(&self) -> Vec<(String, String, u64)> {
         match &self.role {
             Role::Gateway(_) => Vec::new(),
@@ -315,7 +320,7 @@
         }
     }
 
-    /// This gateway hears a hub for its site, or tries to.
+    /// Whether this gateway subscribes to a hub on behalf of its site.
     pub fn is_contact(&self) -> bool {
         matches!(&self.role, Role::Gateway(gateway) if gateway.is_contact())
     }
@@ -363,7 +368,7 @@
         }
     }
 
-    /// How much is kept, by name.
+    /// Sizes of internal tables, by name.
     pub fn sizes(&self) -> Vec<(&'static str, usize)> {
         match &self.role {
             Role::Gateway(gateway) => gateway.sizes(),
@@ -371,7 +376,7 @@
         }
     }
 
-    /// Bounds and rules that have to hold after every step; for tests.
+    /// Checks limits and invariants that hold after every step; for tests.
     pub fn check_invariants(&self) -> Result<(), String> {
         match &self.role {
             Role::Gateway(gateway) => gateway.check_invariants(),
--- a/feed/src/report.rs
+++ b/feed/src/report.rs
@@ -1,5 +1,6 @@
-//! What sites have confirmed: gathered from live members at a tree's root, and from all sites at a hub. Must never tell a
-//! number for done that one of those who count has not confirmed, nor go back.
+//! Aggregates acknowledgements: of live members at the root of a tree, and of all sites at a hub.
+//!
+//! Invariant: a watermark never covers a sequence number that a counted site has not acknowledged, and never goes back.
 
 use crate::Unacked;
 use crate::config::Config;
@@ -11,17 +12,17 @@
 use kelpcart::{Span, Time};
 use std::collections::BTreeMap;
 
-/// Bundles whose ends are kept for reports on them.
+/// Maximum number of bundles whose ends are kept to check reports.
 const MAX_PENDING_BUNDLES: usize = 64;
 pub const MAX_FALSE_ACKERS: usize = 64;
 const MAX_UNACKED: usize = 256;
-/// A site that is not heard for so many times `silent_ms` is out of touch.
+/// A site that has not been heard from for this multiple of `silent_ms` is out of touch.
 const OUT_OF_TOUCH_FACTOR: f64 = 3.0;
 
-/// The last number of each stream of which a bundle says something.
+/// The last sequence number of each stream named in a bundle.
 pub type BundleEnds = Vec<(usize, u64)>;
 
-/// The positions here as a confirmation.
+/// The acknowledgement of a bundle by the local positions.
 pub fn make_ack(bundle: BundleId, ends: &BundleEnds, position: impl Fn(usize) -> u64) -> Ack {
     let lacking =
         ends.iter().map(|(s, last)| (*s as u32, *last, position(*s))).filter(|(_, last, p)| p < last);
@@ -29,10 +30,10 @@
     Ack { bundle: Some(bundle), streams, positions }
 }
 
-/// Confirmations of one bundle, at the root of its tree.
+/// Acknowledgements of one bundle, collected at the root of its tree.
 pub struct AckAggregate {
     pub due_at: Time,
-    /// A first report was made of it.
+    /// The first report has been sent.
     pub reported: bool,
     pub acks: BTreeMap<String, Ack>,
 }
@@ -71,7 +72,7 @@
                 laggards.push(Laggard { name: name.to_owned(), silent: false, stream, position });
             }
         }
-        // The silent ones have to be known to the hub by name, the others are in the least positions.
+        // Silent members first: the hub needs their names, while the others are covered by the minimum positions.
         laggards.sort_by_key(|l| !l.silent);
         laggards.truncate(MAX_LAGGARDS_PER_REPORT);
         let (streams, positions) = least.into_iter().unzip();
@@ -91,20 +92,20 @@
 #[derive(Default)]
 struct SiteState {
     name: String,
-    /// It is one of the hub's file.
+    /// It is listed in the hub's configuration.
     listed: bool,
     last_heard: Option<Time>,
-    /// Heard by this hub itself.
+    /// By this hub directly, not through another hub.
     last_heard_directly: Option<Time>,
-    /// Of the last report taken: run of this hub never changes.
+    /// Bundle of the last accepted report; this hub's run id never changes.
     report_seq: u64,
-    /// What those had who confirmed in the last report; `None`: there was none.
+    /// Minimum positions of the members that acknowledged in the last report; `None`: no report yet.
     acked: Option<Vec<u64>>,
-    /// Silent ones, and what they had confirmed before.
+    /// Members that did not acknowledge, with their last acknowledged positions.
     silent: BTreeMap<String, Vec<u64>>,
-    /// Those who confirmed less than all: stream and position.
+    /// Members that acknowledged only in part: stream and position.
     behind: BTreeMap<String, (usize, u64)>,
-    /// What all of it have, as it was told here or to another hub.
+    /// Positions acknowledged by the whole site, to this hub or to another one.
     positions: Option<Vec<u64>>,
 }
 
@@ -124,7 +125,7 @@
     }
 }
 
-/// What all sites have confirmed, at a hub.
+/// Tracks the acknowledgements of all sites, at a hub.
 pub struct SiteTracker {
     sites: BTreeMap<u64, SiteState>,
     stream_count: usize,
@@ -133,19 +134,19 @@
     touch_timeout: Span,
     in_touch: Vec<u64>,
     everywhere: Vec<u64>,
-    /// Of bundles that ask for reports, by number.
+    /// Ends of bundles that ask for reports, by sequence number.
     pending_ends: BTreeMap<u64, BundleEnds>,
     latest_seq: u64,
-    /// By hub: run and number of the last word.
+    /// By hub: run id and sequence number of its last summary.
     last_summaries: BTreeMap<u32, (u32, u64)>,
-    /// Who told what can't be, by site and gateway.
+    /// Senders of reports that acknowledge what was never sent, by site and gateway, with their number.
     pub false_acks: BTreeMap<(String, String), u64>,
 }
 
 #[derive(Debug, PartialEq, Eq)]
 pub enum Outcome {
     Accepted,
-    /// Too old, or of a site for which there is no room.
+    /// Too old, or the limit on sites is reached.
     Ignored,
     Rejected,
 }
@@ -175,7 +176,7 @@
         self.listed_count
     }
 
-    /// A bundle asks for reports.
+    /// Registers a bundle that asks for reports.
     pub fn expect_reports(&mut self, seq: u64, ends: BundleEnds) {
         self.latest_seq = self.latest_seq.max(seq);
         self.pending_ends.insert(seq, ends);
@@ -195,7 +196,7 @@
         self.sites.get_mut(&key)
     }
 
-    /// A site's contact is heard.
+    /// A site's contact has renewed its subscription.
     pub fn note_direct_contact(&mut self, now: Time, name: &str) {
         if let Some(site) = self.site_mut(name) {
             (site.last_heard, site.last_heard_directly) = (Some(now), Some(now));
@@ -213,16 +214,16 @@
         for (s, p) in report.streams.iter().zip(&report.positions) {
             match acked_now.get_mut(*s as usize) {
                 Some(Some(last)) if *p <= *last => *last = *p,
-                // More than this hub itself has told, or of a stream of which it told nothing.
+                // More than this hub has sent, or a stream that the bundle does not name.
                 _ => return self.reject(report),
             }
         }
         let Some(site) = self.site_mut(&report.site) else { return Outcome::Ignored };
-        // Guards against old reports that come again, late or on purpose.
+        // Guards against old reports that are delayed or replayed.
         if bundle.seq < site.report_seq {
             return Outcome::Ignored;
         }
-        // The last one again is no sign of life either.
+        // A repetition of the last report is no sign of life.
         if bundle.seq > site.report_seq {
             (site.last_heard, site.last_heard_directly, site.report_seq) = (Some(now), Some(now), bundle.seq);
         }
@@ -231,7 +232,7 @@
         }
         let before = site.acked.take();
         let streams = acked_now.len();
-        // A stream of which the bundle said nothing stays where it was.
+        // A stream that the bundle does not name keeps its position.
         let fresh: Vec<u64> = acked_now
             .into_iter()
             .enumerate()
@@ -264,7 +265,7 @@
         Outcome::Rejected
     }
 
-    /// What this hub hears itself, for the others.
+    /// Summaries for the other hubs of the sites in direct touch with this one.
     pub fn summaries(&self, now: Time, hub: u32, run_id: u32, seq: &mut u64) -> Vec<HubSummary> {
         let in_touch_at = |at: Option<Time>| at.is_some_and(|at| now - at < self.touch_timeout);
         let mut known: Option<Vec<u64>> = None;
@@ -289,17 +290,17 @@
         all
     }
 
-    /// Another hub's word, whose signature is good.
+    /// Handles another hub's summary; its signature has been verified.
     pub fn handle_summary(&mut self, now: Time, summary: &HubSummary) -> Outcome {
         let before = self.last_summaries.get(&summary.hub);
-        // Guards against old words that come again.
+        // Guards against replayed summaries.
         if before.is_some_and(|(run_id, seq)| *run_id == summary.run_id && *seq >= summary.seq) {
             return Outcome::Ignored;
         }
         self.last_summaries.insert(summary.hub, (summary.run_id, summary.seq));
         let fits = summary.unreported || summary.positions.len() == self.stream_count;
         for key in summary.sites.iter().take(MAX_SITES_PER_SUMMARY) {
-            // Sites that only another hub knows are its own to wait for.
+            // Sites known only to another hub are tracked there.
             if let Some(site) = self.sites.get_mut(key) {
                 site.last_heard = Some(now);
                 if !summary.unreported && fits {
@@ -310,7 +311,7 @@
         Outcome::Accepted
     }
 
-    /// The watermarks as of now.
+    /// Recomputes the watermarks.
     pub fn update_watermarks(&mut self, now: Time) {
         let in_touch_at = |site: &&SiteState| site.last_heard.is_some_and(|at| now - at < self.touch_timeout);
         let none = vec![0; self.stream_count];
@@ -325,7 +326,7 @@
         let raise = |to: &mut Vec<u64>, by: Option<Vec<u64>>| {
             to.iter_mut().zip(by.unwrap_or_default()).for_each(|(a, b)| *a = (*a).max(b));
         };
-        // Those that were in touch with a hub before this one began show within this time.
+        // Sites that were in touch with a hub before this one started show up within this time.
         if now - self.started_at >= self.touch_timeout {
             raise(&mut self.in_touch, in_touch);
         }
@@ -339,7 +340,7 @@
         (at(&self.in_touch), at(&self.everywhere))
     }
 
-    /// Sites of the file that are out of touch, and members that lag at those heard by this hub.
+    /// Configured sites that are out of touch, and lagging members of sites in direct touch with this hub.
     pub fn unacked(&self, now: Time) -> Vec<Unacked> {
         let mut all = Vec::new();
         for site in self.sites.values() {
@@ -365,7 +366,7 @@
                 }
                 continue;
             }
-            // One that is back has not what was done while it was away.
+            // A site that is back does not have the events acknowledged while it was away.
             let least = site.positions.iter().flatten().zip(&self.in_touch).enumerate();
             if let Some((s, (p, _))) =
                 least.filter(|(_, (p, done))| p < done).max_by_key(|(_, (p, done))| *done - *p)
@@ -391,7 +392,7 @@
             || self.false_acks.len() > MAX_FALSE_ACKERS
         {
             return Err(format!(
-                "{} sites, {} ends, {} liars",
+                "{} sites, {} bundle ends, {} senders of false acknowledgements",
                 self.sites.len(),
                 self.pending_ends.len(),
                 self.false_acks.len()
@@ -402,10 +403,10 @@
             .values()
             .any(|s| s.silent.len() > MAX_LAGGARDS_PER_REPORT || s.behind.len() > MAX_LAGGARDS_PER_REPORT)
         {
-            return Err("more laggards than reports name".to_owned());
+            return Err("more laggards than a report names".to_owned());
         }
         if self.in_touch.iter().zip(&self.everywhere).any(|(t, e)| t < e) {
-            return Err("more is done everywhere than at the sites in touch".to_owned());
+            return Err("watermark of all sites is above that of sites in touch".to_owned());
         }
         Ok(())
     }
