--- a/feed/src/compose.rs
+++ b/feed/src/compose.rs
@@ -25,9 +25,11 @@
 const MAX_LIVE_BACKLOG: u64 = 20_000;
 /// Maximum number of pieces queued for the next bundles.
 const MAX_QUEUED_PIECES: usize = 8_192;
+/// Limit on the bytes of kept events other than purges, over all streams.
 const MAX_KEPT_LINE_BYTES: usize = 16 * 1024 * 1024;
 /// Purges have an effect for this long; events that arrived earlier are not recent, whatever their timestamps.
 const RECENT_WINDOW: Span = Span::from_millis(30_000);
+/// Interval at which positions are recorded.
 const MARK_INTERVAL: Span = Span::from_millis(1_000);
 const MAX_MARKS: usize = 40;
 /// After this many stale timestamps in a row, older events are not recent either.
@@ -35,6 +37,7 @@
 /// Number of recent bundles whose timestamps are used for a bundle without purges. Not all of them, since one may come
 /// from a clock that was far ahead.
 const RECENT_BUNDLES: usize = 64;
+/// Number of recent events of each stream whose timestamps are used likewise.
 const RECENT_EVENTS: usize = 512;
 /// Stored in place of a timestamp for an event that is not a purge.
 const NOT_A_PURGE: u64 = u64::MAX;
@@ -119,12 +122,12 @@
     }
 
     /// Starts at this sequence number if it is the first one received: the list service has no older events.
-    fn begin_at(&mut self, seq: u64) -> bool {
-        let is = self.accepts_later_start && self.events.is_empty() && seq > self.position;
-        if is {
+    fn try_start_at(&mut self, seq: u64) -> bool {
+        let starts_here = self.accepts_later_start && self.events.is_empty() && seq > self.position;
+        if starts_here {
             (self.position, self.first_kept) = (seq - 1, seq);
         }
-        is
+        starts_here
     }
 
     /// Records the current position, at intervals.
@@ -221,7 +224,7 @@
         if seq <= source.position {
             return Ok(());
         }
-        if seq != source.position + 1 && !source.begin_at(seq) {
+        if seq != source.position + 1 && !source.try_start_at(seq) {
             return Err(EventError::Gap(seq, source.position));
         }
         source.add_mark(now);
@@ -263,8 +266,8 @@
 
     /// Restarts a stream after a position; everything after it is published.
     pub fn reset(&mut self, stream: usize, position: u64) {
-        let stale_in_row = std::mem::replace(&mut self.sources[stream], Source::new(position, false));
-        self.line_bytes -= stale_in_row.lines.values().map(Vec::len).sum::<usize>();
+        let old = std::mem::replace(&mut self.sources[stream], Source::new(position, false));
+        self.line_bytes -= old.lines.values().map(Vec::len).sum::<usize>();
         (self.sources[stream].published, self.sources[stream].caught_up) = (Some(position), true);
         self.piece_queue.retain(|(s, _, _)| *s != stream);
     }
@@ -272,7 +275,7 @@
     /// Returns `false` if the list service has events that were not received.
     pub fn set_last(&mut self, now: Time, stream: usize, seq: u64) -> bool {
         let Some(source) = self.sources.get_mut(stream) else { return true };
-        if seq > source.position && !source.begin_at(seq + 1) {
+        if seq > source.position && !source.try_start_at(seq + 1) {
             return false;
         }
         source.fresh_at = Some(now);
@@ -336,11 +339,10 @@
         self.set_latest_delta(bundle);
         if !all.is_empty() {
             let room = (MAX_BUNDLE_BYTES - SIGNATURE_LEN).saturating_sub(bundle.encoded_len() + 3);
-            let (_, name_codec) = name_codec::encode_within(all, room);
+            let (_, encoded) = name_codec::encode_within(all, room);
             // Not expected, given the room that `estimate_names_len` reserves; purging too much is safer than too
             // little.
-            bundle.names =
-                if name_codec.len() > room { name_codec::encode(&PrefixSet::all()) } else { name_codec };
+            bundle.names = if encoded.len() > room { name_codec::encode(&PrefixSet::all()) } else { encoded };
         }
     }
 
@@ -355,7 +357,7 @@
     }
 
     /// The next bundle of unpublished events.
-    pub fn live_bundle(&mut self, head: &LiveHeader) -> Bundle {
+    pub fn live_bundle(&mut self, header: &LiveHeader) -> Bundle {
         let mut bundle = self.new_bundle();
         let room = MAX_BUNDLE_BYTES - SIGNATURE_LEN;
         let n = self.sources.len();
@@ -365,26 +367,27 @@
             }
             // Placeholder of the maximum encoded length.
             bundle.counts[s] = 1_000;
-            let age = source.fresh_at.map_or(Span::from_millis(600_000), |at| head.now - at);
+            let age = source.fresh_at.map_or(Span::from_millis(600_000), |at| header.now - at);
             bundle.ages_10ms.push((age.as_micros().div_ceil(10_000)).min(60_000) as u32);
         }
-        if !head.watermarks.is_empty() {
+        if !header.watermarks.is_empty() {
             bundle.in_touch_lag = vec![1_000; n];
             bundle.everywhere_lag = vec![1_000; n];
         }
-        (bundle.issued_ms, bundle.site_count, bundle.wants_report) = (u64::MAX >> 20, head.site_count, true);
+        (bundle.issued_ms, bundle.site_count, bundle.wants_report) =
+            (u64::MAX >> 20, header.site_count, true);
         bundle.latest_delta_ms = u64::MAX >> 20;
         let mut length = bundle.encoded_len() + 8;
         let (mut all, mut issued_ms) = (Vec::new(), 0);
         bundle.counts.fill(0);
-        let waiting = self.sources.iter().map(Source::unpublished).sum::<u64>().min(100) as usize;
+        let unpublished = self.sources.iter().map(Source::unpublished).sum::<u64>().min(100) as usize;
         while let Some((s, seq, offset)) = self.piece_queue.front().copied() {
             let Some(piece) = self.piece_at(s, seq, offset) else {
                 self.piece_queue.pop_front();
                 continue;
             };
             let more = piece.encoded_len() + 3;
-            if length + more + estimate_names_len(waiting, MIN_LIVE_BITS) > room {
+            if length + more + estimate_names_len(unpublished, MIN_LIVE_BITS) > room {
                 break;
             }
             length += more;
@@ -433,7 +436,7 @@
                 self.recent_issued_ms.pop_front();
             }
         }
-        for (s, (in_touch, everywhere)) in head.watermarks.iter().enumerate() {
+        for (s, (in_touch, everywhere)) in header.watermarks.iter().enumerate() {
             let last = (bundle.firsts[s] + bundle.counts[s]).saturating_sub(1);
             let in_touch = last.min(*in_touch);
             bundle.in_touch_lag[s] = last - in_touch;
@@ -466,10 +469,14 @@
         if let Some((s, seq, _, offset)) = wanted.iter().find(is_other).copied() {
             return self.retransmit_piece(s, seq, offset);
         }
-        if let Some(gone) = wanted.iter().copied().find(|w| w.2 < self.sources[w.0].first_kept) {
+        if let Some(dropped_range) = wanted.iter().copied().find(|w| w.2 < self.sources[w.0].first_kept) {
             wanted.retain(|w| w.2 >= self.sources[w.0].first_kept);
             if wanted.is_empty() {
-                return if recent_only { None } else { self.purge_dropped_range(gone.0, gone.1, gone.2) };
+                return if recent_only {
+                    None
+                } else {
+                    self.purge_dropped_range(dropped_range.0, dropped_range.1, dropped_range.2)
+                };
             }
         }
         let mut bundle = self.new_bundle();
@@ -485,13 +492,13 @@
         // Recent events are requested for all streams at once; the rotation gives each stream its turn.
         let turn = if recent_only { self.seq as usize % wanted.len().max(1) } else { 0 };
         wanted.rotate_left(turn);
-        let most = (1..)
+        let max_names = (1..)
             .step_by(8)
             .take_while(|n| length + estimate_names_len(*n, RETRANSMIT_BITS) <= room)
             .last()
             .unwrap_or(1);
         for (i, (s, first, last, _)) in wanted.iter().copied().enumerate() {
-            let quota = most.saturating_sub(all.len()) / (wanted.len() - i);
+            let quota = max_names.saturating_sub(all.len()) / (wanted.len() - i);
             let oldest = first.max(self.sources[s].first_kept);
             let before = if recent_only { self.sources[s].position_at(now.back(RECENT_WINDOW)) } else { 0 };
             let (mut low, mut taken) = (last + 1, 0);
@@ -503,7 +510,7 @@
                 0
             };
             let (mut stale_in_row, mut has_recent) = (0, !recent_only);
-            let begun = (length, all.len(), bundle.pieces.len(), issued_ms);
+            let checkpoint = (length, all.len(), bundle.pieces.len(), issued_ms);
             while low > oldest.max(before + 1) && taken < quota && stale_in_row < MAX_STALE_IN_ROW {
                 let seq = low - 1;
                 match self.issued_at(s, seq) {
@@ -535,9 +542,9 @@
                 low = seq;
             }
             if !has_recent {
-                (length, issued_ms) = (begun.0, begun.3);
-                all.truncate(begun.1);
-                bundle.pieces.truncate(begun.2);
+                (length, issued_ms) = (checkpoint.0, checkpoint.3);
+                all.truncate(checkpoint.1);
+                bundle.pieces.truncate(checkpoint.2);
             } else if low <= last {
                 (bundle.firsts[s], bundle.counts[s]) = (low, last + 1 - low);
             }
--- a/feed/src/config.rs
+++ b/feed/src/config.rs
@@ -1,5 +1,6 @@
-//! What the parts of the core need of the file, ready for use: who the hubs are, by what keys they sign, and the times.
-//! Must never change after the start.
+//! The configuration prepared for use: hubs, signing keys and timeouts.
+//!
+//! Invariant: it does not change after the start.
 
 use crate::rank;
 use crate::settings::{self, decode_hex};
@@ -11,14 +12,14 @@
 
 pub const SIGNATURE_LEN: usize = 64;
 
-/// What is signed, so that one can't be taken for the other.
+/// Domain separation: the kind is part of what is signed, so that one message cannot pass for another.
 #[derive(Clone, Copy)]
 pub enum SignedKind {
     Bundle = 1,
     HubSummary = 2,
 }
 
-/// The short form of a hub's name, or of a run's number.
+/// Folds a hub's name hash or a run id to 32 bits.
 pub fn fold_to_u32(long: u64) -> u32 {
     (long ^ long >> 32) as u32
 }
@@ -31,8 +32,8 @@
 }
 
 impl Hub {
-    /// Guards against a hub that starts well while all its bundles are refused: `None` where the secret is not that of its
-    /// public key.
+    /// Returns `None` if the secret does not match the hub's public key. Guards against a hub that runs while all its
+    /// bundles are rejected.
     pub fn signer(&self, secret: &str) -> Option<Ed25519KeyPair> {
         Ed25519KeyPair::from_seed_and_public_key(&decode_hex(secret)?, self.key.as_ref()).ok()
     }
@@ -44,7 +45,7 @@
     pub site: String,
     pub streams: Vec<settings::Stream>,
     pub hubs: Vec<Hub>,
-    /// Hubs by their places above, in the order in which this site follows them.
+    /// Indices into `hubs`, in the order in which this site prefers them.
     pub hub_order: Vec<usize>,
     pub period: Span,
     pub silence_timeout: Span,
@@ -98,7 +99,7 @@
         all
     }
 
-    /// The body with the signature behind it.
+    /// Appends the signature to the body.
     pub fn sign(&self, pair: &Ed25519KeyPair, what: SignedKind, mut body: Vec<u8>) -> Vec<u8> {
         let signature = pair.sign(&self.signed_message(what, &body));
         body.extend(signature.as_ref());
@@ -113,7 +114,7 @@
     }
 }
 
-/// What stands before a signature, not checked yet.
+/// Decodes what precedes a signature, which is not verified here.
 fn decode_body<M: Message + Default>(bytes: &[u8]) -> Option<M> {
     let (body, _) = bytes.split_last_chunk::<SIGNATURE_LEN>()?;
     M::decode(body).ok()
@@ -127,7 +128,7 @@
     decode_body(bytes)
 }
 
-/// So many at once, and then at this pace.
+/// Token bucket: a burst, then a steady rate.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     tokens: f64,
@@ -142,8 +143,8 @@
     pub fn take(&mut self, now: Time, per_s: f64, burst: f64) -> bool {
         self.tokens = (self.tokens + (now - self.refilled_at).as_secs_f64() * per_s).min(burst);
         self.refilled_at = self.refilled_at.max(now);
-        let is = self.tokens >= 1.0;
-        self.tokens -= f64::from(u8::from(is));
-        is
+        let granted = self.tokens >= 1.0;
+        self.tokens -= f64::from(u8::from(granted));
+        granted
     }
 }
--- a/feed/src/gateway.rs
+++ b/feed/src/gateway.rs
@@ -63,6 +63,7 @@
 const MAX_UNFORWARDED: usize = 64;
 /// Bundles sent in response to one request.
 const MAX_RETRANSMITS_PER_REQUEST: usize = 4;
+/// Bundles sent to one member per second.
 const RETRANSMITS_PER_S: f64 = 40.0;
 /// A bundle that ends below the positions of this long ago does not count as a sign of life from its hub.
 const STALE_AFTER: Span = Span::from_millis(2_000);
@@ -298,7 +299,7 @@
         newer && !body.ages_10ms.is_empty() && !body.ranges().any(old)
     }
 
-    fn hears_hub(&self, now: Time) -> bool {
+    fn is_hub_live(&self, now: Time) -> bool {
         self.last_live.is_some_and(|at| now - at < self.config.silence_timeout)
     }
 
@@ -1002,7 +1003,7 @@
 
     fn handle_provisional(&mut self, now: Time, from: SocketAddr, bytes: &[u8], counts: &mut Counts) {
         // Guards against a sender that has only the shared key: while a hub is live, unsigned bundles are rejected.
-        if !self.by_address.contains_key(&from) || self.hears_hub(now) {
+        if !self.by_address.contains_key(&from) || self.is_hub_live(now) {
             counts.refused_signatures += 1;
             return;
         }
@@ -1040,7 +1041,7 @@
             Payload::Unavailable(_) => self.handle_unavailable(now, from),
             Payload::Ack(ack) => self.handle_ack(now, from, ack),
             Payload::ContactClaim(rank) => {
-                let is_peer_contact = self.hears_hub(now) && self.by_address.contains_key(&from);
+                let is_peer_contact = self.is_hub_live(now) && self.by_address.contains_key(&from);
                 if is_peer_contact && (*rank as usize) < self.rank {
                     self.stop_contact();
                 }
--- a/feed/src/hub.rs
+++ b/feed/src/hub.rs
@@ -63,7 +63,7 @@
     log: Log,
     seen: Seen,
     /// By hub: when a bundle of it was last received.
-    last_heard: Vec<Option<Time>>,
+    last_received: Vec<Option<Time>>,
     /// By stream: the hub whose bundles are forwarded while this hub lags.
     relayed_hub: Vec<Option<usize>>,
     budgets: BTreeMap<String, TokenBucket>,
@@ -104,7 +104,7 @@
             sites: SiteTracker::new(&control.sites, known.len(), config.silence_timeout, now),
             log: Log::default(),
             seen: Seen::default(),
-            last_heard: vec![None; config.hubs.len()],
+            last_received: vec![None; config.hubs.len()],
             relayed_hub: vec![None; known.len()],
             budgets: BTreeMap::new(),
             next_period: first,
@@ -126,8 +126,8 @@
         self.composer.add_line(now, stream, line)
     }
 
-    pub fn handle_last(&mut self, now: Time, stream: usize, no: u64) -> bool {
-        self.composer.set_last(now, stream, no)
+    pub fn handle_last(&mut self, now: Time, stream: usize, seq: u64) -> bool {
+        self.composer.set_last(now, stream, seq)
     }
 
     // Outgoing payloads.
@@ -138,9 +138,9 @@
     }
 
     fn send_to_subscribers(&mut self, now: Time, bytes: &[u8]) {
-        for (address, _) in self.subscribers.iter().filter(|(_, f)| f.is_live(now)) {
-            let passed = LiveBundle { bundle: bytes.to_vec(), contact_rank: 0 };
-            self.outbox.push_back((*address, Payload::Live(passed)));
+        for (address, _) in self.subscribers.iter().filter(|(_, s)| s.is_live(now)) {
+            let live = LiveBundle { bundle: bytes.to_vec(), contact_rank: 0 };
+            self.outbox.push_back((*address, Payload::Live(live)));
         }
     }
 
@@ -152,8 +152,8 @@
         let streams = self.config.streams.len();
         self.sites.update_watermarks(now);
         let watermarks = (0..streams).map(|s| self.sites.watermarks(s)).collect();
-        let head = LiveHeader { now, watermarks, site_count: self.sites.listed() as u32 };
-        let mut body = self.composer.live_bundle(&head);
+        let header = LiveHeader { now, watermarks, site_count: self.sites.listed() as u32 };
+        let mut body = self.composer.live_bundle(&header);
         let more = self.composer.has_more();
         // Asks for reports every second period, in the bundle that completes the period.
         body.wants_report = !more && self.wants_reports;
@@ -166,8 +166,8 @@
         let bytes = self.sign(&body);
         self.send_to_subscribers(now, &bytes);
         for (_, hub) in self.config.hubs.iter().enumerate().filter(|(i, _)| *i != self.index) {
-            let passed = LiveBundle { bundle: bytes.clone(), contact_rank: 0 };
-            self.outbox.push_back((hub.address, Payload::Live(passed)));
+            let live = LiveBundle { bundle: bytes.clone(), contact_rank: 0 };
+            self.outbox.push_back((hub.address, Payload::Live(live)));
         }
         self.latest_bundle = Some(bytes);
     }
@@ -193,12 +193,12 @@
             self.outbox.push_back((from, Payload::Challenge(self.token(from))));
             return;
         }
-        let old = |f: &Subscriber| f.run_id == subscribe.run_id && f.seq >= subscribe.seq;
-        if self.subscribers.get(&from).is_some_and(old) {
+        let is_replay = |s: &Subscriber| s.run_id == subscribe.run_id && s.seq >= subscribe.seq;
+        if self.subscribers.get(&from).is_some_and(is_replay) {
             counts.refused_requests += 1;
             return;
         }
-        let is_new = !self.subscribers.get(&from).is_some_and(|f| f.is_live(now));
+        let is_new = !self.subscribers.get(&from).is_some_and(|s| s.is_live(now));
         if is_new && !subscribe.unsubscribe && !self.make_room(now, &subscribe.site) {
             counts.refused_requests += 1;
             return;
@@ -215,21 +215,21 @@
     }
 
     fn make_room(&mut self, now: Time, site: &str) -> bool {
-        let live = self.subscribers.iter().filter(|(_, f)| f.site == site && f.is_live(now));
-        let live: Vec<(Time, SocketAddr)> = live.map(|(a, f)| (f.renewed_at, *a)).collect();
+        let live = self.subscribers.iter().filter(|(_, s)| s.site == site && s.is_live(now));
+        let live: Vec<(Time, SocketAddr)> = live.map(|(a, s)| (s.renewed_at, *a)).collect();
         if live.len() >= MAX_SUBSCRIBERS_PER_SITE {
             let Some((_, oldest)) = live.iter().min().filter(|(at, _)| now - *at > REPLACEABLE_AFTER) else {
                 return false;
             };
-            if let Some(f) = self.subscribers.get_mut(oldest) {
-                f.ended = true;
+            if let Some(s) = self.subscribers.get_mut(oldest) {
+                s.ended = true;
             }
         }
         if self.subscribers.len() >= MAX_SUBSCRIBERS {
-            let oldest_ended =
-                self.subscribers.iter().filter(|(_, f)| !f.is_live(now)).min_by_key(|(_, f)| f.renewed_at);
-            let Some(oldest_ended) = oldest_ended.map(|(a, _)| *a) else { return false };
-            self.subscribers.remove(&oldest_ended);
+            let expired =
+                self.subscribers.iter().filter(|(_, s)| !s.is_live(now)).min_by_key(|(_, s)| s.renewed_at);
+            let Some(expired) = expired.map(|(a, _)| *a) else { return false };
+            self.subscribers.remove(&expired);
         }
         true
     }
@@ -303,7 +303,7 @@
         };
         self.seen.insert(body.id());
         counts.bundles += 1;
-        self.last_heard[hub] = Some(now);
+        self.last_received[hub] = Some(now);
         self.log.push(now, &body, bytes);
         self.composer.latest_by_hub.insert(body.hub, body.latest_issued_ms());
         let mut forwards = false;
@@ -313,7 +313,7 @@
                 continue;
             }
             let silent =
-                |h: usize| self.last_heard[h].is_none_or(|at| now - at > self.config.silence_timeout);
+                |h: usize| self.last_received[h].is_none_or(|at| now - at > self.config.silence_timeout);
             let fresh = body.ages_10ms.get(s).is_some_and(|age| *age < 200);
             if self.relayed_hub[s].is_none_or(silent) && fresh {
                 self.relayed_hub[s] = Some(hub);
--- a/feed/src/log.rs
+++ b/feed/src/log.rs
@@ -1,5 +1,6 @@
-//! Bundles of late, as they came, so that neighbours can have them again. Must never grow beyond its bounds, nor give out
-//! anything but what a hub has signed.
+//! Log of recent bundles as received, from which neighbours are served.
+//!
+//! Invariant: it stays within its limits and contains only bundles that a hub has signed.
 
 use crate::wire::{Bundle, BundleId, Range};
 use kelpcart::Time;
@@ -13,7 +14,7 @@
     received_at: Time,
     id: BundleId,
     ranges: Vec<(usize, u64, u64)>,
-    /// Stream, number and offset.
+    /// Stream, sequence number and offset.
     pieces: Vec<(usize, u64, u32)>,
     bytes: Vec<u8>,
 }
@@ -39,7 +40,7 @@
         self.all.iter().rev().find(|e| e.id == id).map(|e| e.bytes.as_slice())
     }
 
-    /// The newest that hold something of the ranges and came at `since` or later.
+    /// The newest bundles received at `since` or later that contain part of the ranges.
     pub fn find(&self, ranges: &[Range], since: Time, max: usize) -> Vec<&[u8]> {
         let holds = |e: &Entry, r: &Range| {
             let s = r.stream as usize;
@@ -63,7 +64,7 @@
     }
 }
 
-/// Names of bundles that were taken, the latest ones.
+/// Ids of the latest bundles received, to detect duplicates.
 #[derive(Default)]
 pub struct Seen {
     all: BTreeSet<BundleId>,
--- a/feed/src/name_codec.rs
+++ b/feed/src/name_codec.rs
@@ -1,30 +1,31 @@
-//! Sets of short names as bytes: sorted, their differences Golomb-Rice coded (Rice, "Some Practical Universal Noiseless
-//! Coding Techniques", 1979). Must never give another set back than went in, nor believe a length that the bytes don't
-//! bear out.
+//! Encodes sets of hash prefixes as bytes: sorted, with Golomb-Rice coded differences (Rice, "Some Practical Universal
+//! Noiseless Coding Techniques", 1979).
+//!
+//! Invariant: decoding returns the set that was encoded, and no length is trusted beyond what the bytes can hold.
 
 use kelpcart::hash_prefix::PrefixSet;
 use prost::encoding::{decode_varint, encode_varint, encoded_len_varint};
 
-/// Names are cut to so many bits; with the least ones every set takes 520 bytes at the most.
+/// Prefix lengths in bits. At the minimum, any set takes at most 520 bytes.
 pub const MAX_BITS: u8 = 40;
 pub const MIN_BITS: u8 = 12;
 
-/// What lies between sorted names: the first one itself, and the others' differences less one.
+/// The first prefix, then the differences less one.
 fn deltas(names: &[u64]) -> impl Iterator<Item = u64> {
     let before = std::iter::once(None).chain(names.iter().copied().map(Some));
     names.iter().zip(before).map(|(&name, before)| before.map_or(name, |b| name - b - 1))
 }
 
-/// The parameter that makes the fewest bits, and how many.
+/// The Rice parameter with the shortest code, and the number of bits.
 fn rice_parameter(names: &[u64]) -> (u8, u64) {
     if names.is_empty() {
         return (0, 0);
     }
     let n = names.len() as u64;
     let mean = names.last().copied().unwrap_or(0) / n;
-    let near = 63 - mean.saturating_add(1).leading_zeros().min(63);
+    let estimate = 63 - mean.saturating_add(1).leading_zeros().min(63);
     let cost = |k: u32| deltas(names).map(|d| (d >> k) + 1 + u64::from(k)).fold(0, u64::saturating_add);
-    let best = (near.saturating_sub(2)..=(near + 1).min(63)).map(|k| (cost(k), k)).min();
+    let best = (estimate.saturating_sub(2)..=(estimate + 1).min(63)).map(|k| (cost(k), k)).min();
     best.map_or((0, 0), |(bits, k)| (k as u8, bits))
 }
 
@@ -32,12 +33,12 @@
     2 + encoded_len_varint(names.len() as u64) + coded_bits.div_ceil(8) as usize
 }
 
-/// Bytes that a set takes.
+/// Encoded length in bytes.
 pub fn encoded_len(names: &PrefixSet) -> usize {
     code_len(names.prefixes(), rice_parameter(names.prefixes()).1)
 }
 
-/// Bits, parameter, count and then the differences.
+/// Layout: prefix length, Rice parameter, count, coded differences.
 pub fn encode(names: &PrefixSet) -> Vec<u8> {
     let all = names.prefixes();
     let (k, coded_bits) = rice_parameter(all);
@@ -68,7 +69,7 @@
     out
 }
 
-/// `None`: no set was ever coded like that.
+/// Returns `None` if the bytes are not a valid encoding.
 pub fn decode(bytes: &[u8]) -> Option<PrefixSet> {
     let (&[bits, k], mut rest) = bytes.split_first_chunk::<2>()?;
     if bits > 64 || k > 63 {
@@ -76,7 +77,7 @@
     }
     let count = decode_varint(&mut rest).ok()?;
     let bits_available = rest.len() as u64 * 8;
-    // Guards against a count that claims more memory than its bytes can stand for.
+    // Guards against a count that claims more memory than its bytes can encode.
     if count.checked_mul(1 + u64::from(k))? > bits_available || count == 0 && k != 0 {
         return None;
     }
@@ -117,7 +118,7 @@
     (at == bits_available).then(|| PrefixSet::from_prefixes(bits, names))
 }
 
-/// Names at full length with the most bits at which they fit, as bytes.
+/// Encodes full-length hashes with the longest prefixes that fit.
 pub fn encode_within(names: &[u64], max_bytes: usize) -> (u8, Vec<u8>) {
     let mut sorted = names.to_vec();
     sorted.sort_unstable();
--- a/feed/src/positions.rs
+++ b/feed/src/positions.rs
@@ -1,18 +1,19 @@
-//! What is known of a stream: all numbers up to a position, and ranges beyond it. Must never hold a number for known that
-//! nobody has told; at its bound it forgets ranges, which are gaps then.
+//! Received sequence numbers of a stream: everything up to a position, and ranges beyond it.
+//!
+//! Invariant: only received sequence numbers are recorded; at its limit it forgets ranges, which become gaps again.
 
 use std::collections::BTreeMap;
 
-/// Numbers stay far below where sums would overflow.
+/// Maximum sequence number, far below where sums would overflow.
 pub const MAX_SEQ: u64 = 1 << 60;
 pub const MAX_RANGES: usize = 64;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Positions {
     position: u64,
-    /// The highest number that is known to exist.
+    /// The highest sequence number known to exist.
     highest_seen: u64,
-    /// Known ranges, first and last number; neither touches another nor the position.
+    /// Received ranges, first and last sequence number; none is adjacent to another or to the position.
     ranges: BTreeMap<u64, u64>,
     pub forgotten: u64,
 }
@@ -34,12 +35,12 @@
         self.ranges.len()
     }
 
-    /// This number exists.
+    /// Records that a sequence number exists.
     pub fn observe(&mut self, seq: u64) {
         self.highest_seen = self.highest_seen.max(seq);
     }
 
-    /// These are known; nothing where `last` is before `first`.
+    /// Adds a range; empty if `last` is below `first`.
     pub fn add(&mut self, first: u64, last: u64) {
         self.observe(last);
         let (mut first, mut last) = (first.max(self.position + 1), last);
@@ -63,14 +64,14 @@
         }
     }
 
-    /// All up to this number counts as known, without having been told.
+    /// Treats everything up to this sequence number as received.
     pub fn start_at(&mut self, position: u64) {
         if position > self.position {
             self.add(self.position + 1, position);
         }
     }
 
-    /// Nothing beyond this number is known any more.
+    /// Forgets everything beyond this sequence number.
     pub fn truncate(&mut self, to: u64) {
         self.highest_seen = self.highest_seen.min(to);
         self.position = self.position.min(to);
@@ -85,7 +86,7 @@
         seq <= self.position || self.ranges.range(..=seq).next_back().is_some_and(|(_, last)| seq <= *last)
     }
 
-    /// What is missing, the newest first.
+    /// The gaps, newest first.
     pub fn gaps(&self) -> impl Iterator<Item = (u64, u64)> {
         let tops = std::iter::once(self.highest_seen + 1).chain(self.ranges.keys().rev().copied());
         let bottoms = self.ranges.values().rev().copied().chain(std::iter::once(self.position));
@@ -104,7 +105,7 @@
             before = last;
         }
         if self.highest_seen < before {
-            Err(format!("{before} known and {} seen", self.highest_seen))
+            Err(format!("{before} received, but highest known is {}", self.highest_seen))
         } else {
             Ok(())
         }
--- a/feed/src/rank.rs
+++ b/feed/src/rank.rs
@@ -1,9 +1,11 @@
-//! Rendezvous hashing (Thaler and Ravishankar, "A Name-Based Mapping Scheme for Rendezvous", 1996): who asks, who keeps
-//! a budget, whom to follow. Must give the same in every gateway that knows the same members.
+//! Rendezvous hashing (Thaler and Ravishankar, "A Name-Based Mapping Scheme for Rendezvous", 1996): who connects to
+//! list services, who holds a budget, which hub to subscribe to.
+//!
+//! Invariant: every gateway that knows the same members gets the same result.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// How much a member is wanted for a purpose; the greatest is first.
+/// Score of a member for a purpose; the highest comes first.
 pub fn score(name: &str, purpose: u64) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), purpose)
 }
@@ -12,15 +14,15 @@
     xxh3_64_with_seed(text.as_bytes(), 0)
 }
 
-/// The place of each name in the common order, which asks the bulletin from the front.
+/// Purpose of the contact order, whose first members connect to the discovery service.
 pub const CONTACT_ORDER: u64 = 0x006f_7264_6572;
 
-/// The first of those named for a purpose.
+/// The member with the highest score for a purpose.
 pub fn first<'a>(names: impl Iterator<Item = &'a str>, purpose: u64) -> Option<&'a str> {
     names.max_by_key(|name| (score(name, purpose), *name))
 }
 
-/// How many of the names come before this one for a purpose.
+/// The rank of `own`: how many of the names precede it for a purpose.
 pub fn rank_of<'a>(names: impl Iterator<Item = &'a str>, own: &str, purpose: u64) -> usize {
     let mine = (score(own, purpose), own);
     names.filter(|name| (score(name, purpose), *name) > mine).count()
--- a/feed/src/reassembly.rs
+++ b/feed/src/reassembly.rs
@@ -1,5 +1,7 @@
-//! Events that are no purges, put together from their pieces and kept until their turn comes. Must never give one out
-//! that is not whole; at its bounds it takes no more, so that its number stays a gap.
+//! Reassembles events other than purges from their pieces and keeps them until their turn.
+//!
+//! Invariant: an incomplete event is never delivered; at its limits it accepts no more, and the sequence number remains
+//! a gap.
 
 use crate::positions::Positions;
 use crate::settings::MAX_STREAMS;
@@ -12,7 +14,7 @@
 
 struct Partial {
     bytes: Vec<u8>,
-    /// Bytes that have come, counted from 1.
+    /// Received bytes, counted from 1.
     received: Positions,
     last_piece_at: Time,
 }
@@ -26,7 +28,7 @@
 }
 
 impl Reassembler {
-    /// Takes a piece; `needed`: nothing goes on without it, so that bounds don't hold it off.
+    /// Adds a piece. `needed`: delivery is blocked on this event, so the limits do not apply.
     pub fn add_piece(&mut self, now: Time, p: &Piece, needed: bool) {
         let key = (p.stream as usize, p.seq);
         if self.complete.contains_key(&key) {
@@ -37,7 +39,7 @@
         }
         if !self.partial.contains_key(&key) {
             while !needed && !self.has_room(p.total_len as usize) {
-                // The furthest one gives way to a nearer one.
+                // The furthest event is evicted in favour of a nearer one.
                 match self.partial.keys().next_back().copied().filter(|last| *last > key) {
                     Some(last) => {
                         self.dropped += 1;
@@ -83,18 +85,18 @@
         self.complete.contains_key(&(stream, seq))
     }
 
-    /// The first byte that is missing of one that has begun, and when the last piece came.
+    /// The first missing byte of an incomplete event, and when its last piece arrived.
     pub fn first_missing(&self, stream: usize, seq: u64) -> Option<(u32, Time)> {
         self.partial.get(&(stream, seq)).map(|o| (o.received.position() as u32, o.last_piece_at))
     }
 
-    /// Of those that have begun, the newest first: number, the first byte that is missing, and when the last piece came.
+    /// Incomplete events, newest first: sequence number, first missing byte, and when the last piece arrived.
     pub fn partials(&self, stream: usize, first: u64, last: u64) -> impl Iterator<Item = (u64, u32, Time)> {
         let all = self.partial.range((stream, first)..=(stream, last.max(first))).rev();
         all.map(|((_, seq), o)| (*seq, o.received.position() as u32, o.last_piece_at))
     }
 
-    /// Those up to a number, in order; they are not kept any more, nor is what has begun of others.
+    /// Removes and returns the complete events up to a sequence number, in order; incomplete ones up to it are dropped.
     pub fn take_through(&mut self, stream: usize, to: u64) -> Vec<(u64, Vec<u8>)> {
         let keys: Vec<u64> =
             self.partial.range((stream, 0)..=(stream, to)).map(|((_, seq), _)| *seq).collect();
@@ -107,7 +109,7 @@
         all
     }
 
-    /// Those behind one number and up to another, which stay.
+    /// Complete events after one sequence number up to another; they are kept.
     pub fn complete_between(
         &self,
         stream: usize,
@@ -127,9 +129,9 @@
     pub fn check_invariants(&self) -> Result<(), String> {
         let partial: usize = self.partial.values().map(|o| o.bytes.len()).sum();
         let sum = partial + self.complete.values().map(Vec::len).sum::<usize>();
-        // Beyond the bound each stream has one that nothing goes on without.
+        // Each stream may exceed the limit by one event on which delivery is blocked.
         let most = MAX_BYTES + MAX_STREAMS * MAX_LINE_BYTES;
         let is = sum == self.bytes && sum <= most && self.len() <= MAX_LINES + MAX_STREAMS;
-        if is { Ok(()) } else { Err(format!("{} events of {sum} bytes wait", self.len())) }
+        if is { Ok(()) } else { Err(format!("{} events of {sum} bytes buffered", self.len())) }
     }
 }
--- a/feed/src/report.rs
+++ b/feed/src/report.rs
@@ -24,9 +24,9 @@
 
 /// The acknowledgement of a bundle by the local positions.
 pub fn make_ack(bundle: BundleId, ends: &BundleEnds, position: impl Fn(usize) -> u64) -> Ack {
-    let lacking =
+    let behind =
         ends.iter().map(|(s, last)| (*s as u32, *last, position(*s))).filter(|(_, last, p)| p < last);
-    let (streams, positions) = lacking.map(|(s, _, p)| (s, p)).unzip();
+    let (streams, positions) = behind.map(|(s, _, p)| (s, p)).unzip();
     Ack { bundle: Some(bundle), streams, positions }
 }
 
@@ -47,7 +47,7 @@
         ends: &BundleEnds,
         live: &[String],
     ) -> Report {
-        let mut least: BTreeMap<u32, u64> = BTreeMap::new();
+        let mut minimum: BTreeMap<u32, u64> = BTreeMap::new();
         let mut laggards: Vec<Laggard> = Vec::new();
         let mut silent = 0;
         for name in live.iter().map(String::as_str).chain(std::iter::once(own)) {
@@ -62,7 +62,7 @@
             for (s, p) in ack.streams.iter().zip(&ack.positions) {
                 let Some((_, last)) = ends.iter().find(|(e, _)| *e as u32 == *s) else { continue };
                 let p = (*p).min(*last);
-                least.entry(*s).and_modify(|l| *l = (*l).min(p)).or_insert(p);
+                minimum.entry(*s).and_modify(|l| *l = (*l).min(p)).or_insert(p);
             }
             let behind = |(s, p): (&u32, &u64)| {
                 let last = ends.iter().find(|(e, _)| *e as u32 == *s).map_or(0, |(_, last)| *last);
@@ -75,7 +75,7 @@
         // Silent members first: the hub needs their names, while the others are covered by the minimum positions.
         laggards.sort_by_key(|l| !l.silent);
         laggards.truncate(MAX_LAGGARDS_PER_REPORT);
-        let (streams, positions) = least.into_iter().unzip();
+        let (streams, positions) = minimum.into_iter().unzip();
         Report {
             site: config.site.clone(),
             gateway: own.to_owned(),
@@ -94,9 +94,9 @@
     name: String,
     /// It is listed in the hub's configuration.
     listed: bool,
-    last_heard: Option<Time>,
+    last_seen: Option<Time>,
     /// By this hub directly, not through another hub.
-    last_heard_directly: Option<Time>,
+    last_seen_directly: Option<Time>,
     /// Bundle of the last accepted report; this hub's run id never changes.
     report_seq: u64,
     /// Minimum positions of the members that acknowledged in the last report; `None`: no report yet.
@@ -152,7 +152,7 @@
 }
 
 impl SiteTracker {
-    pub fn new(listed: &[String], streams: usize, silent: Span, now: Time) -> SiteTracker {
+    pub fn new(listed: &[String], streams: usize, silence_timeout: Span, now: Time) -> SiteTracker {
         let one = |name: &String| {
             (rank::key(name), SiteState { name: name.clone(), listed: true, ..SiteState::default() })
         };
@@ -162,7 +162,7 @@
             sites,
             stream_count: streams,
             started_at: now,
-            touch_timeout: silent * OUT_OF_TOUCH_FACTOR,
+            touch_timeout: silence_timeout * OUT_OF_TOUCH_FACTOR,
             in_touch: vec![0; streams],
             everywhere: vec![0; streams],
             pending_ends: BTreeMap::new(),
@@ -199,7 +199,7 @@
     /// A site's contact has renewed its subscription.
     pub fn note_direct_contact(&mut self, now: Time, name: &str) {
         if let Some(site) = self.site_mut(name) {
-            (site.last_heard, site.last_heard_directly) = (Some(now), Some(now));
+            (site.last_seen, site.last_seen_directly) = (Some(now), Some(now));
         }
     }
 
@@ -225,7 +225,7 @@
         }
         // A repetition of the last report is no sign of life.
         if bundle.seq > site.report_seq {
-            (site.last_heard, site.last_heard_directly, site.report_seq) = (Some(now), Some(now), bundle.seq);
+            (site.last_seen, site.last_seen_directly, site.report_seq) = (Some(now), Some(now), bundle.seq);
         }
         if report.silent_omitted > 0 {
             return Outcome::Accepted;
@@ -233,24 +233,24 @@
         let before = site.acked.take();
         let streams = acked_now.len();
         // A stream that the bundle does not name keeps its position.
-        let fresh: Vec<u64> = acked_now
+        let updated: Vec<u64> = acked_now
             .into_iter()
             .enumerate()
             .map(|(s, p)| p.unwrap_or_else(|| before.as_ref().map_or(0, |b| b[s])))
             .collect();
-        let known = before.unwrap_or_else(|| vec![0; streams]);
+        let previous = before.unwrap_or_else(|| vec![0; streams]);
         let is_silent = |l: &&Laggard| l.silent;
         let mut silent = BTreeMap::new();
         for laggard in report.laggards.iter().filter(is_silent) {
-            let had = site.silent.remove(&laggard.name).unwrap_or_else(|| known.clone());
-            silent.insert(laggard.name.clone(), had);
+            let acked = site.silent.remove(&laggard.name).unwrap_or_else(|| previous.clone());
+            silent.insert(laggard.name.clone(), acked);
         }
         site.silent = silent;
         let behind = report.laggards.iter().filter(|l| !l.silent);
         site.behind = behind.map(|l| (l.name.clone(), (l.stream as usize, l.position))).collect();
-        let mut all = Some(fresh.clone());
-        site.silent.values().for_each(|had| take_minimum(&mut all, had));
-        site.acked = Some(fresh);
+        let mut all = Some(updated.clone());
+        site.silent.values().for_each(|acked| take_minimum(&mut all, acked));
+        site.acked = Some(updated);
         if let Some(all) = all {
             site.raise_positions(&all);
         }
@@ -267,23 +267,23 @@
 
     /// Summaries for the other hubs of the sites in direct touch with this one.
     pub fn summaries(&self, now: Time, hub: u32, run_id: u32, seq: &mut u64) -> Vec<HubSummary> {
-        let in_touch_at = |at: Option<Time>| at.is_some_and(|at| now - at < self.touch_timeout);
-        let mut known: Option<Vec<u64>> = None;
-        let (mut with, mut without) = (Vec::new(), Vec::new());
-        for (key, site) in self.sites.iter().filter(|(_, site)| in_touch_at(site.last_heard_directly)) {
+        let is_in_touch = |at: Option<Time>| at.is_some_and(|at| now - at < self.touch_timeout);
+        let mut common: Option<Vec<u64>> = None;
+        let (mut reported, mut silent) = (Vec::new(), Vec::new());
+        for (key, site) in self.sites.iter().filter(|(_, site)| is_in_touch(site.last_seen_directly)) {
             match &site.positions {
                 Some(positions) => {
-                    take_minimum(&mut known, positions);
-                    with.push(*key);
+                    take_minimum(&mut common, positions);
+                    reported.push(*key);
                 }
-                None => without.push(*key),
+                None => silent.push(*key),
             }
         }
         let mut all = Vec::new();
-        for (sites, unreported) in [(with, false), (without, true)] {
+        for (sites, unreported) in [(reported, false), (silent, true)] {
             for sites in sites.chunks(MAX_SITES_PER_SUMMARY) {
                 *seq += 1;
-                let positions = known.clone().filter(|_| !unreported).unwrap_or_default();
+                let positions = common.clone().filter(|_| !unreported).unwrap_or_default();
                 all.push(HubSummary { hub, run_id, seq: *seq, positions, sites: sites.to_vec(), unreported });
             }
         }
@@ -302,7 +302,7 @@
         for key in summary.sites.iter().take(MAX_SITES_PER_SUMMARY) {
             // Sites known only to another hub are tracked there.
             if let Some(site) = self.sites.get_mut(key) {
-                site.last_heard = Some(now);
+                site.last_seen = Some(now);
                 if !summary.unreported && fits {
                     site.raise_positions(&summary.positions);
                 }
@@ -313,10 +313,10 @@
 
     /// Recomputes the watermarks.
     pub fn update_watermarks(&mut self, now: Time) {
-        let in_touch_at = |site: &&SiteState| site.last_heard.is_some_and(|at| now - at < self.touch_timeout);
+        let is_in_touch = |site: &&SiteState| site.last_seen.is_some_and(|at| now - at < self.touch_timeout);
         let none = vec![0; self.stream_count];
         let mut in_touch: Option<Vec<u64>> = None;
-        for site in self.sites.values().filter(in_touch_at) {
+        for site in self.sites.values().filter(is_in_touch) {
             take_minimum(&mut in_touch, site.positions.as_ref().unwrap_or(&none));
         }
         let mut everywhere: Option<Vec<u64>> = None;
@@ -344,7 +344,7 @@
     pub fn unacked(&self, now: Time) -> Vec<Unacked> {
         let mut all = Vec::new();
         for site in self.sites.values() {
-            let named = |member: Option<&String>, (stream, position): (usize, u64)| Unacked {
+            let entry = |member: Option<&String>, (stream, position): (usize, u64)| Unacked {
                 site: site.name.clone(),
                 member: member.cloned(),
                 stream,
@@ -359,23 +359,23 @@
                     .max_by_key(|(s, p)| last(*s).saturating_sub(**p))
                     .map_or((0, 0), |(s, p)| (s, *p))
             };
-            let in_touch_at = site.last_heard.is_some_and(|at| now - at < self.touch_timeout);
-            if !in_touch_at || site.positions.is_none() {
-                if site.listed || in_touch_at {
-                    all.push(named(None, site.positions.as_ref().map_or((0, 0), lowest)));
+            let is_in_touch = site.last_seen.is_some_and(|at| now - at < self.touch_timeout);
+            if !is_in_touch || site.positions.is_none() {
+                if site.listed || is_in_touch {
+                    all.push(entry(None, site.positions.as_ref().map_or((0, 0), lowest)));
                 }
                 continue;
             }
             // A site that is back does not have the events acknowledged while it was away.
-            let least = site.positions.iter().flatten().zip(&self.in_touch).enumerate();
+            let minimum = site.positions.iter().flatten().zip(&self.in_touch).enumerate();
             if let Some((s, (p, _))) =
-                least.filter(|(_, (p, done))| p < done).max_by_key(|(_, (p, done))| *done - *p)
+                minimum.filter(|(_, (p, done))| p < done).max_by_key(|(_, (p, done))| *done - *p)
             {
-                all.push(named(None, (s, *p)));
+                all.push(entry(None, (s, *p)));
             }
-            if site.last_heard_directly.is_some_and(|at| now - at < self.touch_timeout) {
-                all.extend(site.silent.iter().map(|(m, had)| named(Some(m), lowest(had))));
-                all.extend(site.behind.iter().map(|(m, at)| named(Some(m), *at)));
+            if site.last_seen_directly.is_some_and(|at| now - at < self.touch_timeout) {
+                all.extend(site.silent.iter().map(|(m, acked)| entry(Some(m), lowest(acked))));
+                all.extend(site.behind.iter().map(|(m, at)| entry(Some(m), *at)));
             }
         }
         all.truncate(MAX_UNACKED);
--- a/feed/src/seal.rs
+++ b/feed/src/seal.rs
@@ -1,38 +1,40 @@
-//! Datagrams under keys that an installation shares: HMAC-SHA256 (RFC 2104, cut to 16 bytes as its section 5 allows) over
-//! everything, the installation's name included. Must never say that a datagram is good before its code was checked.
+//! Authenticates datagrams with keys shared by an installation: HMAC-SHA256 (RFC 2104, truncated to 16 bytes as its
+//! section 5 allows) over everything, including the installation's name.
 //!
-//! The key is common: who has it can speak for each member. What members then claim is judged elsewhere.
+//! Invariant: a datagram is not accepted before its MAC has been verified.
+//!
+//! The keys are shared: whoever has one can impersonate any member. Claims of members are checked elsewhere.
 
 use crate::settings::Key;
 use ring::hmac;
 
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 const MAC_LEN: usize = 16;
-/// Version, key and code stand in front of the body.
+/// Version, key id and MAC precede the body.
 pub const HEADER_LEN: usize = 1 + 4 + MAC_LEN;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum OpenError {
-    #[error("too short or too long")]
+    #[error("datagram length out of range")]
     Length,
-    #[error("another version")]
+    #[error("unsupported version")]
     Version,
-    #[error("a key that is not known here")]
+    #[error("unknown key id")]
     UnknownKey,
-    #[error("the code does not fit: another fleet, another key or damage")]
+    #[error("MAC mismatch: other fleet, other key or corrupted datagram")]
     Mac,
-    #[error("no message of ours")]
+    #[error("malformed message")]
     Malformed,
 }
 
-/// The first signs, all of them are good for what comes.
+/// The first key is used for sending, all of them are accepted.
 pub struct Keys {
     keys: Vec<(u32, hmac::Key)>,
     installation: Vec<u8>,
 }
 
 impl Keys {
-    /// `None`: a secret is no row of hex digits, or there is none.
+    /// Returns `None` if a secret is not hexadecimal, or if there are no keys.
     pub fn new(installation: &str, keys: &[Key]) -> Option<Keys> {
         let one = |key: &Key| Some((key.id, hmac::Key::new(hmac::HMAC_SHA256, &key.secret_bytes()?)));
         let keys = keys.iter().map(one).collect::<Option<Vec<_>>>()?;
@@ -59,7 +61,7 @@
         out
     }
 
-    /// The body of what one with a key has sealed.
+    /// Verifies a datagram and returns its body.
     pub fn open<'a>(&self, version: u8, bytes: &'a [u8]) -> Result<&'a [u8], OpenError> {
         if !(HEADER_LEN..=MAX_DATAGRAM_BYTES).contains(&bytes.len()) {
             return Err(OpenError::Length);
--- a/feed/src/streams.rs
+++ b/feed/src/streams.rs
@@ -1,5 +1,6 @@
-//! What a gateway knows of each stream: by hubs' bundles, and with what its site's contact gathered itself. Must never
-//! move a position by anything but a hub's bundle, nor give out an event before those in front of it.
+//! State of each stream at a gateway: what hubs have signed, and what the site's contact has gathered provisionally.
+//!
+//! Invariant: a position advances only by a hub's bundle, and an event is never delivered before those preceding it.
 
 use crate::Output;
 use crate::log::Seen;
@@ -11,28 +12,28 @@
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Events given out by a provisional bundle before a hub told them.
+/// Limit on events delivered from provisional bundles before a hub has sent them.
 const MAX_EARLY: usize = 4_096;
-/// An event of which pieces come is not asked for.
+/// An incomplete event is not requested within this time after its last piece.
 const PIECE_WAIT: Span = Span::from_millis(300);
 
 pub struct Stream {
-    /// A position is known: by the file or by a first bundle.
+    /// The position is known, from the configuration or from a first bundle.
     pub started: bool,
     pub signed: Positions,
-    /// The same and what is provisional.
+    /// Everything in `signed`, and what was received provisionally.
     pub provisional: Positions,
-    /// Where the latter began, before a position was known.
+    /// Where `provisional` started before a signed position was known.
     provisional_base: u64,
-    /// The latest stamp of a bundle that reaches beyond the position.
+    /// The latest timestamp of a bundle that reaches beyond the position.
     latest_issued_ms: u64,
-    /// Gaps up to here were told as a purge of everything.
+    /// Gaps up to here were reported as a purge of everything.
     purged_through: u64,
-    /// A gap that stands: since when, and its last number.
+    /// An open gap: since when, and its last sequence number.
     open_gap: Option<(Time, u64)>,
     pub in_touch: u64,
     pub everywhere: u64,
-    /// The list service had no more than is known at that time, less what the word took on its way.
+    /// When the list service was known to have no more events than were received, less the transmission delay.
     fresh_at: Option<Time>,
 }
 
@@ -40,10 +41,10 @@
     pub all: Vec<Stream>,
     pub signed_lines: Reassembler,
     provisional_lines: Reassembler,
-    /// By stream and number what was given out of soft ones, as a hash.
+    /// Hashes of the events delivered from provisional bundles, by stream and sequence number.
     delivered_early: BTreeMap<(usize, u64), u64>,
     pub seen: Seen,
-    /// Provisional bundles were taken since a hub was heard last.
+    /// Provisional bundles were applied since the last live bundle of a hub.
     has_provisional: bool,
     pub outputs: Vec<Output>,
     pub gaps_purged: u64,
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Numbers of the range but those of events that are not whole here.
+    /// The sub-ranges of a bundle's range, without events that are incomplete here.
     fn complete_ranges(
         body: &Bundle,
         lines: &Reassembler,
@@ -117,7 +118,7 @@
         all
     }
 
-    /// A hub's bundle; streams that it started, each with its position then.
+    /// Applies a hub's bundle. Returns the streams whose position it initialised, with that position.
     pub fn apply_signed(
         &mut self,
         now: Time,
@@ -133,7 +134,7 @@
             stream.purged_through = stream.purged_through.max(first - 1);
             stream.signed.start_at(first - 1);
             if stream.provisional_base > first - 1 {
-                // What was provisional began further on, and stands for nothing in front of that.
+                // The provisional range started further on and says nothing about what precedes it.
                 stream.provisional = Positions::new(first - 1);
             }
             stream.provisional.start_at(first - 1);
@@ -150,7 +151,7 @@
                 self.all[s].signed.add(p.seq, p.seq);
                 self.all[s].provisional.add(p.seq, p.seq);
             } else {
-                // It exists, whatever becomes of it.
+                // The event exists, even if it is not completed.
                 self.all[s].signed.observe(p.seq);
                 self.all[s].provisional.observe(p.seq);
             }
@@ -177,7 +178,7 @@
                 stream.everywhere = stream.everywhere.max(everywhere);
             }
             if live && self.has_provisional {
-                // What is provisional can't stand for anything that hubs tell from now on.
+                // Provisional knowledge must not cover events that hubs publish from now on.
                 stream.provisional.truncate(last.max(stream.signed.highest_seen()));
             }
         }
@@ -188,7 +189,7 @@
         started
     }
 
-    /// What the site's contact gathered: acted on, but no position moves.
+    /// Applies a provisional bundle: its events take effect, but no position advances.
     pub fn apply_provisional(&mut self, now: Time, body: &Bundle, names: Option<PrefixSet>) {
         self.has_provisional = true;
         self.emit_purge(body, names);
@@ -227,7 +228,7 @@
         for s in 0..self.all.len() {
             let (signed, provisional) = (self.all[s].signed.position(), self.all[s].provisional.position());
             for (seq, line) in self.signed_lines.take_through(s, signed) {
-                // What was given out early is not again, unless a hub tells it otherwise.
+                // An event delivered early is delivered again only if the hub's version differs.
                 if self.delivered_early.get(&(s, seq)) != Some(&xxh3_64(&line)) {
                     self.emit_line(s, seq, line);
                 }
@@ -236,7 +237,7 @@
                 self.delivered_early.range((s, 0)..=(s, signed)).map(|(key, _)| *key).collect();
             done.iter().for_each(|key| _ = self.delivered_early.remove(key));
             if !self.all[s].started && self.all[s].provisional_base > 0 {
-                // A hub may begin further back: events of before would come after these.
+                // A hub may start further back: earlier events would then follow these.
                 continue;
             }
             let provisional_lines = self.provisional_lines.take_through(s, provisional);
@@ -259,7 +260,7 @@
         }
     }
 
-    /// The last number of a range that is neither known nor an event whose pieces come.
+    /// The last sequence number of a range that is neither received nor part of an incomplete event.
     fn last_unknown(&self, s: usize, after: u64, to: u64) -> Option<u64> {
         let open = |seq: u64| {
             self.signed_lines.first_missing(s, seq).is_some()
@@ -277,7 +278,7 @@
         None
     }
 
-    /// Gaps that stand too long are told as a purge of everything, each once; when to look again.
+    /// Reports gaps that outlast the grace period as a purge of everything, each once. Returns when to check again.
     pub fn purge_expired_gaps(&mut self, now: Time, grace: Span) -> Option<Time> {
         let mut next = None;
         for s in 0..self.all.len() {
@@ -308,7 +309,7 @@
         next
     }
 
-    /// A gap as it is asked for, the newest first: an event that has begun by itself, from the byte on that it lacks.
+    /// The requests for one gap, newest first. An incomplete event gets its own request from its first missing byte on.
     fn requests_for_gap(&self, now: Time, s: usize, first: u64, mut last: u64) -> Vec<Range> {
         let stream = s as u32;
         let mut all = Vec::new();
@@ -327,7 +328,7 @@
         all
     }
 
-    /// What is missing of hubs' bundles, the newest of each stream first.
+    /// Missing ranges of signed streams, the newest of each stream first.
     pub fn missing_ranges(&self, now: Time, max: usize) -> Vec<Range> {
         let mut all: Vec<Vec<Range>> = Vec::new();
         for (s, stream) in self.all.iter().enumerate().filter(|(_, t)| t.started) {
@@ -341,7 +342,7 @@
                 all.push(mine);
             }
         }
-        // The newest gap of every stream before the second of any.
+        // The newest gap of each stream comes before the second of any.
         let mut outputs = Vec::new();
         for i in 0..max {
             outputs.extend(all.iter().filter_map(|mine| mine.get(i)));
@@ -358,7 +359,7 @@
         self.all.iter().filter(|t| t.started).flat_map(|t| t.signed.gaps()).map(|(a, b)| b - a + 1).sum()
     }
 
-    /// Pieces and ranges that found no room, and are gaps therefore.
+    /// Pieces and ranges dropped at a limit; they are gaps again.
     pub fn dropped(&self) -> u64 {
         let ranges = self.all.iter().map(|t| t.signed.forgotten).sum::<u64>();
         ranges + self.signed_lines.dropped + self.provisional_lines.dropped
@@ -381,16 +382,16 @@
             stream.signed.check_invariants().map_err(|e| format!("stream {s}: {e}"))?;
             stream.provisional.check_invariants().map_err(|e| format!("stream {s}, provisional: {e}"))?;
             if stream.provisional.position() < stream.signed.position() {
-                return Err(format!("stream {s}: provisional knowledge ends before a hub's"));
+                return Err(format!("stream {s}: provisional position is behind the signed one"));
             }
             if stream.everywhere > stream.in_touch {
-                return Err(format!("stream {s}: more is done everywhere than in touch"));
+                return Err(format!("stream {s}: watermark of all sites is above that of sites in touch"));
             }
         }
         self.signed_lines.check_invariants()?;
         self.provisional_lines.check_invariants()?;
         if self.delivered_early.len() > MAX_EARLY {
-            return Err(format!("{} events given out early", self.delivered_early.len()));
+            return Err(format!("{} events delivered early", self.delivered_early.len()));
         }
         Ok(())
     }
--- a/feed/src/wire.rs
+++ b/feed/src/wire.rs
@@ -1,18 +1,19 @@
-//! What gateways and hubs say to each other on the feed (protobuf by prost), and what may stand in it. Must never be
-//! trusted before `seal` has checked its code; what is not sound is thrown away whole.
+//! Messages between gateways and hubs (protobuf by prost), and their validation.
+//!
+//! Invariant: nothing here is trusted before `seal` has verified its MAC; an invalid message is discarded as a whole.
 
 use crate::positions::MAX_SEQ;
 use crate::settings::{MAX_STREAMS, is_valid_name};
 
-/// A bundle with its signature.
+/// Maximum length of a bundle with its signature.
 pub const MAX_BUNDLE_BYTES: usize = 1_150;
-/// Bytes of an event that is no purge.
+/// Maximum number of bytes of one piece of an event.
 pub const MAX_PIECE_BYTES: usize = 800;
 pub const MAX_LINE_BYTES: usize = 1024 * 1024;
-/// Ranges that one request names, and members that one report does.
+/// Maximum number of ranges in one request, and of members named in one report.
 pub const MAX_RANGES_PER_REQUEST: usize = 16;
 pub const MAX_LAGGARDS_PER_REPORT: usize = 8;
-/// Sites that one hub tells another of in a datagram.
+/// Maximum number of sites in one summary.
 pub const MAX_SITES_PER_SUMMARY: usize = 100;
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -25,96 +26,98 @@
 pub enum Payload {
     #[prost(message, tag = "1")]
     Live(LiveBundle),
-    /// A bundle that was asked for.
+    /// A requested bundle.
     #[prost(bytes = "vec", tag = "2")]
     Retransmission(Vec<u8>),
-    /// What a contact gathered itself, without a signature.
+    /// A bundle without signature that a contact composed itself.
     #[prost(bytes = "vec", tag = "3")]
     Provisional(Vec<u8>),
     #[prost(message, tag = "4")]
     Subscribe(Subscribe),
-    /// Who asks or follows has to show this number, so that what it said is not another's from elsewhere.
+    /// Token that a requester or subscriber has to return, as proof that it receives at its source address.
     #[prost(fixed64, tag = "5")]
     Challenge(u64),
     #[prost(message, tag = "6")]
     RetransmitRequest(RetransmitRequest),
-    /// Nothing of what was asked for is here.
+    /// Nothing of what was requested is available.
     #[prost(bool, tag = "7")]
     Unavailable(bool),
     #[prost(message, tag = "8")]
     Ack(Ack),
     #[prost(message, tag = "9")]
     Report(Report),
-    /// A `Gathered` with its hub's signature behind it.
+    /// A `HubSummary` followed by its hub's signature.
     #[prost(bytes = "vec", tag = "10")]
     HubSummary(Vec<u8>),
-    /// The sender hears a hub itself and stands at this place: one behind it need not be a contact.
+    /// The sender receives bundles directly from a hub and has this rank: members with a higher rank need not be
+    /// contacts.
     #[prost(uint32, tag = "11")]
     ContactClaim(u32),
 }
 
-/// A hub's bundle on its way through a site.
+/// A hub's bundle as it is disseminated through a site.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct LiveBundle {
     #[prost(bytes = "vec", tag = "1")]
     pub bundle: Vec<u8>,
-    /// The place of the contact in the common order.
+    /// Rank of the contact that received it, in contact order.
     #[prost(uint32, tag = "2")]
     pub contact_rank: u32,
 }
 
-/// What a hub has gathered in a period. Streams are named by their place in the file.
+/// The events a hub has collected in one period. Streams are identified by their index in the configuration.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Bundle {
-    /// Of the hub's name; 0: provisional.
+    /// Derived from the hub's name; 0: provisional.
     #[prost(fixed32, tag = "1")]
     pub hub: u32,
     #[prost(fixed32, tag = "2")]
     pub run_id: u32,
     #[prost(uint64, tag = "3")]
     pub seq: u64,
-    /// The first number of each stream; 0: nothing is said of it.
+    /// The first sequence number of each stream; 0: the bundle does not name the stream.
     #[prost(uint64, repeated, tag = "4")]
     pub firsts: Vec<u64>,
-    /// Numbers of each stream that it holds, from the first one on.
+    /// Number of events of each stream, from the first one on.
     #[prost(uint64, repeated, tag = "5")]
     pub counts: Vec<u64>,
-    /// Since the list service was known to have no more than that, in units of 10 ms, rounded up; empty: not told.
+    /// Time since the list service was known to have no more events, in units of 10 ms, rounded up; empty: unknown.
     #[prost(uint32, repeated, tag = "6")]
     pub ages_10ms: Vec<u32>,
-    /// From the watermark of sites in touch to the last number; empty: not told.
+    /// Distance from the watermark of sites in touch to the last sequence number; empty: unknown.
     #[prost(uint64, repeated, tag = "7")]
     pub in_touch_lag: Vec<u64>,
-    /// From the watermark of all sites to that of those in touch; empty: they are one.
+    /// Distance from the watermark of all sites to that of sites in touch; empty: the two are equal.
     #[prost(uint64, repeated, tag = "8")]
     pub everywhere_lag: Vec<u64>,
-    /// The latest stamp of the purges in it, or of late where there are none; Unix ms.
+    /// The latest timestamp of the purges in the bundle, or the latest recent one if it has none; Unix ms.
     #[prost(uint64, tag = "9")]
     pub issued_ms: u64,
-    /// As `code` writes them; empty: no purges.
+    /// As encoded by `name_codec`; empty: no purges.
     #[prost(bytes = "vec", tag = "10")]
     pub names: Vec<u8>,
     #[prost(message, repeated, tag = "11")]
     pub pieces: Vec<Piece>,
-    /// Sites are to report who has everything up to here.
+    /// Sites report which members have everything up to this bundle.
     #[prost(bool, tag = "12")]
     pub wants_report: bool,
-    /// How many there are, so that they share a pace when no hub is there.
+    /// Number of sites, so that they can share a connection rate while no hub is reachable.
     #[prost(uint32, tag = "13")]
     pub site_count: u32,
-    /// From `issued` to the latest stamp that the hub knows of: nothing up to the last numbers was issued after it.
+    /// Distance from `issued_ms` to the latest timestamp known to the hub: nothing up to the last sequence numbers was
+    /// issued later.
     #[prost(uint64, tag = "14")]
     pub latest_delta_ms: u64,
 }
 
-/// Of an event that is no purge.
+/// A piece of an event that is not a purge.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Piece {
     #[prost(uint32, tag = "1")]
     pub stream: u32,
     #[prost(uint64, tag = "2")]
     pub seq: u64,
-    /// Where its bytes stand in the event, and how many the event has.
+    /// Offset of the piece in the event, and length of the whole event.
     #[prost(uint32, tag = "3")]
     pub offset: u32,
     #[prost(uint32, tag = "4")]
@@ -123,14 +126,14 @@
     pub bytes: Vec<u8>,
 }
 
-/// A contact wants what a hub sends, for the next seconds.
+/// Subscribes a contact to a hub's bundles for the next seconds.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Subscribe {
     #[prost(string, tag = "1")]
     pub site: String,
     #[prost(string, tag = "2")]
     pub gateway: String,
-    /// Of the contact; the number counts up with each one that it sends.
+    /// Run id of the contact, and a counter of its subscriptions.
     #[prost(fixed32, tag = "3")]
     pub run_id: u32,
     #[prost(uint64, tag = "4")]
@@ -148,13 +151,13 @@
 pub struct RetransmitRequest {
     #[prost(message, repeated, tag = "1")]
     pub ranges: Vec<Range>,
-    /// Only what is of late.
+    /// Only recent events.
     #[prost(bool, tag = "2")]
     pub recent_only: bool,
-    /// One bundle by its name.
+    /// One bundle by its id.
     #[prost(message, optional, tag = "3")]
     pub bundle: Option<BundleId>,
-    /// To a hub: who asks.
+    /// In requests to a hub: the requesting site.
     #[prost(string, tag = "4")]
     pub site: String,
     #[prost(fixed64, tag = "5")]
@@ -169,12 +172,12 @@
     pub first: u64,
     #[prost(uint64, tag = "3")]
     pub last: u64,
-    /// Of the event that is the only one in the range: its bytes from here on.
+    /// For a range of one event: its bytes from this offset on.
     #[prost(uint32, tag = "4")]
     pub offset: u32,
 }
 
-/// The name of a bundle.
+/// The id of a bundle.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Message)]
 pub struct BundleId {
     #[prost(fixed32, tag = "1")]
@@ -185,19 +188,20 @@
     pub seq: u64,
 }
 
-/// To a tree's root: all numbers up to the ends of this bundle are known here, except in some streams.
+/// Sent to the root of a tree: everything up to the ends of this bundle has been received, except in the listed
+/// streams.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Ack {
     #[prost(message, optional, tag = "1")]
     pub bundle: Option<BundleId>,
     #[prost(uint32, repeated, tag = "2")]
     pub streams: Vec<u32>,
-    /// The positions in these.
+    /// The positions in these streams.
     #[prost(uint64, repeated, tag = "3")]
     pub positions: Vec<u64>,
 }
 
-/// To the hub that made the bundle: what its site's live members have confirmed.
+/// Sent to the hub that made the bundle: what the live members of the site have acknowledged.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Report {
     #[prost(string, tag = "1")]
@@ -206,17 +210,17 @@
     pub gateway: String,
     #[prost(message, optional, tag = "3")]
     pub bundle: Option<BundleId>,
-    /// Live ones, the sender included.
+    /// Live members, including the sender.
     #[prost(uint32, tag = "4")]
     pub members: u32,
-    /// Streams in which not all have everything up to the bundle's end, and the least position there.
+    /// Streams in which some members lack events of the bundle, and the minimum position there.
     #[prost(uint32, repeated, tag = "5")]
     pub streams: Vec<u32>,
     #[prost(uint64, repeated, tag = "6")]
     pub positions: Vec<u64>,
     #[prost(message, repeated, tag = "7")]
     pub laggards: Vec<Laggard>,
-    /// Members from whom nothing came, beyond those among the laggards.
+    /// Number of silent members beyond those listed as laggards.
     #[prost(uint32, tag = "8")]
     pub silent_omitted: u32,
 }
@@ -225,7 +229,7 @@
 pub struct Laggard {
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Nothing came from it.
+    /// No acknowledgement was received from it.
     #[prost(bool, tag = "2")]
     pub silent: bool,
     #[prost(uint32, tag = "3")]
@@ -234,7 +238,7 @@
     pub position: u64,
 }
 
-/// From hub to hub: sites that it hears, and what all of them have.
+/// Exchanged between hubs: sites in direct touch with the sender, and the positions that all of them have acknowledged.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct HubSummary {
     #[prost(fixed32, tag = "1")]
@@ -245,16 +249,16 @@
     pub seq: u64,
     #[prost(uint64, repeated, tag = "4")]
     pub positions: Vec<u64>,
-    /// By the hash of their names.
+    /// Hashes of the site names.
     #[prost(fixed64, repeated, tag = "5")]
     pub sites: Vec<u64>,
-    /// They are heard, but have not reported.
+    /// The sites are in touch but have not reported.
     #[prost(bool, tag = "6")]
     pub unreported: bool,
 }
 
 impl Bundle {
-    /// No purge up to its last numbers has a later stamp.
+    /// No purge up to the bundle's last sequence numbers has a later timestamp.
     pub fn latest_issued_ms(&self) -> u64 {
         self.issued_ms.saturating_add(self.latest_delta_ms)
     }
@@ -263,7 +267,7 @@
         BundleId { hub: self.hub, run_id: self.run_id, seq: self.seq }
     }
 
-    /// By stream, first and last number; last is before first where it holds none.
+    /// Stream, first and last sequence number; last is below first if the bundle has no events of the stream.
     pub fn ranges(&self) -> impl Iterator<Item = (usize, u64, u64)> {
         let all = self.firsts.iter().zip(&self.counts).enumerate();
         all.filter(|(_, (first, _))| **first != 0).map(|(s, (first, count))| (s, *first, first + count - 1))
--- a/gateway/src/feed.rs
+++ b/gateway/src/feed.rs
@@ -1,7 +1,9 @@
-//! Hosts the feed: its core on the fleet's UDP socket, a connection to each list service that the core wants one to, and
-//! what comes of both to the dispatcher. On a machine set aside for control it is all that runs: no txns, no caches, no
-//! members. Owns no decision: what is believed, repaired and told as done is decided by the core in `kelpcart-feed`. Nothing
-//! of it runs unless the file that `KELPCART_FLEET` names has a `feed`.
+//! Hosts the feed: runs its core on the fleet's UDP socket, keeps a connection to each list service that the core
+//! wants, and passes its output to the dispatcher. On a control machine (hub) nothing else runs: no txns, no caches, no
+//! members.
+//!
+//! Invariant: this module makes no decisions; what is accepted, repaired and reported as done is decided by the core in
+//! `kelpcart-feed`. Nothing of it runs unless the file named by `KELPCART_FLEET` has a `feed`.
 
 use crate::Tasks;
 use crate::clock::Clock;
@@ -27,22 +29,24 @@
 
 pub use kelpcart_feed::VERSION;
 
-/// Datagrams that are taken in before others have their turn.
+/// Datagrams read before other tasks get their turn.
 const MAX_DATAGRAMS_PER_TURN: usize = 64;
 const MIN_SLEEP: Span = Span::from_millis(1);
-/// Caches of all streams together that are remembered by the stream that lists them.
+/// Maximum number of caches, over all streams, for which the listing stream is remembered.
 const MAX_LISTED_CACHES: usize = 16_384;
-/// Stands for the stream of caches of which that is not known.
+/// Owner of caches whose listing stream is unknown.
 const UNKNOWN_STREAM: usize = usize::MAX;
-/// Lines of those who have not confirmed that a control machine writes at once.
-const MAX_LOGGED: usize = 100;
+/// Maximum number of log lines on missing acknowledgements that a hub writes at once.
+const MAX_LOGGED_LINES: usize = 100;
 
-/// Which stream lists which cache: a whole list of one stream must not drop the caches of the others.
+/// Records which stream lists which cache, so that a complete list of one stream does not remove the caches of the
+/// others.
 #[derive(Default)]
 pub struct CacheOwners(BTreeMap<MemberId, usize>);
 
 impl CacheOwners {
-    /// What a list of one stream changes in the list of all, and how many were left out at the bound.
+    /// Translates a list of one stream into changes of the combined list. Also returns how many caches were left out at
+    /// the limit.
     pub fn apply(
         &mut self,
         stream: usize,
@@ -59,7 +63,7 @@
         for listed in list {
             let (id, owner) = (&listed.member.id, self.0.get(&listed.member.id).copied());
             if listed.member.state == MemberState::Gone {
-                // One that another stream lists by now has only moved.
+                // A cache that another stream lists by now has only moved.
                 if owner.is_some_and(|of| of != stream && of != UNKNOWN_STREAM) {
                     continue;
                 }
@@ -90,11 +94,11 @@
     ListedMember { member, address: None }
 }
 
-/// Where events go at a gateway.
+/// What the feed needs at a gateway: the recipient of its events, and the initial state.
 pub struct GatewayInit {
     pub dispatcher: Sender<Event>,
     pub names: Names,
-    /// The events that the configuration holds, of the feed's own stream, and the number of the last.
+    /// The events that the configuration includes for the feed's own stream, and the sequence number of the last one.
     pub known_events: Vec<DiscoveryEvent>,
     pub last_known: u64,
 }
@@ -110,22 +114,22 @@
     socket: Rc<Async<UdpSocket>>,
     clock: Clock,
     counters: Rc<Counters>,
-    /// `None`: a control machine.
+    /// `None`: a hub.
     gateway: Option<GatewaySink>,
     own_stream: usize,
     streams: Vec<settings::Stream>,
-    /// The core was told something: its next time may have moved.
+    /// Signals that the core's next wake-up may have moved forward.
     wake_changed: Woken,
     sleeps_until: Cell<Time>,
-    /// Whether a list service is to be asked has changed.
+    /// Signals that `wanted` has changed for some list service.
     wanted_changed: Woken,
     wanted: Vec<Cell<bool>>,
-    /// New addresses of the streams that the file alone names.
+    /// Address updates for the streams whose addresses come from the fleet file.
     address_updates: RefCell<Vec<(usize, Sender<SocketAddr>)>>,
     stream_counters: Vec<[&'static str; 3]>,
 }
 
-/// What the rest of the process lends.
+/// Resources of the process that the feed uses.
 pub struct Resources {
     pub tasks: Tasks,
     pub clock: Clock,
@@ -134,33 +138,34 @@
 }
 
 impl Feed {
-    /// `serves`: none at a control machine.
+    /// `init`: `None` at a hub.
     pub fn start(
         resources: Resources,
         file: &File,
         init: Option<GatewayInit>,
     ) -> Result<Option<Rc<Feed>>, String> {
-        let Some(mut of) = file.feed.clone() else { return Ok(None) };
+        let Some(mut feed_settings) = file.feed.clone() else { return Ok(None) };
         let (now, mut rng) = (resources.clock.now(), rand::rng());
-        let (run, seed) = (rng.random_range(1..=u64::MAX), rng.random());
+        let (run_id, seed) = (rng.random_range(1..=u64::MAX), rng.random());
         if let Some(init) = &init {
-            of.streams[of.own].known = init.last_known;
+            feed_settings.streams[feed_settings.own].known = init.last_known;
         }
-        let core =
-            Core::new(&of, &file.keys, &file.gateway, run, seed, now).map_err(|e| format!("feed: {e}"))?;
+        let core = Core::new(&feed_settings, &file.keys, &file.gateway, run_id, seed, now)
+            .map_err(|e| format!("feed: {e}"))?;
         let gateway = init.map(|init| {
             let mut owners = CacheOwners::default();
-            // The configuration doesn't say whose the caches are that it holds: where it holds other streams' lists as
-            // well, they are nobody's until a stream names them.
-            let alone = of.streams.iter().enumerate().all(|(i, s)| i == of.own || s.known == 0);
+            // The configuration does not say which stream lists its caches. If it includes lists of other streams as
+            // well, they have no owner until a stream names them.
+            let only_own_list =
+                feed_settings.streams.iter().enumerate().all(|(i, s)| i == feed_settings.own || s.known == 0);
             for event in init.known_events {
                 if let DiscoveryEvent::Roster { whole, list } = event {
-                    owners.apply(if alone { of.own } else { UNKNOWN_STREAM }, whole, list);
+                    owners.apply(if only_own_list { feed_settings.own } else { UNKNOWN_STREAM }, whole, list);
                 }
             }
             GatewaySink { dispatcher: init.dispatcher, names: init.names, owners: RefCell::new(owners) }
         });
-        // A handful for the life of the process.
+        // Leaked on purpose: a few strings for the lifetime of the process.
         let name = |what: &str, i: usize| -> &'static str { format!("fleet feed {what} {i}").leak() };
         let names = |i| [name("position", i), name("done in touch", i), name("done everywhere", i)];
         let feed = Rc::new(Feed {
@@ -169,23 +174,28 @@
             clock: resources.clock,
             counters: resources.counters,
             gateway,
-            own_stream: of.own,
+            own_stream: feed_settings.own,
             wake_changed: Woken::new(),
             sleeps_until: Cell::new(now),
             wanted_changed: Woken::new(),
-            wanted: of.streams.iter().map(|_| Cell::new(false)).collect(),
+            wanted: feed_settings.streams.iter().map(|_| Cell::new(false)).collect(),
             address_updates: RefCell::default(),
-            stream_counters: (0..of.streams.len()).map(names).collect(),
-            streams: of.streams,
+            stream_counters: (0..feed_settings.streams.len()).map(names).collect(),
+            streams: feed_settings.streams,
         });
         let driver = Rc::clone(&feed);
         resources.tasks.spawn(async move { driver.drive().await }).detach();
-        log::info!("{} is of the site {} of {}", file.gateway, of.site, of.name);
+        log::info!(
+            "{} belongs to site {} of installation {}",
+            file.gateway,
+            feed_settings.site,
+            feed_settings.name
+        );
         Ok(Some(feed))
     }
 
-    /// Follows the list services whenever the core wants that. `own`: where that of the own stream is, and its further
-    /// addresses, if they come from the configuration.
+    /// Connects to the list services whenever the core wants it. `own`: address and address updates of the own stream,
+    /// if they come from the configuration.
     pub fn subscribe(self: &Rc<Self>, tasks: Tasks, mut own: Option<(SocketAddr, Receiver<SocketAddr>)>) {
         for (i, stream) in self.streams.iter().enumerate() {
             let configured = if i == self.own_stream { own.take() } else { None };
@@ -202,25 +212,25 @@
         }
     }
 
-    /// Other keys and other addresses of list services, as its file has them now; the rest of the file stays as it was.
+    /// Applies keys and list-service addresses from a reloaded file; everything else in it is ignored.
     pub fn reload(&self, file: &File) {
         let replaced = self.core.borrow_mut().set_keys(&file.keys);
         if !replaced {
             self.counters.add("fleet feed keys that can't be used");
-            log::warn!("the feed's keys can't be used; they stay");
+            log::warn!("the feed's new keys can't be used; keeping the old ones");
         }
         self.counters.add("fleet feed files read again");
         let current = file.feed.as_ref().map(|f| &f.streams).into_iter().flatten();
         let current: BTreeMap<&str, SocketAddr> = current.map(|s| (s.name.as_str(), s.address)).collect();
         for (i, sender) in self.address_updates.borrow().iter() {
             if let Some(address) = current.get(self.streams[*i].name.as_str()) {
-                // It fails only when its follower has ended, and with it the process.
+                // Fails only if its subscriber has ended, and with it the process.
                 _ = sender.try_send(*address);
             }
         }
     }
 
-    /// The live others of the site.
+    /// The other live members of the site.
     pub fn set_members<'a>(&self, live: impl Iterator<Item = (&'a str, SocketAddr)>) {
         self.with_core(|core, now| core.set_members(now, live));
     }
@@ -234,32 +244,32 @@
             let now = self.clock.now();
             self.core.borrow_mut().tick(now);
             self.process_outputs();
-            let moved = self.wake_changed.listen();
-            // Whatever the core asks for, the others of the process have their turn.
-            let at = self.core.borrow().next_wake(now).max(now + MIN_SLEEP);
-            self.sleeps_until.set(at);
-            self.clock.by(at, moved).await;
+            let changed = self.wake_changed.listen();
+            // Minimum sleep, so that other tasks get their turn whatever the core asks for.
+            let wake_at = self.core.borrow().next_wake(now).max(now + MIN_SLEEP);
+            self.sleeps_until.set(wake_at);
+            self.clock.by(wake_at, changed).await;
         }
     }
 
-    /// Tells the core something, and does what comes of it.
-    fn with_core<T>(&self, what: impl FnOnce(&mut Core, Time) -> T) -> T {
+    /// Calls the core and processes its output.
+    fn with_core<T>(&self, call: impl FnOnce(&mut Core, Time) -> T) -> T {
         let now = self.clock.now();
-        let given = what(&mut self.core.borrow_mut(), now);
+        let result = call(&mut self.core.borrow_mut(), now);
         self.process_outputs();
         if self.core.borrow().next_wake(now) < self.sleeps_until.get() {
             self.wake_changed.notify(1);
         }
-        given
+        result
     }
 
-    /// Does what the core wants done.
+    /// Processes the core's output.
     fn process_outputs(&self) {
         loop {
             let Some(out) = self.core.borrow_mut().poll() else { break };
             match out {
                 Output::Datagram(to, bytes) => {
-                    // Lost here or on the way is the same to the core.
+                    // To the core, a failed send is the same as a lost datagram.
                     if self.socket.get_ref().send_to(&bytes, to).is_err() {
                         self.counters.add("fleet feed datagrams not sent");
                     }
@@ -289,7 +299,7 @@
                 if left_out > 0 {
                     self.counters.add("fleet feed lists beyond the bound");
                     log::warn!(
-                        "{left_out} caches of a list are beyond the bound of {MAX_LISTED_CACHES} and left out"
+                        "{left_out} caches of a list exceed the limit of {MAX_LISTED_CACHES} and are ignored"
                     );
                 }
                 self.dispatch(DiscoveryEvent::Roster { whole: false, list });
@@ -298,7 +308,7 @@
             Ok((_, None)) => {}
             Err(why) => {
                 self.counters.add("fleet feed events that can't be used");
-                log::warn!("an event of the feed can't be used: {why}");
+                log::warn!("feed event can't be used: {why}");
             }
         }
     }
@@ -306,7 +316,7 @@
     fn dispatch(&self, event: DiscoveryEvent) {
         if let Some(gateway) = &self.gateway {
             self.counters.add("bulletin events");
-            // It fails only when the dispatcher has ended, and with it the process.
+            // Fails only if the dispatcher has ended, and with it the process.
             _ = gateway.dispatcher.try_send(Event::Discovery(event));
         }
     }
@@ -325,7 +335,7 @@
         let core = self.core.borrow();
         let (c, t) = (core.counts, core.traffic);
         let mut all = core.sizes();
-        all.extend(self.gateway.iter().map(|h| ("fleet feed caches listed", h.owners.borrow().0.len())));
+        all.extend(self.gateway.iter().map(|g| ("fleet feed caches listed", g.owners.borrow().0.len())));
         let stream_counters = self.stream_counters.iter().enumerate().flat_map(|(i, names)| {
             let done = core.watermarks(i);
             names.iter().copied().zip([core.position(i), done.in_touch, done.everywhere])
@@ -368,7 +378,7 @@
         all
     }
 
-    /// Writes the counters of a control machine, and who has not confirmed what it told.
+    /// Logs the counters of a hub, and who has not acknowledged.
     fn log_status(&self) {
         *self.counters.sizes.borrow_mut() = self.sizes();
         log::info!("{}", self.counters);
@@ -376,10 +386,10 @@
             let core = self.core.borrow();
             (core.unacked(), core.false_acks())
         };
-        for (site, member, times) in false_acks.iter().take(MAX_LOGGED) {
-            log::info!("confirmed what it was not told: {member} of {site}, {times} times");
+        for (site, member, times) in false_acks.iter().take(MAX_LOGGED_LINES) {
+            log::info!("acknowledged events that were never sent: {member} of {site}, {times} times");
         }
-        for one in unacked.iter().take(MAX_LOGGED) {
+        for one in unacked.iter().take(MAX_LOGGED_LINES) {
             let stream = &self.streams[one.stream].name;
             match &one.member {
                 Some(member) => {
@@ -388,13 +398,13 @@
                 None => log::info!("not confirmed: {}, {stream} to {}", one.site, one.position),
             }
         }
-        if unacked.len() > MAX_LOGGED {
-            log::info!("not confirmed: {} more", unacked.len() - MAX_LOGGED);
+        if unacked.len() > MAX_LOGGED_LINES {
+            log::info!("not confirmed: {} more", unacked.len() - MAX_LOGGED_LINES);
         }
     }
 }
 
-/// One list service; its lines go to the core.
+/// Subscribes to one list service and passes its lines to the core.
 struct ListSubscriber {
     feed: Rc<Feed>,
     stream: usize,
@@ -412,7 +422,11 @@
         }
         if let Some(seq) = crate::digits(line) {
             let fits = self.feed.with_core(|core, now| core.handle_last(now, self.stream, seq));
-            return if fits { Ok(()) } else { Err(format!("number {seq} after {}", self.after())) };
+            return if fits {
+                Ok(())
+            } else {
+                Err(format!("last sequence number {seq}, but received only up to {}", self.after()))
+            };
         }
         self.feed.with_core(|core, now| core.handle_line(now, self.stream, line)).map_err(|e| e.to_string())
     }
@@ -430,7 +444,7 @@
     }
 }
 
-/// Runs a machine set aside for control until SIGTERM. `read` gives its file as it is now.
+/// Runs a hub until SIGTERM. `read` returns its file as it is now.
 pub async fn run_control(
     tasks: Tasks,
     file: File,
@@ -442,17 +456,17 @@
     let socket = Rc::new(socket);
     let (clock, counters) = (Clock::start(), Rc::default());
     let resources = Resources { tasks, clock, counters, socket };
-    let Some(feed) = Feed::start(resources, &file, None)? else { return Err("feed: none".to_owned()) };
+    let Some(feed) = Feed::start(resources, &file, None)? else { return Err("feed: missing".to_owned()) };
     feed.subscribe(tasks, None);
     log::info!("{} is a hub at {}", file.gateway, file.listen);
-    let receive = async {
+    let receive_loop = async {
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             for _ in 0..MAX_DATAGRAMS_PER_TURN {
                 match feed.socket.recv_from(&mut bytes).await {
                     Ok((n, from)) => feed.handle_datagram(from, &bytes[..n]),
-                    // A closed port at the other end is told as a refusal on the next call.
-                    Err(e) => log::debug!("the feed's socket: {e}"),
+                    // A closed remote port is reported as an error by the next call.
+                    Err(e) => log::debug!("feed socket: {e}"),
                 }
             }
             future::yield_now().await;
@@ -466,7 +480,7 @@
                     Ok(file) => feed.reload(&file),
                     Err(why) => {
                         feed.counters.add("fleet keys that can't be used");
-                        log::warn!("{why}; keys and addresses stay");
+                        log::warn!("{why}; keeping keys and addresses");
                     }
                 },
                 Ok(_) => return feed.log_status(),
@@ -475,6 +489,6 @@
         }
         future::pending().await
     };
-    future::or(handle_signals, receive).await;
+    future::or(handle_signals, receive_loop).await;
     Ok(())
 }
