--- a/feed/examples/hub_key.rs
+++ b/feed/examples/hub_key.rs
@@ -8,9 +8,9 @@
 fn main() -> Result<(), &'static str> {
     let mut secret = [0; 32];
     match std::env::args().nth(1) {
-        Some(told) => {
-            let told = decode_hex(&told).and_then(|s| s.try_into().ok());
-            secret = told.ok_or("the secret must be 32 bytes in hexadecimal")?;
+        Some(given) => {
+            let given = decode_hex(&given).and_then(|s| s.try_into().ok());
+            secret = given.ok_or("the secret must be 32 bytes in hexadecimal")?;
         }
         None => SystemRandom::new().fill(&mut secret).map_err(|_| "no random bytes available")?,
     }
--- a/feed/src/compose.rs
+++ b/feed/src/compose.rs
@@ -257,8 +257,8 @@
     /// Over the limit, the oldest lines are dropped of the stream that has the most.
     fn enforce_line_limit(&mut self) {
         while self.line_bytes > MAX_KEPT_LINE_BYTES {
-            let most = self.sources.iter_mut().max_by_key(|s| s.lines.len());
-            let Some((_, line)) = most.and_then(|s| s.lines.pop_first()) else { break };
+            let longest = self.sources.iter_mut().max_by_key(|s| s.lines.len());
+            let Some((_, line)) = longest.and_then(|s| s.lines.pop_first()) else { break };
             self.line_bytes -= line.len();
             self.dropped += 1;
         }
--- a/feed/src/gateway.rs
+++ b/feed/src/gateway.rs
@@ -95,7 +95,7 @@
     tries: u32,
     highest_seen: u64,
     preferred_source: Option<SocketAddr>,
-    asked: Option<SocketAddr>,
+    last_asked: Option<SocketAddr>,
     /// Earliest time of the next request to a hub (from a gateway that is not the contact) and to a neighbour (from the
     /// contact).
     hub_not_before: Time,
@@ -109,7 +109,7 @@
     next: Time,
     tries: u32,
     /// The hub asked last, and how many hubs had nothing.
-    asked: Option<SocketAddr>,
+    last_asked: Option<SocketAddr>,
     unavailable: u32,
     floors: BTreeMap<usize, (u64, VecDeque<(u64, u64)>)>,
 }
@@ -510,7 +510,7 @@
         {
             self.send_subscribe(hub, false);
         }
-        if self.repair.asked == Some(from) {
+        if self.repair.last_asked == Some(from) {
             self.request_from_hub(now, hub);
         }
     }
@@ -526,7 +526,7 @@
                 until: now + RECENT_WINDOW,
                 next,
                 tries: 0,
-                asked: None,
+                last_asked: None,
                 unavailable: 0,
                 floors: BTreeMap::new(),
             });
@@ -577,7 +577,7 @@
             // As long as repair makes progress, hubs are not asked.
             self.repair.since = now;
         }
-        if from_neighbour && self.repair.asked == Some(from) {
+        if from_neighbour && self.repair.last_asked == Some(from) {
             // This neighbour probably has more of the missing bundles.
             self.repair.tries = self.repair.tries.min(3);
             self.repair.next = self.repair.next.map(|at| at.min(now + RETRY_DELAY));
@@ -598,13 +598,13 @@
         };
         if !request.ranges.is_empty() {
             let address = self.config.hubs[hub].address;
-            self.repair.asked = Some(address);
+            self.repair.last_asked = Some(address);
             self.outbox.push_back((address, Payload::RetransmitRequest(request)));
         }
     }
 
     fn random_neighbour(&mut self) -> Option<SocketAddr> {
-        let last = self.repair.asked;
+        let last = self.repair.last_asked;
         self.members.values().filter(|a| Some(**a) != last).choose(&mut self.rng).copied()
     }
 
@@ -666,7 +666,7 @@
         // The contact has everything that reached the site.
         let contact = (self.repair.tries == 2).then(|| self.current_contact());
         let Some(to) = from.or(contact.flatten()).or_else(|| self.random_neighbour()) else { return };
-        self.repair.asked = Some(to);
+        self.repair.last_asked = Some(to);
         self.outbox.push_back((
             to,
             Payload::RetransmitRequest(RetransmitRequest { ranges, ..RetransmitRequest::default() }),
@@ -746,7 +746,7 @@
             Some(hub) => {
                 let (site, token) = (self.config.site.clone(), self.tokens[hub]);
                 let request = RetransmitRequest { ranges, recent_only: true, site, token, bundle: None };
-                backfill.asked = Some(self.config.hubs[hub].address);
+                backfill.last_asked = Some(self.config.hubs[hub].address);
                 self.outbox.push_back((self.config.hubs[hub].address, Payload::RetransmitRequest(request)));
             }
             None => {
@@ -801,12 +801,12 @@
         if self.contact.is_some() && self.by_address.contains_key(&from) {
             self.repair.neighbour_not_before = now + MAX_RETRY_DELAY;
         }
-        if let Some(backfill) = self.backfill.as_mut().filter(|l| l.asked == Some(from)) {
+        if let Some(backfill) = self.backfill.as_mut().filter(|l| l.last_asked == Some(from)) {
             // Backfill ends once a second hub has reported that it has nothing.
-            (backfill.asked, backfill.unavailable) = (None, backfill.unavailable + 1);
+            (backfill.last_asked, backfill.unavailable) = (None, backfill.unavailable + 1);
         }
         // Asks the next neighbour at once, but only a few times: other members are waiting for the same bundles.
-        if self.repair.asked == Some(from) && self.contact.is_none() && self.repair.tries <= 3 {
+        if self.repair.last_asked == Some(from) && self.contact.is_none() && self.repair.tries <= 3 {
             self.repair.next = self.repair.next.map(|_| now);
         }
     }
@@ -1130,7 +1130,7 @@
             ("pending acknowledgements", self.pending_acks.len(), MAX_PENDING_ACKS),
             ("payloads to resend", self.resends.len(), MAX_RESENDS),
             ("aggregates", self.aggregates.len(), MAX_PENDING_ACKS),
-            ("hubs heard", self.latest_by_hub.len(), self.config.hubs.len()),
+            ("hubs tracked", self.latest_by_hub.len(), self.config.hubs.len()),
             ("budgets", self.budgets.len(), self.members.len()),
             ("bundles not forwarded", self.unforwarded.len(), MAX_UNFORWARDED),
             ("bundles seen", self.streams.seen.len(), crate::log::MAX_SEEN),
--- a/feed/src/log.rs
+++ b/feed/src/log.rs
@@ -59,8 +59,12 @@
 
     pub fn check_invariants(&self) -> Result<(), String> {
         let sum: usize = self.all.iter().map(|e| e.bytes.len()).sum();
-        let is = sum == self.bytes && sum <= MAX_BYTES && self.all.len() <= MAX_BUNDLES;
-        if is { Ok(()) } else { Err(format!("{} bundles of {sum} bytes in the log", self.all.len())) }
+        let within_limits = sum == self.bytes && sum <= MAX_BYTES && self.all.len() <= MAX_BUNDLES;
+        if within_limits {
+            Ok(())
+        } else {
+            Err(format!("{} bundles of {sum} bytes in the log", self.all.len()))
+        }
     }
 }
 
--- a/feed/src/reassembly.rs
+++ b/feed/src/reassembly.rs
@@ -130,8 +130,8 @@
         let partial: usize = self.partial.values().map(|o| o.bytes.len()).sum();
         let sum = partial + self.complete.values().map(Vec::len).sum::<usize>();
         // Each stream may exceed the limit by one event on which delivery is blocked.
-        let most = MAX_BYTES + MAX_STREAMS * MAX_LINE_BYTES;
-        let is = sum == self.bytes && sum <= most && self.len() <= MAX_LINES + MAX_STREAMS;
-        if is { Ok(()) } else { Err(format!("{} events of {sum} bytes buffered", self.len())) }
+        let max_bytes = MAX_BYTES + MAX_STREAMS * MAX_LINE_BYTES;
+        let within_limits = sum == self.bytes && sum <= max_bytes && self.len() <= MAX_LINES + MAX_STREAMS;
+        if within_limits { Ok(()) } else { Err(format!("{} events of {sum} bytes buffered", self.len())) }
     }
 }
--- a/feed/tests/common/mod.rs
+++ b/feed/tests/common/mod.rs
@@ -381,13 +381,13 @@
         };
         if !known {
             for (stream, service) in self.services.iter().enumerate() {
-                let late = service
+                let recent = service
                     .events
                     .iter()
                     .enumerate()
                     .rev()
                     .take_while(|(_, e)| now - e.published_at < RECENT_WINDOW);
-                let recent_missing = late.filter(|(_, e)| matches!(e.kind, EventKind::Purge { .. }));
+                let recent_missing = recent.filter(|(_, e)| matches!(e.kind, EventKind::Purge { .. }));
                 self.nodes[i].expected.recent_missing[stream] =
                     recent_missing.map(|(at, _)| at as u64 + 1).collect();
             }
@@ -556,7 +556,7 @@
             lines.iter().for_each(|line| host.feed.handle_line(own, stream, line).unwrap());
             !heartbeat || host.feed.handle_last(own, stream, last)
         });
-        assert_eq!(whole, Some(true), "{} was told all of {stream}", self.nodes[i].name);
+        assert_eq!(whole, Some(true), "{} missed events of {stream}", self.nodes[i].name);
         let next = if heartbeat { self.sim.now + ms(1_000) } else { link.next_heartbeat };
         self.nodes[i].links[stream] = Some(Link { sent: last, next_heartbeat: next });
         self.check_node(i);
@@ -707,8 +707,8 @@
             let done: Vec<u64> = expected.pending[stream].iter().filter(|seq| covers(seq)).copied().collect();
             for seq in &done {
                 expected.pending[stream].remove(seq);
-                let late = now - service.events[*seq as usize - 1].published_at;
-                self.delays_ms.push(late.as_micros() / 1_000);
+                let delay = now - service.events[*seq as usize - 1].published_at;
+                self.delays_ms.push(delay.as_micros() / 1_000);
             }
             expected.recent_missing[stream].retain(|seq| !covers(seq));
         }
@@ -755,19 +755,19 @@
                     continue;
                 }
                 let expected = &self.nodes[j].expected;
-                let lacks = |seq: &&u64| {
+                let is_counted = |seq: &&u64| {
                     self.services[stream].events[**seq as usize - 1].published_at > expected.since
                 };
-                let open = expected.pending.get(stream).and_then(|t| t.range(..=most).find(lacks));
+                let open = expected.pending.get(stream).and_then(|t| t.range(..=most).find(is_counted));
                 let recent_missing =
-                    expected.recent_missing.get(stream).and_then(|t| t.range(..=most).find(lacks));
+                    expected.recent_missing.get(stream).and_then(|t| t.range(..=most).find(is_counted));
                 let Some(seq) = open.or(recent_missing).copied() else { continue };
-                let from = if open.is_some() { "told to all" } else { "of before its first position" };
+                let from = if open.is_some() { "published to all" } else { "from before its first position" };
                 let who = &self.nodes[j].name;
-                let tells = &self.nodes[i].name;
+                let reporter = &self.nodes[i].name;
                 assert!(
                     seq > done.everywhere,
-                    "{tells}: {seq} of {stream} is everywhere, but {who} lacks it, {from}"
+                    "{reporter}: {seq} of {stream} is everywhere, but {who} lacks it, {from}"
                 );
                 if !hub {
                     continue;
@@ -777,7 +777,7 @@
                 let site = &self.nodes[j].file.site;
                 assert!(
                     seq > done.in_touch || named.contains(site),
-                    "{tells}: {seq} of {stream} is done in touch, but {who} lacks it, {from}: {:?}",
+                    "{reporter}: {seq} of {stream} is done in touch, but {who} lacks it, {from}: {:?}",
                     host.feed.unacked()
                 );
             }
@@ -805,11 +805,11 @@
                 let due = |seq: &&u64| {
                     now - published_at(seq) > soon && (is_purge(seq) || since > self.catch_up_time)
                 };
-                let late = expected.pending[stream].iter().find(due);
+                let overdue = expected.pending[stream].iter().find(due);
                 let recent_missing = expected.recent_missing[stream]
                     .first()
                     .filter(|seq| started && now - published_at(seq) > soon);
-                if let Some(seq) = late.or(recent_missing) {
+                if let Some(seq) = overdue.or(recent_missing) {
                     let kind = match service.events[*seq as usize - 1].kind {
                         EventKind::Purge { .. } => "purge",
                         EventKind::Other => "event",
@@ -875,12 +875,12 @@
 
     /// Runs until the condition holds; returns how long that took.
     pub fn until(&mut self, most: Span, holds: impl Fn(&Simulation) -> Result<(), String>) -> Span {
-        let begun = self.sim.now;
+        let started_at = self.sim.now;
         while let Err(why) = holds(self) {
-            assert!(self.sim.now - begun < most, "not within {} ms: {why}", most.as_micros() / 1_000);
+            assert!(self.sim.now - started_at < most, "not within {} ms: {why}", most.as_micros() / 1_000);
             self.run(ms(10));
         }
-        self.sim.now - begun
+        self.sim.now - started_at
     }
 
     /// The maximum delay, in ms.
@@ -898,9 +898,9 @@
         let before = std::mem::take(&mut *self.recording.borrow_mut());
         self.recording.borrow_mut().enabled = true;
         self.run(ms(1_100));
-        let heard = std::mem::replace(&mut *self.recording.borrow_mut(), before).datagrams;
+        let datagrams = std::mem::replace(&mut *self.recording.borrow_mut(), before).datagrams;
         let mut all: BTreeMap<usize, BTreeSet<usize>> = BTreeMap::new();
-        for (from, to, _) in heard {
+        for (from, to, _) in datagrams {
             let (from, to) = (self.node_at(from), self.node_at(to));
             if let (Some(None), Some(site)) =
                 (from.map(|f| self.nodes[f].site), to.and_then(|t| self.nodes[t].site))
--- a/feed/tests/hard.rs
+++ b/feed/tests/hard.rs
@@ -55,12 +55,12 @@
     // control.
     assert!(mean < 2_300.0 && most < 3_000.0, "{mean:.0} and {most:.0} bytes a second");
     assert_eq!(w.sum(|c| c.gaps_purged), 0);
-    let (no, told) = (w.purge(3, 77), w.sim.now);
+    let (seq, published_at) = (w.purge(3, 77), w.sim.now);
     w.until(ms(1_800), |w| {
-        let behind: Vec<usize> = w.hubs().filter(|&h| w.feed(h).watermarks(3).everywhere < no).collect();
+        let behind: Vec<usize> = w.hubs().filter(|&h| w.feed(h).watermarks(3).everywhere < seq).collect();
         if behind.is_empty() { Ok(()) } else { Err(format!("hubs {behind:?}")) }
     });
-    println!("acknowledged everywhere after {} ms", (w.sim.now - told).as_micros() / 1_000);
+    println!("acknowledged everywhere after {} ms", (w.sim.now - published_at).as_micros() / 1_000);
     settle(&mut w, 4_000);
 }
 
@@ -171,8 +171,8 @@
     let now = w.sim.now;
     for i in w.gateways() {
         for (stream, todo) in w.nodes[i].expected.pending.iter().enumerate() {
-            let told = |no: &u64| w.services[stream].events[*no as usize - 1].published_at;
-            assert!(todo.iter().all(|no| now - told(no) < ms(2_000)), "{}", w.nodes[i].name);
+            let published_at = |seq: &u64| w.services[stream].events[*seq as usize - 1].published_at;
+            assert!(todo.iter().all(|seq| now - published_at(seq) < ms(2_000)), "{}", w.nodes[i].name);
         }
     }
     // What a contact collects is provisional: it advances no position.
@@ -201,8 +201,8 @@
     w.services.iter_mut().for_each(|s| s.up = true);
     w.purge(1, 5);
     w.run(ms(15_000));
-    let lacks = w.gateways().filter(|&i| !w.nodes[i].expected.pending[1].is_empty()).count();
-    assert_eq!(lacks, 0);
+    let missing = w.gateways().filter(|&i| !w.nodes[i].expected.pending[1].is_empty()).count();
+    assert_eq!(missing, 0);
     w.heal();
     settle(&mut w, 15_000);
 }
@@ -241,8 +241,8 @@
         for i in w.gateways() {
             for (stream, before) in events.iter().enumerate() {
                 let first = w.nodes[i].expected.pending[stream].range(before + 1..).next();
-                let told = first.map(|no| w.services[stream].events[*no as usize - 1].published_at);
-                worst = worst.max(told.map_or(0, |t| (w.sim.now - t).as_micros() / 1_000));
+                let published_at = first.map(|seq| w.services[stream].events[*seq as usize - 1].published_at);
+                worst = worst.max(published_at.map_or(0, |t| (w.sim.now - t).as_micros() / 1_000));
             }
         }
         most = most.max(w.bytes_per_s(ms(1_000), |i| w.nodes[i].region == 2).1);
@@ -275,9 +275,9 @@
     w.run(ms(20_000));
     let now = w.sim.now;
     for i in w.gateways_of_region(1) {
-        let told = |no: &u64| w.services[1].events[*no as usize - 1].published_at;
+        let published_at = |seq: &u64| w.services[1].events[*seq as usize - 1].published_at;
         let open = &w.nodes[i].expected.pending[1];
-        assert!(open.iter().all(|no| now - told(no) < ms(2_000)), "{}", w.nodes[i].name);
+        assert!(open.iter().all(|seq| now - published_at(seq) < ms(2_000)), "{}", w.nodes[i].name);
     }
     w.heal();
     w.run(ms(9_000));
@@ -316,9 +316,9 @@
 fn five_percent_loss_duplication_and_reordering_are_repaired() {
     let mut w = started(Shape { gateways: 12, ..SMALL }, 10);
     (w.sim.loss, w.sim.repeat) = (0.05, 0.05);
-    let near = |a: usize, b: usize| (a + b).is_multiple_of(3);
+    let is_slow = |a: usize, b: usize| (a + b).is_multiple_of(3);
     // Some pairs are slow, which reorders datagrams.
-    w.sim.delay = Box::new(move |a, b| if near(a, b) { ms(120) } else { ms(10) });
+    w.sim.delay = Box::new(move |a, b| if is_slow(a, b) { ms(120) } else { ms(10) });
     (w.purges_per_s, w.other_events_per_s) = (100.0, 1.0);
     w.set_faulty(true);
     w.run(ms(5_000));
@@ -373,11 +373,12 @@
         let now = w.sim.now;
         for i in [contact, other] {
             for stream in 0..3 {
-                let told = |no: &u64| w.services[stream].events[*no as usize - 1].published_at;
+                let published_at = |seq: &u64| w.services[stream].events[*seq as usize - 1].published_at;
                 let todo = &w.nodes[i].expected.pending[stream];
-                let late: Vec<u64> = todo.iter().copied().filter(|no| now - told(no) >= ms(2_000)).collect();
+                let late: Vec<u64> =
+                    todo.iter().copied().filter(|seq| now - published_at(seq) >= ms(2_000)).collect();
                 let (at, last) = (w.feed(i).position(stream), w.last(stream));
-                let purges = late.iter().filter(|no| w.is_purge(stream, **no)).count();
+                let purges = late.iter().filter(|seq| w.is_purge(stream, **seq)).count();
                 let name = &w.nodes[i].name;
                 assert!(
                     late.is_empty(),
@@ -401,12 +402,12 @@
     let before = w.last(0);
     w.cuts.borrow_mut().sites.insert(5);
     w.run(ms(8_000));
-    let told = w.last(0);
+    let published = w.last(0);
     w.run(ms(3_000));
     // The other sites are not delayed.
     for h in w.hubs() {
         let done = w.feed(h).watermarks(0);
-        assert!(done.in_touch >= told, "hub{h}: {done:?}, {told} were published 3 s ago");
+        assert!(done.in_touch >= published, "hub{h}: {done:?}, {published} were published 3 s ago");
     }
     let mute = w.gateways_of_site(0)[2];
     let others: Vec<usize> = (0..w.nodes.len()).filter(|i| *i != mute).collect();
@@ -450,7 +451,7 @@
     let traffic =
         |w: &Simulation| -> u64 { (0..w.nodes.len()).map(|i| w.feed(i).traffic.datagrams_out).sum() };
     let (sent, at) = (traffic(&w), w.sim.now);
-    let mut extra = 0;
+    let mut injected = 0;
     for (n, (from, to, bytes)) in kept.iter().enumerate() {
         let (Some(from), Some(to)) = (w.node_at(*from), w.node_at(*to)) else { continue };
         // Replayed; corrupted; modified by a holder of the shared key; truncated.
@@ -464,7 +465,7 @@
         });
         w.sim.send(from, to, &changed.unwrap());
         w.sim.send(from, to, &bytes[..bytes.len() - n % 30]);
-        extra += 4;
+        injected += 4;
         if n % 50 == 0 {
             w.run(ms(10));
         }
@@ -473,15 +474,15 @@
     assert_eq!(state(&w), before);
     let refused = w.sum(|c| c.refused_seals + c.refused_forms + c.refused_signatures);
     println!(
-        "{extra} replayed, corrupted or modified: {refused} rejected, {} duplicates",
+        "{injected} replayed, corrupted or modified: {refused} rejected, {} duplicates",
         w.sum(|c| c.duplicates)
     );
-    assert!(refused as usize > kept.len(), "{refused} of {extra}");
+    assert!(refused as usize > kept.len(), "{refused} of {injected}");
     assert!(w.sum(|c| c.refused_signatures) > 0);
     // Replayed requests cause no amplification: no more datagrams than were injected.
-    let answers = traffic(&w) - sent;
-    println!("{answers} datagrams in {} ms", (w.sim.now - at).as_micros() / 1_000);
-    assert!(answers < extra, "{answers} after {extra}");
+    let responses = traffic(&w) - sent;
+    println!("{responses} datagrams in {} ms", (w.sim.now - at).as_micros() / 1_000);
+    assert!(responses < injected, "{responses} after {injected}");
     w.purges_per_s = 10.0;
     w.set_faulty(false);
     w.run(ms(10_000));
@@ -600,10 +601,10 @@
     // Time for a contact to find its hub, one period, and the grace period.
     w.run(ms(4_000));
     for i in w.gateways_of_site(5) {
-        let lacks: usize = w.nodes[i].expected.pending.iter().map(BTreeSet::len).sum();
+        let missing: usize = w.nodes[i].expected.pending.iter().map(BTreeSet::len).sum();
         let name = &w.nodes[i].name;
         assert_eq!(
-            lacks,
+            missing,
             0,
             "{name} serves purged objects; gaps {}, {:?}",
             w.feed(i).missing_count(),
@@ -631,22 +632,24 @@
         _ => None,
     });
     let (from, hub, report) = last.unwrap();
-    let told = w.last(1);
+    let published = w.last(1);
     // Beyond the bundle's end; for a bundle that was never made; for a stream that does not exist.
     let mut beyond = report.clone();
-    (beyond.streams, beyond.positions) = (vec![1], vec![told + 500]);
+    (beyond.streams, beyond.positions) = (vec![1], vec![published + 500]);
     let mut never = report.clone();
     never.bundle.as_mut().unwrap().seq += 1_000;
     let mut nowhere = report.clone();
     (nowhere.streams, nowhere.positions) = (vec![9], vec![1]);
-    for lie in [beyond, never, nowhere] {
-        w.send_payload(from, hub, Payload::Report(lie));
+    for report in [beyond, never, nowhere] {
+        w.send_payload(from, hub, Payload::Report(report));
         w.run(ms(200));
     }
     assert_eq!(w.feed(hub).counts.refused_reports, 3);
-    let liars = w.feed(hub).false_acks();
+    let false_acks = w.feed(hub).false_acks();
     assert!(
-        liars.iter().any(|(site, gateway, n)| *site == report.site && *gateway == report.gateway && *n == 3)
+        false_acks
+            .iter()
+            .any(|(site, gateway, n)| *site == report.site && *gateway == report.gateway && *n == 3)
     );
     // A replayed report changes nothing, nor does one for a bundle of another run.
     let mut other_run = report.clone();
@@ -676,8 +679,8 @@
         w.purge_at(2, n, now - 600_000);
         w.run(ms(100));
     }
-    let lacks: usize = w.nodes[gateway].expected.pending.iter().take(2).map(BTreeSet::len).sum();
-    assert_eq!(lacks, 0, "{} serves purged objects", w.nodes[gateway].name);
+    let missing: usize = w.nodes[gateway].expected.pending.iter().take(2).map(BTreeSet::len).sum();
+    assert_eq!(missing, 0, "{} serves purged objects", w.nodes[gateway].name);
     assert!(w.feed(gateway).missing_count() > 0, "the gap is still known");
     w.cuts.borrow_mut().pairs.clear();
     w.purges_per_s = rate;
@@ -892,7 +895,7 @@
     let contact = w.contacts()[&0].first().copied().unwrap();
     let one = w.gateways_of_site(0).into_iter().find(|i| *i != contact).unwrap();
     let range = Range { stream: 1, first: 1, last: w.last(1), offset: 0 };
-    let fetch = |token| {
+    let request = |token| {
         Payload::RetransmitRequest(RetransmitRequest {
             ranges: vec![range],
             site: "site0".to_owned(),
@@ -900,12 +903,12 @@
             ..RetransmitRequest::default()
         })
     };
-    let follow = |token, number| {
+    let subscribe = |token, seq| {
         let (site, gateway) = ("site0".to_owned(), "g0-9".to_owned());
-        Payload::Subscribe(Subscribe { site, gateway, run_id: 9, seq: number, token, ..Subscribe::default() })
+        Payload::Subscribe(Subscribe { site, gateway, run_id: 9, seq, token, ..Subscribe::default() })
     };
     let hub = 1;
-    let heard = |w: &mut Simulation, of: &dyn Fn(&Payload) -> bool| {
+    let received = |w: &mut Simulation, of: &dyn Fn(&Payload) -> bool| {
         w.run(ms(1_000));
         let all = w
             .recorded_payloads()
@@ -917,25 +920,25 @@
     };
     let bundles = |payload: &Payload| matches!(payload, Payload::Retransmission(_) | Payload::Live(_));
     w.recording.borrow_mut().enabled = true;
-    (0..50).for_each(|n| w.send_payload(one, hub, fetch(77 + n)));
-    (0..50).for_each(|n| w.send_payload(one, hub, follow(77 + n, n)));
-    assert_eq!(heard(&mut w, &bundles), 0, "bundles to an address that never returned the token");
-    w.send_payload(one, hub, fetch(0));
+    (0..50).for_each(|n| w.send_payload(one, hub, request(77 + n)));
+    (0..50).for_each(|n| w.send_payload(one, hub, subscribe(77 + n, n)));
+    assert_eq!(received(&mut w, &bundles), 0, "bundles to an address that never returned the token");
+    w.send_payload(one, hub, request(0));
     w.run(ms(100));
     let token = w.recorded_payloads().into_iter().find_map(|(a, b, payload)| match payload {
         Payload::Challenge(token) if (a, b) == (hub, one) => Some(token),
         _ => None,
     });
     let token = token.unwrap();
-    (0..100).for_each(|_| w.send_payload(one, hub, fetch(token)));
-    let found = heard(&mut w, &bundles);
+    (0..100).for_each(|_| w.send_payload(one, hub, request(token)));
+    let found = received(&mut w, &bundles);
     println!("{found} responses to 100 requests in a second");
     assert!((1..=9).contains(&found), "{found} responses");
     // A subscription is accepted once, its replays are not.
-    w.send_payload(one, hub, follow(token, 5));
+    w.send_payload(one, hub, subscribe(token, 5));
     w.run(ms(200));
     let before = w.feed(hub).counts.refused_requests;
-    (0..10).for_each(|_| w.send_payload(one, hub, follow(token, 5)));
+    (0..10).for_each(|_| w.send_payload(one, hub, subscribe(token, 5)));
     w.run(ms(300));
     assert_eq!(w.feed(hub).counts.refused_requests - before, 10);
     w.run(ms(2_000));
@@ -982,7 +985,7 @@
         .map(|(_, hub, payload)| (hub, payload))
         .collect();
     // Summaries that the hubs exchanged.
-    let words: Vec<(usize, usize, Payload)> = w
+    let summaries: Vec<(usize, usize, Payload)> = w
         .recorded_payloads()
         .into_iter()
         .filter(|(_, _, payload)| matches!(payload, Payload::HubSummary(_)))
@@ -995,7 +998,11 @@
         // The last two, alternating.
         let (hub, payload) = reports[reports.len() - 1 - n % 2].clone();
         w.send_payload(other, hub, payload);
-        words.iter().rev().take(4).for_each(|(from, to, word)| w.send_payload(*from, *to, word.clone()));
+        summaries
+            .iter()
+            .rev()
+            .take(4)
+            .for_each(|(from, to, summary)| w.send_payload(*from, *to, summary.clone()));
         w.run(ms(500));
     }
     for h in w.hubs() {
--- a/feed/tests/hub.rs
+++ b/feed/tests/hub.rs
@@ -113,18 +113,18 @@
 #[test]
 fn requests_without_token_and_replayed_ones_get_no_bundles() {
     let mut fixture = HubFixture::new();
-    let follow = |number, token| {
+    let subscribe = |seq, token| {
         let (site, gateway) = ("shore".to_owned(), "g".to_owned());
-        Payload::Subscribe(Subscribe { site, gateway, run_id: 1, seq: number, token, ..Subscribe::default() })
+        Payload::Subscribe(Subscribe { site, gateway, run_id: 1, seq, token, ..Subscribe::default() })
     };
     fixture.hub.tick(fixture.now + Span::from_millis(500));
     while fixture.hub.poll().is_some() {}
-    let [Payload::Challenge(token)] = fixture.send(follow(1, 0))[..] else { panic!("no challenge") };
+    let [Payload::Challenge(token)] = fixture.send(subscribe(1, 0))[..] else { panic!("no challenge") };
     // A token of another address does not match.
-    assert_eq!(fixture.send(follow(2, token ^ 1)), [Payload::Challenge(token)]);
-    assert!(matches!(fixture.send(follow(3, token))[..], [Payload::Live(_)]));
+    assert_eq!(fixture.send(subscribe(2, token ^ 1)), [Payload::Challenge(token)]);
+    assert!(matches!(fixture.send(subscribe(3, token))[..], [Payload::Live(_)]));
     fixture.now += Span::from_millis(60_000);
-    assert_eq!(fixture.send(follow(3, token)), []);
+    assert_eq!(fixture.send(subscribe(3, token)), []);
     assert_eq!(fixture.hub.counts.refused_requests, 1);
     // No faster than the rate limit.
     fixture.token = token;
--- a/gateway/tests/feed.rs
+++ b/gateway/tests/feed.rs
@@ -87,7 +87,7 @@
     all.wait_for_all_done();
     let asking =
         all.gateways().into_iter().filter(|i| all.counter(*i, "fleet feed list services asked now") > 0.0);
-    assert_eq!(asking.count(), 0, "contacts still ask while hubs are heard");
+    assert_eq!(asking.count(), 0, "contacts are still connected although hubs are live");
     all.end(TOLD_MS + TAKEOVER_MS + 2_000);
 }
 
@@ -210,7 +210,7 @@
     let names = |of: &str, n: usize| (0..n).map(|i| format!("{of}{i}")).collect::<Vec<_>>();
     let lists = |n: f64| {
         all.wait_for_all_done();
-        all.wait_for("lists as they were told", |all| {
+        all.wait_for("lists as published", |all| {
             all.gateways().into_iter().all(|i| all.counter(i, "fleet feed caches listed") == n)
         });
     };
@@ -247,12 +247,12 @@
         let (whole, list) = roster(whole, names);
         let (list, left_out) = owners.apply(stream, whole, list);
         assert_eq!(left_out, 0);
-        let told = |l: &config::ListedMember| {
+        let signed_id = |l: &config::ListedMember| {
             format!("{}{}", if l.member.state == MemberState::Gone { "-" } else { "+" }, l.member.id)
         };
-        let mut told: Vec<String> = list.iter().map(told).collect();
-        told.sort();
-        told.join(" ")
+        let mut changes: Vec<String> = list.iter().map(signed_id).collect();
+        changes.sort();
+        changes.join(" ")
     };
     assert_eq!(change(0, true, &[("a", "up"), ("b", "up")]), "+a +b");
     assert_eq!(change(1, true, &[("c", "up"), ("d", "up")]), "+c +d");
@@ -305,10 +305,10 @@
     assert_eq!((sockets, with_sockets, with_threads), (1, 1, threads));
     assert_eq!(held(hub.id()).1, 1);
     fleet::signal("USR1", &[off.id(), on.id(), hub.id()]).unwrap();
-    let told = |p: &Process| p.log().lines().rfind(|l| l.contains("now: clients")).map(str::to_owned);
-    wait_until("counters", || [&off, &on, &hub].into_iter().all(|p| told(p).is_some()));
-    assert!(told(&on).unwrap().contains("fleet feed position 0 "), "{:?}", told(&on));
-    assert!(!told(&off).unwrap().contains("feed"), "{:?}", told(&off));
+    let counters = |p: &Process| p.log().lines().rfind(|l| l.contains("now: clients")).map(str::to_owned);
+    wait_until("counters", || [&off, &on, &hub].into_iter().all(|p| counters(p).is_some()));
+    assert!(counters(&on).unwrap().contains("fleet feed position 0 "), "{:?}", counters(&on));
+    assert!(!counters(&off).unwrap().contains("feed"), "{:?}", counters(&off));
     // Whether or not the site has acknowledged yet, the hub takes no txns, and SIGTERM ends it.
     assert!(!hub.log().contains(" listens on "));
     fleet::signal("TERM", &[hub.id()]).unwrap();
