--- a/feed/src/compose.rs
+++ b/feed/src/compose.rs
@@ -31,6 +31,7 @@
 const RECENT_WINDOW: Span = Span::from_millis(30_000);
 /// Interval at which positions are recorded.
 const MARK_INTERVAL: Span = Span::from_millis(1_000);
+/// Maximum number of recorded positions of each stream.
 const MAX_MARKS: usize = 40;
 /// After this many stale timestamps in a row, older events are not recent either.
 const MAX_STALE_IN_ROW: usize = 32;
--- a/feed/src/config.rs
+++ b/feed/src/config.rs
@@ -20,8 +20,8 @@
 }
 
 /// Folds a hub's name hash or a run id to 32 bits.
-pub fn fold_to_u32(long: u64) -> u32 {
-    (long ^ long >> 32) as u32
+pub fn fold_to_u32(hash: u64) -> u32 {
+    (hash ^ hash >> 32) as u32
 }
 
 pub struct Hub {
@@ -89,10 +89,10 @@
         self.hubs.iter().position(|h| h.id == id)
     }
 
-    fn signed_message(&self, what: SignedKind, body: &[u8]) -> Vec<u8> {
+    fn signed_message(&self, kind: SignedKind, body: &[u8]) -> Vec<u8> {
         let mut all = Vec::with_capacity(32 + self.installation.len() + body.len());
         all.extend(b"kelpcart feed ");
-        all.push(what as u8);
+        all.push(kind as u8);
         all.extend((self.installation.len() as u32).to_be_bytes());
         all.extend(self.installation.as_bytes());
         all.extend(body);
@@ -100,17 +100,17 @@
     }
 
     /// Appends the signature to the body.
-    pub fn sign(&self, pair: &Ed25519KeyPair, what: SignedKind, mut body: Vec<u8>) -> Vec<u8> {
-        let signature = pair.sign(&self.signed_message(what, &body));
+    pub fn sign(&self, pair: &Ed25519KeyPair, kind: SignedKind, mut body: Vec<u8>) -> Vec<u8> {
+        let signature = pair.sign(&self.signed_message(kind, &body));
         body.extend(signature.as_ref());
         body
     }
 
     /// Whether this hub has signed it.
-    pub fn is_signed_by(&self, hub: u32, what: SignedKind, bytes: &[u8]) -> bool {
+    pub fn is_signed_by(&self, hub: u32, kind: SignedKind, bytes: &[u8]) -> bool {
         let Some((body, signature)) = bytes.split_last_chunk::<SIGNATURE_LEN>() else { return false };
         let Some(hub) = self.hub_index_by_id(hub) else { return false };
-        self.hubs[hub].key.verify(&self.signed_message(what, body), signature).is_ok()
+        self.hubs[hub].key.verify(&self.signed_message(kind, body), signature).is_ok()
     }
 }
 
--- a/feed/src/gateway.rs
+++ b/feed/src/gateway.rs
@@ -28,38 +28,47 @@
 
 /// Number of members to which each member of the tree forwards a bundle.
 const TREE_FANOUT: usize = 3;
+/// 2^64 divided by the golden ratio.
 const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
 /// Delay between one rank of the contact order and the next before it takes over as contact.
 const CONTACT_STEP: Span = Span::from_millis(150);
 /// A gateway that knows no other members waits this long after its start before it becomes the contact: the others may
 /// just not have been discovered yet.
 const ALONE_DELAY: Span = Span::from_millis(1_000);
+/// Interval at which a contact renews its subscription.
 const SUBSCRIBE_INTERVAL: Span = Span::from_millis(1_000);
 /// After a first timeout, the next hub is tried at this interval until one answers.
 const NEXT_HUB_TIMEOUT: Span = Span::from_millis(600);
 /// Interval at which a contact tries the first hub in the site's order again.
 const FIRST_HUB_RETRY: Span = Span::from_millis(30_000);
-/// A gap is first requested after this delay, so that reordered datagrams can still arrive; longer (`_WAN`) at the
-/// contact, whose datagrams come from a hub.
+/// A gap is first requested after this delay, so that reordered datagrams can still arrive.
 const REORDER_WAIT: Span = Span::from_millis(10);
+/// The same at the contact, whose datagrams come from a hub and are reordered over a longer time.
 const REORDER_WAIT_WAN: Span = Span::from_millis(40);
+/// Delay between requests to neighbours.
 const RETRY_DELAY: Span = Span::from_millis(80);
+/// Delay between requests to hubs.
 const RETRY_DELAY_WAN: Span = Span::from_millis(250);
+/// Delay between requests after many tries, and before a neighbour that had nothing is asked again.
 const MAX_RETRY_DELAY: Span = Span::from_millis(1_000);
 /// A gateway that is not the contact waits this long, plus a random delay of up to the same length, before it asks a
 /// hub: its contact normally repairs the gap first.
 const HUB_REPAIR_DELAY: Span = Span::from_millis(600);
 /// Purges older than this no longer have any effect, so they are not requested.
 const RECENT_WINDOW: Span = Span::from_millis(30_000);
+/// Delay from a bundle to its acknowledgement.
 const ACK_DELAY: Span = Span::from_millis(150);
+/// Delay from a bundle to the report of its root, by which the acknowledgements have arrived.
 const REPORT_DELAY: Span = Span::from_millis(300);
-/// Acknowledgements are sent twice, and a report is sent again with what has arrived since. One lost datagram, or a
-/// bundle repaired late, would otherwise hold the watermark back for a whole round, and with thousands of gateways
-/// every round has some.
+/// An acknowledgement is sent a second time after this delay. One lost datagram would otherwise hold the watermark back
+/// for a whole round, and with thousands of gateways every round loses some.
 const RESEND_DELAY: Span = Span::from_millis(60);
+/// A report is sent again after this delay with what has arrived since: a bundle repaired late would otherwise hold the
+/// watermark back for a whole round.
 const REPORT_RESEND_DELAY: Span = Span::from_millis(500);
 const MAX_RESENDS: usize = 64;
 const MAX_PENDING_ACKS: usize = 16;
+/// Limit on repaired bundles remembered for forwarding, and on received ranges below a stream's first position.
 const MAX_UNFORWARDED: usize = 64;
 /// Bundles sent in response to one request.
 const MAX_RETRANSMITS_PER_REQUEST: usize = 4;
--- a/feed/src/name_codec.rs
+++ b/feed/src/name_codec.rs
@@ -6,8 +6,9 @@
 use kelpcart::hash_prefix::PrefixSet;
 use prost::encoding::{decode_varint, encode_varint, encoded_len_varint};
 
-/// Prefix lengths in bits. At the minimum, any set takes at most 520 bytes.
+/// Maximum prefix length in bits.
 pub const MAX_BITS: u8 = 40;
+/// Minimum prefix length in bits; with it any set takes at most 520 bytes.
 pub const MIN_BITS: u8 = 12;
 
 /// The first prefix, then the differences less one.
--- a/feed/src/seal.rs
+++ b/feed/src/seal.rs
@@ -73,8 +73,8 @@
         let (_, key) = self.keys.iter().find(|(i, _)| *i == id).ok_or(OpenError::UnknownKey)?;
         let (header, body) = (&bytes[..5], &bytes[HEADER_LEN..]);
         let mac = self.mac(key, header, body);
-        let same =
+        let difference =
             mac.as_ref()[..MAC_LEN].iter().zip(&bytes[5..HEADER_LEN]).fold(0, |keys, (a, b)| keys | (a ^ b));
-        if same == 0 { Ok(body) } else { Err(OpenError::Mac) }
+        if difference == 0 { Ok(body) } else { Err(OpenError::Mac) }
     }
 }
--- a/feed/src/wire.rs
+++ b/feed/src/wire.rs
@@ -9,9 +9,11 @@
 pub const MAX_BUNDLE_BYTES: usize = 1_150;
 /// Maximum number of bytes of one piece of an event.
 pub const MAX_PIECE_BYTES: usize = 800;
+/// Maximum length of an event.
 pub const MAX_LINE_BYTES: usize = 1024 * 1024;
-/// Maximum number of ranges in one request, and of members named in one report.
+/// Maximum number of ranges in one request.
 pub const MAX_RANGES_PER_REQUEST: usize = 16;
+/// Maximum number of members named in one report.
 pub const MAX_LAGGARDS_PER_REPORT: usize = 8;
 /// Maximum number of sites in one summary.
 pub const MAX_SITES_PER_SUMMARY: usize = 100;
