--- a/feed/src/report.rs
+++ b/feed/src/report.rs
@@ -1,5 +1,6 @@
-//! What sites have confirmed: gathered from live members at a tree's root, and from all sites at a hub. Must never tell a
-//! number for done that one of those who count has not confirmed, nor go back.
+//! Aggregates acknowledgements: of live members at the root of a tree, and of all sites at a hub.
+//!
+//! Invariant: a watermark never covers a sequence number that a counted site has not acknowledged, and never goes back.
 
 use crate::Unacked;
 use crate::config::Config;
@@ -11,28 +12,28 @@
 use kelpcart::{Span, Time};
 use std::collections::BTreeMap;
 
-/// Bundles whose ends are kept for reports on them.
+/// Maximum number of bundles whose ends are kept to check reports.
 const MAX_PENDING_BUNDLES: usize = 64;
 pub const MAX_FALSE_ACKERS: usize = 64;
 const MAX_UNACKED: usize = 256;
-/// A site that is not heard for so many times `silent_ms` is out of touch.
+/// A site that has not been heard from for this multiple of `silent_ms` is out of touch.
 const OUT_OF_TOUCH_FACTOR: f64 = 3.0;
 
-/// The last number of each stream of which a bundle says something.
+/// The last sequence number of each stream named in a bundle.
 pub type BundleEnds = Vec<(usize, u64)>;
 
-/// The positions here as a confirmation.
+/// The acknowledgement of a bundle by the local positions.
 pub fn make_ack(bundle: BundleId, ends: &BundleEnds, position: impl Fn(usize) -> u64) -> Ack {
-    let lacking =
+    let behind =
         ends.iter().map(|(s, last)| (*s as u32, *last, position(*s))).filter(|(_, last, p)| p < last);
-    let (streams, positions) = lacking.map(|(s, _, p)| (s, p)).unzip();
+    let (streams, positions) = behind.map(|(s, _, p)| (s, p)).unzip();
     Ack { bundle: Some(bundle), streams, positions }
 }
 
-/// Confirmations of one bundle, at the root of its tree.
+/// Acknowledgements of one bundle, collected at the root of its tree.
 pub struct AckAggregate {
     pub due_at: Time,
-    /// A first report was made of it.
+    /// The first report has been sent.
     pub reported: bool,
     pub acks: BTreeMap<String, Ack>,
 }
@@ -46,7 +47,7 @@
         ends: &BundleEnds,
         live: &[String],
     ) -> Report {
-        let mut least: BTreeMap<u32, u64> = BTreeMap::new();
+        let mut minimum: BTreeMap<u32, u64> = BTreeMap::new();
         let mut laggards: Vec<Laggard> = Vec::new();
         let mut silent = 0;
         for name in live.iter().map(String::as_str).chain(std::iter::once(own)) {
@@ -61,7 +62,7 @@
             for (s, p) in ack.streams.iter().zip(&ack.positions) {
                 let Some((_, last)) = ends.iter().find(|(e, _)| *e as u32 == *s) else { continue };
                 let p = (*p).min(*last);
-                least.entry(*s).and_modify(|l| *l = (*l).min(p)).or_insert(p);
+                minimum.entry(*s).and_modify(|l| *l = (*l).min(p)).or_insert(p);
             }
             let behind = |(s, p): (&u32, &u64)| {
                 let last = ends.iter().find(|(e, _)| *e as u32 == *s).map_or(0, |(_, last)| *last);
@@ -71,10 +72,10 @@
                 laggards.push(Laggard { name: name.to_owned(), silent: false, stream, position });
             }
         }
-        // The silent ones have to be known to the hub by name, the others are in the least positions.
+        // Silent members first: the hub needs their names, while the others are covered by the minimum positions.
         laggards.sort_by_key(|l| !l.silent);
         laggards.truncate(MAX_LAGGARDS_PER_REPORT);
-        let (streams, positions) = least.into_iter().unzip();
+        let (streams, positions) = minimum.into_iter().unzip();
         Report {
             site: config.site.clone(),
             gateway: own.to_owned(),
@@ -91,20 +92,20 @@
 #[derive(Default)]
 struct SiteState {
     name: String,
-    /// It is one of the hub's file.
+    /// It is listed in the hub's configuration.
     listed: bool,
-    last_heard: Option<Time>,
-    /// Heard by this hub itself.
-    last_heard_directly: Option<Time>,
-    /// Of the last report taken: run of this hub never changes.
+    last_seen: Option<Time>,
+    /// By this hub directly, not through another hub.
+    last_seen_directly: Option<Time>,
+    /// Bundle of the last accepted report; this hub's run id never changes.
     report_seq: u64,
-    /// What those had who confirmed in the last report; `None`: there was none.
+    /// Minimum positions of the members that acknowledged in the last report; `None`: no report yet.
     acked: Option<Vec<u64>>,
-    /// Silent ones, and what they had confirmed before.
+    /// Members that did not acknowledge, with their last acknowledged positions.
     silent: BTreeMap<String, Vec<u64>>,
-    /// Those who confirmed less than all: stream and position.
+    /// Members that acknowledged only in part: stream and position.
     behind: BTreeMap<String, (usize, u64)>,
-    /// What all of it have, as it was told here or to another hub.
+    /// Positions acknowledged by the whole site, to this hub or to another one.
     positions: Option<Vec<u64>>,
 }
 
@@ -124,7 +125,7 @@
     }
 }
 
-/// What all sites have confirmed, at a hub.
+/// Tracks the acknowledgements of all sites, at a hub.
 pub struct SiteTracker {
     sites: BTreeMap<u64, SiteState>,
     stream_count: usize,
@@ -133,25 +134,25 @@
     touch_timeout: Span,
     in_touch: Vec<u64>,
     everywhere: Vec<u64>,
-    /// Of bundles that ask for reports, by number.
+    /// Ends of bundles that ask for reports, by sequence number.
     pending_ends: BTreeMap<u64, BundleEnds>,
     latest_seq: u64,
-    /// By hub: run and number of the last word.
+    /// By hub: run id and sequence number of its last summary.
     last_summaries: BTreeMap<u32, (u32, u64)>,
-    /// Who told what can't be, by site and gateway.
+    /// Senders of reports that acknowledge what was never sent, by site and gateway, with their number.
     pub false_acks: BTreeMap<(String, String), u64>,
 }
 
 #[derive(Debug, PartialEq, Eq)]
 pub enum Outcome {
     Accepted,
-    /// Too old, or of a site for which there is no room.
+    /// Too old, or the limit on sites is reached.
     Ignored,
     Rejected,
 }
 
 impl SiteTracker {
-    pub fn new(listed: &[String], streams: usize, silent: Span, now: Time) -> SiteTracker {
+    pub fn new(listed: &[String], streams: usize, silence_timeout: Span, now: Time) -> SiteTracker {
         let one = |name: &String| {
             (rank::key(name), SiteState { name: name.clone(), listed: true, ..SiteState::default() })
         };
@@ -161,7 +162,7 @@
             sites,
             stream_count: streams,
             started_at: now,
-            touch_timeout: silent * OUT_OF_TOUCH_FACTOR,
+            touch_timeout: silence_timeout * OUT_OF_TOUCH_FACTOR,
             in_touch: vec![0; streams],
             everywhere: vec![0; streams],
             pending_ends: BTreeMap::new(),
@@ -175,7 +176,7 @@
         self.listed_count
     }
 
-    /// A bundle asks for reports.
+    /// Registers a bundle that asks for reports.
     pub fn expect_reports(&mut self, seq: u64, ends: BundleEnds) {
         self.latest_seq = self.latest_seq.max(seq);
         self.pending_ends.insert(seq, ends);
@@ -195,10 +196,10 @@
         self.sites.get_mut(&key)
     }
 
-    /// A site's contact is heard.
+    /// A site's contact has renewed its subscription.
     pub fn note_direct_contact(&mut self, now: Time, name: &str) {
         if let Some(site) = self.site_mut(name) {
-            (site.last_heard, site.last_heard_directly) = (Some(now), Some(now));
+            (site.last_seen, site.last_seen_directly) = (Some(now), Some(now));
         }
     }
 
@@ -213,43 +214,43 @@
         for (s, p) in report.streams.iter().zip(&report.positions) {
             match acked_now.get_mut(*s as usize) {
                 Some(Some(last)) if *p <= *last => *last = *p,
-                // More than this hub itself has told, or of a stream of which it told nothing.
+                // More than this hub has sent, or a stream that the bundle does not name.
                 _ => return self.reject(report),
             }
         }
         let Some(site) = self.site_mut(&report.site) else { return Outcome::Ignored };
-        // Guards against old reports that come again, late or on purpose.
+        // Guards against old reports that are delayed or replayed.
         if bundle.seq < site.report_seq {
             return Outcome::Ignored;
         }
-        // The last one again is no sign of life either.
+        // A repetition of the last report is no sign of life.
         if bundle.seq > site.report_seq {
-            (site.last_heard, site.last_heard_directly, site.report_seq) = (Some(now), Some(now), bundle.seq);
+            (site.last_seen, site.last_seen_directly, site.report_seq) = (Some(now), Some(now), bundle.seq);
         }
         if report.silent_omitted > 0 {
             return Outcome::Accepted;
         }
         let before = site.acked.take();
         let streams = acked_now.len();
-        // A stream of which the bundle said nothing stays where it was.
-        let fresh: Vec<u64> = acked_now
+        // A stream that the bundle does not name keeps its position.
+        let updated: Vec<u64> = acked_now
             .into_iter()
             .enumerate()
             .map(|(s, p)| p.unwrap_or_else(|| before.as_ref().map_or(0, |b| b[s])))
             .collect();
-        let known = before.unwrap_or_else(|| vec![0; streams]);
+        let previous = before.unwrap_or_else(|| vec![0; streams]);
         let is_silent = |l: &&Laggard| l.silent;
         let mut silent = BTreeMap::new();
         for laggard in report.laggards.iter().filter(is_silent) {
-            let had = site.silent.remove(&laggard.name).unwrap_or_else(|| known.clone());
-            silent.insert(laggard.name.clone(), had);
+            let acked = site.silent.remove(&laggard.name).unwrap_or_else(|| previous.clone());
+            silent.insert(laggard.name.clone(), acked);
         }
         site.silent = silent;
         let behind = report.laggards.iter().filter(|l| !l.silent);
         site.behind = behind.map(|l| (l.name.clone(), (l.stream as usize, l.position))).collect();
-        let mut all = Some(fresh.clone());
-        site.silent.values().for_each(|had| take_minimum(&mut all, had));
-        site.acked = Some(fresh);
+        let mut all = Some(updated.clone());
+        site.silent.values().for_each(|acked| take_minimum(&mut all, acked));
+        site.acked = Some(updated);
         if let Some(all) = all {
             site.raise_positions(&all);
         }
@@ -264,44 +265,44 @@
         Outcome::Rejected
     }
 
-    /// What this hub hears itself, for the others.
+    /// Summaries for the other hubs of the sites in direct touch with this one.
     pub fn summaries(&self, now: Time, hub: u32, run_id: u32, seq: &mut u64) -> Vec<HubSummary> {
-        let in_touch_at = |at: Option<Time>| at.is_some_and(|at| now - at < self.touch_timeout);
-        let mut known: Option<Vec<u64>> = None;
-        let (mut with, mut without) = (Vec::new(), Vec::new());
-        for (key, site) in self.sites.iter().filter(|(_, site)| in_touch_at(site.last_heard_directly)) {
+        let is_in_touch = |at: Option<Time>| at.is_some_and(|at| now - at < self.touch_timeout);
+        let mut common: Option<Vec<u64>> = None;
+        let (mut reported, mut silent) = (Vec::new(), Vec::new());
+        for (key, site) in self.sites.iter().filter(|(_, site)| is_in_touch(site.last_seen_directly)) {
             match &site.positions {
                 Some(positions) => {
-                    take_minimum(&mut known, positions);
-                    with.push(*key);
+                    take_minimum(&mut common, positions);
+                    reported.push(*key);
                 }
-                None => without.push(*key),
+                None => silent.push(*key),
             }
         }
         let mut all = Vec::new();
-        for (sites, unreported) in [(with, false), (without, true)] {
+        for (sites, unreported) in [(reported, false), (silent, true)] {
             for sites in sites.chunks(MAX_SITES_PER_SUMMARY) {
                 *seq += 1;
-                let positions = known.clone().filter(|_| !unreported).unwrap_or_default();
+                let positions = common.clone().filter(|_| !unreported).unwrap_or_default();
                 all.push(HubSummary { hub, run_id, seq: *seq, positions, sites: sites.to_vec(), unreported });
             }
         }
         all
     }
 
-    /// Another hub's word, whose signature is good.
+    /// Handles another hub's summary; its signature has been verified.
     pub fn handle_summary(&mut self, now: Time, summary: &HubSummary) -> Outcome {
         let before = self.last_summaries.get(&summary.hub);
-        // Guards against old words that come again.
+        // Guards against replayed summaries.
         if before.is_some_and(|(run_id, seq)| *run_id == summary.run_id && *seq >= summary.seq) {
             return Outcome::Ignored;
         }
         self.last_summaries.insert(summary.hub, (summary.run_id, summary.seq));
         let fits = summary.unreported || summary.positions.len() == self.stream_count;
         for key in summary.sites.iter().take(MAX_SITES_PER_SUMMARY) {
-            // Sites that only another hub knows are its own to wait for.
+            // Sites known only to another hub are tracked there.
             if let Some(site) = self.sites.get_mut(key) {
-                site.last_heard = Some(now);
+                site.last_seen = Some(now);
                 if !summary.unreported && fits {
                     site.raise_positions(&summary.positions);
                 }
@@ -310,12 +311,12 @@
         Outcome::Accepted
     }
 
-    /// The watermarks as of now.
+    /// Recomputes the watermarks.
     pub fn update_watermarks(&mut self, now: Time) {
-        let in_touch_at = |site: &&SiteState| site.last_heard.is_some_and(|at| now - at < self.touch_timeout);
+        let is_in_touch = |site: &&SiteState| site.last_seen.is_some_and(|at| now - at < self.touch_timeout);
         let none = vec![0; self.stream_count];
         let mut in_touch: Option<Vec<u64>> = None;
-        for site in self.sites.values().filter(in_touch_at) {
+        for site in self.sites.values().filter(is_in_touch) {
             take_minimum(&mut in_touch, site.positions.as_ref().unwrap_or(&none));
         }
         let mut everywhere: Option<Vec<u64>> = None;
@@ -325,7 +326,7 @@
         let raise = |to: &mut Vec<u64>, by: Option<Vec<u64>>| {
             to.iter_mut().zip(by.unwrap_or_default()).for_each(|(a, b)| *a = (*a).max(b));
         };
-        // Those that were in touch with a hub before this one began show within this time.
+        // Sites that were in touch with a hub before this one started show up within this time.
         if now - self.started_at >= self.touch_timeout {
             raise(&mut self.in_touch, in_touch);
         }
@@ -339,11 +340,11 @@
         (at(&self.in_touch), at(&self.everywhere))
     }
 
-    /// Sites of the file that are out of touch, and members that lag at those heard by this hub.
+    /// Configured sites that are out of touch, and lagging members of sites in direct touch with this hub.
     pub fn unacked(&self, now: Time) -> Vec<Unacked> {
         let mut all = Vec::new();
         for site in self.sites.values() {
-            let named = |member: Option<&String>, (stream, position): (usize, u64)| Unacked {
+            let entry = |member: Option<&String>, (stream, position): (usize, u64)| Unacked {
                 site: site.name.clone(),
                 member: member.cloned(),
                 stream,
@@ -358,23 +359,23 @@
                     .max_by_key(|(s, p)| last(*s).saturating_sub(**p))
                     .map_or((0, 0), |(s, p)| (s, *p))
             };
-            let in_touch_at = site.last_heard.is_some_and(|at| now - at < self.touch_timeout);
-            if !in_touch_at || site.positions.is_none() {
-                if site.listed || in_touch_at {
-                    all.push(named(None, site.positions.as_ref().map_or((0, 0), lowest)));
+            let is_in_touch = site.last_seen.is_some_and(|at| now - at < self.touch_timeout);
+            if !is_in_touch || site.positions.is_none() {
+                if site.listed || is_in_touch {
+                    all.push(entry(None, site.positions.as_ref().map_or((0, 0), lowest)));
                 }
                 continue;
             }
-            // One that is back has not what was done while it was away.
-            let least = site.positions.iter().flatten().zip(&self.in_touch).enumerate();
+            // A site that is back does not have the events acknowledged while it was away.
+            let minimum = site.positions.iter().flatten().zip(&self.in_touch).enumerate();
             if let Some((s, (p, _))) =
-                least.filter(|(_, (p, done))| p < done).max_by_key(|(_, (p, done))| *done - *p)
+                minimum.filter(|(_, (p, done))| p < done).max_by_key(|(_, (p, done))| *done - *p)
             {
-                all.push(named(None, (s, *p)));
+                all.push(entry(None, (s, *p)));
             }
-            if site.last_heard_directly.is_some_and(|at| now - at < self.touch_timeout) {
-                all.extend(site.silent.iter().map(|(m, had)| named(Some(m), lowest(had))));
-                all.extend(site.behind.iter().map(|(m, at)| named(Some(m), *at)));
+            if site.last_seen_directly.is_some_and(|at| now - at < self.touch_timeout) {
+                all.extend(site.silent.iter().map(|(m, acked)| entry(Some(m), lowest(acked))));
+                all.extend(site.behind.iter().map(|(m, at)| entry(Some(m), *at)));
             }
         }
         all.truncate(MAX_UNACKED);
@@ -391,7 +392,7 @@
             || self.false_acks.len() > MAX_FALSE_ACKERS
         {
             return Err(format!(
-                "{} sites, {} ends, {} liars",
+                "{} sites, {} bundle ends, {} senders of false acknowledgements",
                 self.sites.len(),
                 self.pending_ends.len(),
                 self.false_acks.len()
@@ -402,10 +403,10 @@
             .values()
             .any(|s| s.silent.len() > MAX_LAGGARDS_PER_REPORT || s.behind.len() > MAX_LAGGARDS_PER_REPORT)
         {
-            return Err("more laggards than reports name".to_owned());
+            return Err("more laggards than a report names".to_owned());
         }
         if self.in_touch.iter().zip(&self.everywhere).any(|(t, e)| t < e) {
-            return Err("more is done everywhere than at the sites in touch".to_owned());
+            return Err("watermark of all sites is above that of sites in touch".to_owned());
         }
         Ok(())
     }
