--- a/fleet/src/lease.rs
+++ b/fleet/src/lease.rs
@@ -1,7 +1,9 @@
-//! Budgets that hold for all gateways together: each has one keeper among the live members, by rendezvous hashing, that
-//! lends units of it for a time. What one gateway does not use another has; what its holder no longer renews ends by
-//! itself. Must never let a gateway use more than it was lent, or, where no keeper answers, more than its fair part: the
-//! budget over all members known of late, so that two halves that can't hear each other stay within it together.
+//! Leased budgets shared by all gateways of the fleet. Each budget has one lessor among the live members, chosen by
+//! rendezvous hashing, that leases units of it for a limited time. Units that one gateway does not use are available
+//! to others, and a lease that is not renewed expires by itself.
+//!
+//! Invariant: a gateway never uses more than it was granted or, while no lessor answers, more than its fair share.
+//! The fair share divides the budget by all recently known members, so that two partitions together stay within it.
 //!
 //! Source: leases (Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache
 //! Consistency", SOSP 1989).
@@ -13,29 +15,29 @@
 use kelpcart::{Span, Time};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Budgets that one keeper keeps, and objects of which it knows that they are filled.
+/// Budgets that one lessor keeps, including objects that it knows to be filled.
 const MAX_LESSOR_BUDGETS: usize = 16_384;
-/// Budgets of which one gateway holds something or waits for it.
+/// Budgets of which one gateway holds units or waits for them.
 const MAX_LESSEE_BUDGETS: usize = 8_192;
-/// A question that is not answered is repeated after this time, and after so many the fair part is used.
+/// An unanswered request is repeated after this time.
 const REQUEST_RETRY: Span = Span::from_millis(60);
+/// After this many unanswered requests the fair share is used.
 const MAX_REQUEST_TRIES: u32 = 2;
-/// Leases are renewed when this part of them is over.
+/// Leases are renewed after this fraction of their duration.
 const RENEWAL_FRACTION: f64 = 0.4;
-/// Who was told to wait and is not told of a free unit asks again.
+/// A lessee that waits and was not notified of a free unit repeats its request after this time.
 const WAIT_RETRY: Span = Span::from_millis(250);
-/// Budgets in one datagram.
 const MAX_REQUESTS_PER_DATAGRAM: usize = 40;
 
 pub type BudgetKey = (BudgetKind, u64);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// One unit is the caller's until it gives it back.
+    /// One unit is the caller's until it is released.
     Granted,
-    /// Nothing is counted for it (any more).
+    /// The budget is not limited, or no longer needed: go on without a lease.
     NotRequired,
-    /// Its time is over.
+    /// No unit became available in time.
     Denied,
 }
 
@@ -43,28 +45,28 @@
 pub enum Output {
     Send(Name, Vec<Payload>),
     Decision(u64, Decision),
-    /// Others wait for units of this: what rests on it is better closed.
+    /// Other gateways wait for units of this budget: idle connections that hold some should be closed.
     Contended(BudgetKey),
 }
 
 #[derive(Clone, Debug, Default)]
-struct Lessee {
-    /// Lent and not ended, and in use.
+struct LesseeState {
+    /// Units granted by the lessor; valid until `expires_at`.
     granted: u32,
     expires_at: Time,
     in_use: u32,
-    /// Those that wait, with the time until which they do.
+    /// Waiting tickets, each with its deadline.
     waiting: VecDeque<(u64, Time)>,
     requested_at: Time,
     tries: u32,
-    /// Asked, and not yet answered.
+    /// A request was sent and has not been answered.
     request_pending: bool,
     done: bool,
     lessor: Option<Name>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Lessor {
+struct LessorState {
     lessees: BTreeMap<Name, (u32, Time)>,
     waiting: VecDeque<Name>,
     done: bool,
@@ -82,12 +84,12 @@
 
 pub struct Leases {
     config: Budgets,
-    lessee: BTreeMap<BudgetKey, Lessee>,
-    lessor: BTreeMap<BudgetKey, Lessor>,
+    lessee_states: BTreeMap<BudgetKey, LesseeState>,
+    lessor_states: BTreeMap<BudgetKey, LessorState>,
     members_version: u64,
     live_members: Vec<Name>,
     own_name: Name,
-    /// The members are as they are since then.
+    /// When the set of live members last changed.
     members_since: Time,
     pub counts: Counts,
     pub outbox: VecDeque<Output>,
@@ -97,8 +99,8 @@
     pub fn new(config: Budgets, own: Name, now: Time) -> Leases {
         Leases {
             config,
-            lessee: BTreeMap::new(),
-            lessor: BTreeMap::new(),
+            lessee_states: BTreeMap::new(),
+            lessor_states: BTreeMap::new(),
             members_version: u64::MAX,
             live_members: Vec::new(),
             own_name: own,
@@ -109,10 +111,10 @@
     }
 
     pub fn sizes(&self) -> [(&'static str, usize); 2] {
-        [("fleet budgets held", self.lessee.len()), ("fleet budgets kept", self.lessor.len())]
+        [("fleet budgets held", self.lessee_states.len()), ("fleet budgets kept", self.lessor_states.len())]
     }
 
-    /// `None`: that is not counted.
+    /// The configured limit; `None` if this kind is not limited.
     pub fn limit(&self, kind: BudgetKind) -> Option<u32> {
         match kind {
             BudgetKind::Connections => self.config.connections,
@@ -130,87 +132,87 @@
         rank::first(all, key).map_or(self.own_name.clone(), Name::from)
     }
 
-    /// What this gateway may use of a budget by itself.
+    /// The units that this gateway may use without a lessor: its fair share.
     fn fair_share(&self, key: BudgetKey, members: &Members) -> u32 {
-        let Some(most) = self.limit(key.0) else { return u32::MAX };
+        let Some(limit) = self.limit(key.0) else { return u32::MAX };
         let n = members.recent_names().count().max(1) as u32;
-        let place = rank::place(members.recent_names(), &self.own_name, key.1) as u32;
-        most / n + u32::from(place < most % n)
+        let position = rank::place(members.recent_names(), &self.own_name, key.1) as u32;
+        limit / n + u32::from(position < limit % n)
     }
 
-    /// One unit is wanted by `until`; the verdict comes under the ticket. A ticket is used once.
+    /// Requests one unit by `until`; the decision is reported under the ticket. Tickets are not reused.
     pub fn request(&mut self, now: Time, key: BudgetKey, ticket: u64, until: Time, members: &Members) {
         self.counts.requested += 1;
         if self.limit(key.0).is_none() {
             return self.outbox.push_back(Output::Decision(ticket, Decision::NotRequired));
         }
-        if self.lessee.len() >= MAX_LESSEE_BUDGETS && !self.lessee.contains_key(&key) {
+        if self.lessee_states.len() >= MAX_LESSEE_BUDGETS && !self.lessee_states.contains_key(&key) {
             self.counts.denied += 1;
             return self.outbox.push_back(Output::Decision(ticket, Decision::Denied));
         }
-        let hold = self.lessee.entry(key).or_default();
-        hold.waiting.push_back((ticket, until));
+        let lessee = self.lessee_states.entry(key).or_default();
+        lessee.waiting.push_back((ticket, until));
         self.assign_units(now, key);
         self.request_if_idle(now, key, members);
     }
 
-    /// Nobody waits under this ticket any more.
+    /// Cancels a request.
     pub fn cancel(&mut self, ticket: u64) {
-        self.lessee.values_mut().for_each(|h| h.waiting.retain(|(t, _)| *t != ticket));
+        self.lessee_states.values_mut().for_each(|h| h.waiting.retain(|(t, _)| *t != ticket));
     }
 
-    /// A unit is given back; `done`: what it was lent for need not be done again by anyone.
+    /// Releases a unit. `done` means that the work it was leased for is finished and need not be repeated by anyone.
     pub fn release(&mut self, now: Time, key: BudgetKey, done: bool, members: &Members) {
-        let Some(hold) = self.lessee.get_mut(&key) else { return };
-        hold.in_use = hold.in_use.saturating_sub(1);
+        let Some(lessee) = self.lessee_states.get_mut(&key) else { return };
+        lessee.in_use = lessee.in_use.saturating_sub(1);
         if done && key.0 == BudgetKind::Fill {
-            hold.done = true;
-            let free: Vec<u64> = hold.waiting.drain(..).map(|(t, _)| t).collect();
-            self.counts.not_required += free.len() as u64;
-            self.outbox.extend(free.into_iter().map(|t| Output::Decision(t, Decision::NotRequired)));
+            lessee.done = true;
+            let tickets: Vec<u64> = lessee.waiting.drain(..).map(|(t, _)| t).collect();
+            self.counts.not_required += tickets.len() as u64;
+            self.outbox.extend(tickets.into_iter().map(|t| Output::Decision(t, Decision::NotRequired)));
         }
         self.assign_units(now, key);
         self.send_request(now, key, members);
-        // What is done has to be known to the keeper; the rest ends by itself if this word is lost.
-        if self.lessee.get(&key).is_some_and(|h| h.in_use == 0 && h.waiting.is_empty() && !h.done) {
-            self.lessee.remove(&key);
+        // The lessor has to learn of finished work; otherwise the lease expires by itself if this message is lost.
+        if self.lessee_states.get(&key).is_some_and(|h| h.in_use == 0 && h.waiting.is_empty() && !h.done) {
+            self.lessee_states.remove(&key);
         }
     }
 
-    /// Hands out what is lent and not used.
+    /// Assigns granted units that are not in use to waiting tickets.
     fn assign_units(&mut self, now: Time, key: BudgetKey) {
-        let Some(hold) = self.lessee.get_mut(&key) else { return };
-        let lent = if hold.expires_at > now { hold.granted } else { 0 };
-        while hold.in_use < lent
-            && let Some((ticket, _)) = hold.waiting.pop_front()
+        let Some(lessee) = self.lessee_states.get_mut(&key) else { return };
+        let granted = if lessee.expires_at > now { lessee.granted } else { 0 };
+        while lessee.in_use < granted
+            && let Some((ticket, _)) = lessee.waiting.pop_front()
         {
-            hold.in_use += 1;
+            lessee.in_use += 1;
             self.counts.granted += 1;
             self.outbox.push_back(Output::Decision(ticket, Decision::Granted));
         }
     }
 
     fn request_if_idle(&mut self, now: Time, key: BudgetKey, members: &Members) {
-        if self.lessee.get(&key).is_some_and(|h| !h.request_pending && !h.waiting.is_empty()) {
+        if self.lessee_states.get(&key).is_some_and(|h| !h.request_pending && !h.waiting.is_empty()) {
             self.send_request(now, key, members);
         }
     }
 
     fn send_request(&mut self, now: Time, key: BudgetKey, members: &Members) {
         self.refresh_members(now, members);
-        let keeper = self.lessor_of(key.1);
-        let Some(hold) = self.lessee.get_mut(&key) else { return };
-        let units = hold.in_use + hold.waiting.len() as u32;
-        let ask = LeaseRequest { key: key.1, kind: key.0 as i32, units, done: hold.done };
-        (hold.requested_at, hold.request_pending) = (now, true);
-        hold.lessor = Some(keeper.clone());
-        if keeper == self.own_name {
+        let lessor = self.lessor_of(key.1);
+        let Some(lessee) = self.lessee_states.get_mut(&key) else { return };
+        let units = lessee.in_use + lessee.waiting.len() as u32;
+        let request = LeaseRequest { key: key.1, kind: key.0 as i32, units, done: lessee.done };
+        (lessee.requested_at, lessee.request_pending) = (now, true);
+        lessee.lessor = Some(lessor.clone());
+        if lessor == self.own_name {
             let own = self.own_name.clone();
-            self.grant_all(now, &own, &[ask], members);
+            self.grant_all(now, &own, &[request], members);
         } else {
             self.outbox.push_back(Output::Send(
-                keeper,
-                vec![Payload::LeaseRequests(LeaseRequests { requests: vec![ask] })],
+                lessor,
+                vec![Payload::LeaseRequests(LeaseRequests { requests: vec![request] })],
             ));
         }
     }
@@ -223,8 +225,8 @@
         }
     }
 
-    pub fn handle(&mut self, now: Time, from: &Name, said: &Payload, members: &Members) {
-        match said {
+    pub fn handle(&mut self, now: Time, from: &Name, payload: &Payload, members: &Members) {
+        match payload {
             Payload::LeaseRequests(requests) => {
                 self.refresh_members(now, members);
                 self.grant_all(now, from, &requests.requests, members);
@@ -234,28 +236,27 @@
         }
     }
 
-    // The keeper.
+    // The lessor.
 
-    fn grant_all(&mut self, now: Time, to: &Name, asks: &[LeaseRequest], members: &Members) {
-        let mut granted = Vec::new();
-        for ask in asks {
-            let Ok(kind) = BudgetKind::try_from(ask.kind) else { continue };
-            if let Some(one) = self.grant_one(now, to, (kind, ask.key), ask, members) {
-                granted.push(one);
+    fn grant_all(&mut self, now: Time, to: &Name, requests: &[LeaseRequest], members: &Members) {
+        let mut grants = Vec::new();
+        for request in requests {
+            let Ok(kind) = BudgetKind::try_from(request.kind) else { continue };
+            if let Some(grant) = self.grant_one(now, to, (kind, request.key), request, members) {
+                grants.push(grant);
             }
         }
-        self.reply(now, to, granted);
+        self.reply(now, to, grants);
     }
 
-    fn reply(&mut self, now: Time, to: &Name, granted: Vec<Grant>) {
-        if granted.is_empty() {
+    fn reply(&mut self, now: Time, to: &Name, grants: Vec<Grant>) {
+        if grants.is_empty() {
             return;
         }
         if *to == self.own_name {
-            granted.iter().for_each(|g| self.handle_grant(now, g));
+            grants.iter().for_each(|g| self.handle_grant(now, g));
         } else {
-            self.outbox
-                .push_back(Output::Send(to.clone(), vec![Payload::Grants(Grants { grants: granted })]));
+            self.outbox.push_back(Output::Send(to.clone(), vec![Payload::Grants(Grants { grants })]));
         }
     }
 
@@ -264,26 +265,27 @@
         now: Time,
         to: &Name,
         key: BudgetKey,
-        ask: &LeaseRequest,
+        request: &LeaseRequest,
         members: &Members,
     ) -> Option<Grant> {
-        let most = self.limit(key.0)?;
-        let fair = self.fair_share(key, members);
-        // Whoever kept it before may have lent it out: till those leases are over only the fair part is lent here.
-        let sure = now - self.members_since >= self.lease_duration();
-        if self.lessor.len() >= MAX_LESSOR_BUDGETS && !self.lessor.contains_key(&key) {
+        let limit = self.limit(key.0)?;
+        let fair_share = self.fair_share(key, members);
+        // The previous lessor may have leased out units: until those leases have expired only the fair share is
+        // granted.
+        let settled = now - self.members_since >= self.lease_duration();
+        if self.lessor_states.len() >= MAX_LESSOR_BUDGETS && !self.lessor_states.contains_key(&key) {
             self.evict_idle(now);
         }
-        if self.lessor.len() >= MAX_LESSOR_BUDGETS && !self.lessor.contains_key(&key) {
+        if self.lessor_states.len() >= MAX_LESSOR_BUDGETS && !self.lessor_states.contains_key(&key) {
             return None;
         }
-        let lasts = self.lease_duration();
-        let kept = self.lessor.entry(key).or_default();
-        kept.last_used = now;
-        kept.done |= ask.done;
-        kept.lessees.retain(|_, (_, until)| *until > now);
-        kept.waiting.retain(|n| n != to);
-        let mut free = Grant {
+        let duration = self.lease_duration();
+        let lessor = self.lessor_states.entry(key).or_default();
+        lessor.last_used = now;
+        lessor.done |= request.done;
+        lessor.lessees.retain(|_, (_, until)| *until > now);
+        lessor.waiting.retain(|n| n != to);
+        let mut grant = Grant {
             key: key.1,
             kind: key.0 as i32,
             units: 0,
@@ -291,59 +293,61 @@
             not_required: true,
             contended: false,
         };
-        if kept.done {
-            kept.lessees.clear();
-            let told: Vec<Name> = kept.waiting.drain(..).collect();
-            for name in told {
-                self.reply(now, &name, vec![free.clone()]);
+        if lessor.done {
+            lessor.lessees.clear();
+            let waiting: Vec<Name> = lessor.waiting.drain(..).collect();
+            for name in waiting {
+                self.reply(now, &name, vec![grant.clone()]);
             }
-            return Some(free);
+            return Some(grant);
         }
-        let before = kept.lessees.remove(to).map_or(0, |(n, _)| n);
-        let out: u32 = kept.lessees.values().map(|(n, _)| n).sum();
-        // A keeper that is new to it may not count on its table: each gateway's part by itself sums up to the budget.
-        let room = if sure { most.saturating_sub(out) } else { fair.min(most.saturating_sub(out)) };
-        let units = ask.units.min(room);
+        let previous = lessor.lessees.remove(to).map_or(0, |(n, _)| n);
+        let leased: u32 = lessor.lessees.values().map(|(n, _)| n).sum();
+        // A new lessor does not know the leases of the previous one, but the fair shares of all gateways add up to
+        // the budget.
+        let room =
+            if settled { limit.saturating_sub(leased) } else { fair_share.min(limit.saturating_sub(leased)) };
+        let units = request.units.min(room);
         if units > 0 {
-            kept.lessees.insert(to.clone(), (units, now + lasts));
+            lessor.lessees.insert(to.clone(), (units, now + duration));
         }
-        if units < ask.units && kept.waiting.len() < 1_024 {
-            kept.waiting.push_back(to.clone());
+        if units < request.units && lessor.waiting.len() < 1_024 {
+            lessor.waiting.push_back(to.clone());
         }
-        let wanted = kept.waiting.iter().any(|n| n != to);
-        (free.units, free.duration_us, free.not_required, free.contended) =
-            (units, lasts.as_micros(), false, wanted);
-        if units < before && !self.lessor[&key].waiting.is_empty() {
-            self.grant_to_waiting(now, key, most);
+        let contended = lessor.waiting.iter().any(|n| n != to);
+        (grant.units, grant.duration_us, grant.not_required, grant.contended) =
+            (units, duration.as_micros(), false, contended);
+        if units < previous && !self.lessor_states[&key].waiting.is_empty() {
+            self.grant_to_waiting(now, key, limit);
         }
-        if ask.units == 0 {
-            // Given back: nothing is owed in return.
-            if self.lessor.get(&key).is_some_and(|k| k.lessees.is_empty() && k.waiting.is_empty()) {
-                self.lessor.remove(&key);
+        if request.units == 0 {
+            // A request for zero units is a release and gets no reply.
+            if self.lessor_states.get(&key).is_some_and(|k| k.lessees.is_empty() && k.waiting.is_empty()) {
+                self.lessor_states.remove(&key);
             }
             return None;
         }
-        Some(free)
+        Some(grant)
     }
 
-    /// Units have come back: one each is lent to those that wait, in their order.
-    fn grant_to_waiting(&mut self, now: Time, key: BudgetKey, most: u32) {
-        let Some(kept) = self.lessor.get_mut(&key) else { return };
-        let out: u32 = kept.lessees.values().map(|(n, _)| n).sum();
-        let mut room = most.saturating_sub(out);
-        let lasts = Span::from_millis(self.config.lease_ms);
-        let mut told = Vec::new();
+    /// Grants freed units to waiting lessees, one each, in the order of their requests.
+    fn grant_to_waiting(&mut self, now: Time, key: BudgetKey, limit: u32) {
+        let Some(lessor) = self.lessor_states.get_mut(&key) else { return };
+        let leased: u32 = lessor.lessees.values().map(|(n, _)| n).sum();
+        let mut room = limit.saturating_sub(leased);
+        let duration = Span::from_millis(self.config.lease_ms);
+        let mut notified = Vec::new();
         while room > 0
-            && let Some(name) = kept.waiting.pop_front()
+            && let Some(name) = lessor.waiting.pop_front()
         {
-            let one = kept.lessees.entry(name.clone()).or_insert((0, now));
-            one.0 += 1;
-            one.1 = now + lasts;
+            let lease = lessor.lessees.entry(name.clone()).or_insert((0, now));
+            lease.0 += 1;
+            lease.1 = now + duration;
             room -= 1;
-            told.push((name, one.0));
+            notified.push((name, lease.0));
         }
-        for (name, units) in told {
-            let duration_us = lasts.as_micros();
+        for (name, units) in notified {
+            let duration_us = duration.as_micros();
             let g = Grant {
                 key: key.1,
                 kind: key.0 as i32,
@@ -357,112 +361,121 @@
     }
 
     fn evict_idle(&mut self, now: Time) {
-        let idle = |k: &Lessor| k.lessees.values().all(|(_, until)| *until <= now);
-        let mut old: Vec<(Time, BudgetKey)> =
-            self.lessor.iter().filter(|(_, k)| idle(k)).map(|(key, k)| (k.last_used, *key)).collect();
-        old.sort_unstable();
-        for (_, key) in old.into_iter().take(MAX_LESSOR_BUDGETS / 8) {
-            self.lessor.remove(&key);
+        let idle = |k: &LessorState| k.lessees.values().all(|(_, until)| *until <= now);
+        let mut idle_budgets: Vec<(Time, BudgetKey)> =
+            self.lessor_states.iter().filter(|(_, k)| idle(k)).map(|(key, k)| (k.last_used, *key)).collect();
+        idle_budgets.sort_unstable();
+        for (_, key) in idle_budgets.into_iter().take(MAX_LESSOR_BUDGETS / 8) {
+            self.lessor_states.remove(&key);
         }
     }
 
-    // The holder.
+    // The lessee.
 
     fn handle_grant(&mut self, now: Time, g: &Grant) {
         let Ok(kind) = BudgetKind::try_from(g.kind) else { return };
         let key = (kind, g.key);
-        let Some(hold) = self.lessee.get_mut(&key) else { return };
-        (hold.request_pending, hold.tries) = (false, 0);
+        let Some(lessee) = self.lessee_states.get_mut(&key) else { return };
+        (lessee.request_pending, lessee.tries) = (false, 0);
         if g.not_required {
-            hold.done = true;
-            let all: Vec<u64> = hold.waiting.drain(..).map(|(t, _)| t).collect();
-            self.counts.not_required += all.len() as u64;
-            self.outbox.extend(all.into_iter().map(|t| Output::Decision(t, Decision::NotRequired)));
+            lessee.done = true;
+            let tickets: Vec<u64> = lessee.waiting.drain(..).map(|(t, _)| t).collect();
+            self.counts.not_required += tickets.len() as u64;
+            self.outbox.extend(tickets.into_iter().map(|t| Output::Decision(t, Decision::NotRequired)));
             return;
         }
-        // From when it was asked for: the keeper's own lease ends no earlier.
-        let most = self.config.lease_ms * 1_000;
-        hold.granted = g.units;
-        hold.expires_at = now + Span::from_micros(g.duration_us.min(most)) * 0.9;
+        // A little shorter than the lessor's duration, so that the lessor's lease ends no earlier.
+        let max_us = self.config.lease_ms * 1_000;
+        lessee.granted = g.units;
+        lessee.expires_at = now + Span::from_micros(g.duration_us.min(max_us)) * 0.9;
         if g.contended {
             self.outbox.push_back(Output::Contended(key));
         }
         self.assign_units(now, key);
     }
 
-    /// In use and lent, of one budget; for the host's and the tests' checks.
+    /// Units in use and units granted of one budget; for checks by the host and by tests.
     pub fn usage(&self, key: BudgetKey) -> (u32, u32) {
-        self.lessee.get(&key).map_or((0, 0), |h| (h.in_use, h.granted))
+        self.lessee_states.get(&key).map_or((0, 0), |h| (h.in_use, h.granted))
     }
 
     pub fn next_wake(&self, now: Time) -> Option<Time> {
         let renew = self.lease_duration() * RENEWAL_FRACTION;
-        let one = |h: &Lessee| {
-            let again = h.request_pending.then(|| h.requested_at + REQUEST_RETRY);
-            let waits = (!h.waiting.is_empty() && !h.request_pending).then(|| h.requested_at + WAIT_RETRY);
-            let over = h.waiting.iter().map(|(_, until)| *until).min();
+        let wake = |h: &LesseeState| {
+            let retry = h.request_pending.then(|| h.requested_at + REQUEST_RETRY);
+            let poll = (!h.waiting.is_empty() && !h.request_pending).then(|| h.requested_at + WAIT_RETRY);
+            let deadline = h.waiting.iter().map(|(_, until)| *until).min();
             let renew = (h.in_use > 0 && !h.request_pending && !h.done).then(|| h.requested_at + renew);
-            [again, waits, over, renew].into_iter().flatten().min()
+            [retry, poll, deadline, renew].into_iter().flatten().min()
         };
-        self.lessee.values().filter_map(one).min().map(|at| at.max(now))
+        self.lessee_states.values().filter_map(wake).min().map(|at| at.max(now))
     }
 
     pub fn tick(&mut self, now: Time, members: &Members) {
         self.refresh_members(now, members);
         let renew = self.lease_duration() * RENEWAL_FRACTION;
-        let keys: Vec<BudgetKey> = self.lessee.keys().copied().collect();
-        let mut asks: BTreeMap<Name, Vec<LeaseRequest>> = BTreeMap::new();
+        let keys: Vec<BudgetKey> = self.lessee_states.keys().copied().collect();
+        let mut requests: BTreeMap<Name, Vec<LeaseRequest>> = BTreeMap::new();
         for key in keys {
-            let fair = self.fallback_share(now, key, members);
-            let Some(hold) = self.lessee.get_mut(&key) else { continue };
-            let over: Vec<u64> = hold.waiting.iter().filter(|(_, u)| *u <= now).map(|(t, _)| *t).collect();
-            hold.waiting.retain(|(_, u)| *u > now);
-            self.counts.denied += over.len() as u64;
-            self.outbox.extend(over.into_iter().map(|t| Output::Decision(t, Decision::Denied)));
-            if let Some(fair) = fair {
-                // No keeper answers: what is used beyond the fair part is not added to.
-                while hold.in_use < fair
-                    && let Some((ticket, _)) = hold.waiting.pop_front()
+            let fair_share = self.fallback_share(now, key, members);
+            let Some(lessee) = self.lessee_states.get_mut(&key) else { continue };
+            let expired: Vec<u64> =
+                lessee.waiting.iter().filter(|(_, u)| *u <= now).map(|(t, _)| *t).collect();
+            lessee.waiting.retain(|(_, u)| *u > now);
+            self.counts.denied += expired.len() as u64;
+            self.outbox.extend(expired.into_iter().map(|t| Output::Decision(t, Decision::Denied)));
+            if let Some(fair_share) = fair_share {
+                // The lessor does not answer: units are assigned up to the fair share, and units in use beyond it are
+                // not added to.
+                while lessee.in_use < fair_share
+                    && let Some((ticket, _)) = lessee.waiting.pop_front()
                 {
-                    hold.in_use += 1;
+                    lessee.in_use += 1;
                     self.counts.fair_share += 1;
                     self.outbox.push_back(Output::Decision(ticket, Decision::Granted));
                 }
-                hold.tries = MAX_REQUEST_TRIES;
+                lessee.tries = MAX_REQUEST_TRIES;
             }
-            let silent = hold.request_pending && now - hold.requested_at >= REQUEST_RETRY;
-            let waits =
-                !hold.request_pending && !hold.waiting.is_empty() && now - hold.requested_at >= WAIT_RETRY;
-            let old =
-                !hold.request_pending && hold.in_use > 0 && !hold.done && now - hold.requested_at >= renew;
-            if silent {
-                hold.tries += 1;
+            let unanswered = lessee.request_pending && now - lessee.requested_at >= REQUEST_RETRY;
+            let poll = !lessee.request_pending
+                && !lessee.waiting.is_empty()
+                && now - lessee.requested_at >= WAIT_RETRY;
+            let renewal = !lessee.request_pending
+                && lessee.in_use > 0
+                && !lessee.done
+                && now - lessee.requested_at >= renew;
+            if unanswered {
+                lessee.tries += 1;
             }
-            if hold.in_use == 0 && hold.waiting.is_empty() && !hold.request_pending {
-                self.lessee.remove(&key);
+            if lessee.in_use == 0 && lessee.waiting.is_empty() && !lessee.request_pending {
+                self.lessee_states.remove(&key);
                 continue;
             }
-            if silent && hold.tries > MAX_REQUEST_TRIES + 1 && hold.waiting.is_empty() && hold.in_use == 0 {
-                // It was told often enough; what it lent ends by itself there.
-                self.lessee.remove(&key);
+            if unanswered
+                && lessee.tries > MAX_REQUEST_TRIES + 1
+                && lessee.waiting.is_empty()
+                && lessee.in_use == 0
+            {
+                // The release was repeated often enough; the lease expires by itself at the lessor.
+                self.lessee_states.remove(&key);
                 continue;
             }
-            if silent || waits || old {
-                let units = hold.in_use + hold.waiting.len() as u32;
-                let ask = LeaseRequest { key: key.1, kind: key.0 as i32, units, done: hold.done };
-                (hold.requested_at, hold.request_pending) = (now, true);
-                let keeper = self.lessor_of(key.1);
-                asks.entry(keeper).or_default().push(ask);
+            if unanswered || poll || renewal {
+                let units = lessee.in_use + lessee.waiting.len() as u32;
+                let request = LeaseRequest { key: key.1, kind: key.0 as i32, units, done: lessee.done };
+                (lessee.requested_at, lessee.request_pending) = (now, true);
+                let lessor = self.lessor_of(key.1);
+                requests.entry(lessor).or_default().push(request);
             }
         }
-        for (keeper, all) in asks {
+        for (lessor, all) in requests {
             for part in all.chunks(MAX_REQUESTS_PER_DATAGRAM) {
-                if keeper == self.own_name {
+                if lessor == self.own_name {
                     let own = self.own_name.clone();
                     self.grant_all(now, &own, part, members);
                 } else {
                     self.outbox.push_back(Output::Send(
-                        keeper.clone(),
+                        lessor.clone(),
                         vec![Payload::LeaseRequests(LeaseRequests { requests: part.to_vec() })],
                     ));
                 }
@@ -470,30 +483,30 @@
         }
     }
 
-    /// The fair part where the keeper has been silent for its tries.
+    /// The fair share, if the lessor has not answered the allowed number of requests.
     fn fallback_share(&self, now: Time, key: BudgetKey, members: &Members) -> Option<u32> {
-        let hold = self.lessee.get(&key)?;
-        let silent = hold.request_pending
-            && hold.tries >= MAX_REQUEST_TRIES
-            && now - hold.requested_at >= REQUEST_RETRY;
-        (silent && !hold.waiting.is_empty()).then(|| self.fair_share(key, members))
+        let lessee = self.lessee_states.get(&key)?;
+        let unanswered = lessee.request_pending
+            && lessee.tries >= MAX_REQUEST_TRIES
+            && now - lessee.requested_at >= REQUEST_RETRY;
+        (unanswered && !lessee.waiting.is_empty()).then(|| self.fair_share(key, members))
     }
 
-    /// The rules that have to hold after every step; for tests.
+    /// Checks the invariants that hold after every step; for tests.
     pub fn check_invariants(&self, now: Time) -> Result<(), String> {
-        for (key, kept) in &self.lessor {
-            let out: u32 = kept.lessees.values().filter(|(_, until)| *until > now).map(|(n, _)| n).sum();
-            let most = self.limit(key.0).unwrap_or(u32::MAX);
-            if out > most {
-                return Err(format!("{out} of {most} lent of {key:?}"));
+        for (key, lessor) in &self.lessor_states {
+            let leased: u32 = lessor.lessees.values().filter(|(_, until)| *until > now).map(|(n, _)| n).sum();
+            let limit = self.limit(key.0).unwrap_or(u32::MAX);
+            if leased > limit {
+                return Err(format!("{leased} units of {key:?} leased, the limit is {limit}"));
             }
         }
         let names: BTreeSet<&Name> = self.live_members.iter().collect();
-        if self.lessor.len() > MAX_LESSOR_BUDGETS
-            || self.lessee.len() > MAX_LESSEE_BUDGETS
+        if self.lessor_states.len() > MAX_LESSOR_BUDGETS
+            || self.lessee_states.len() > MAX_LESSEE_BUDGETS
             || names.contains(&self.own_name)
         {
-            return Err("a table over its bound".to_owned());
+            return Err("table over its limit, or this gateway listed among the others".to_owned());
         }
         Ok(())
     }
--- a/fleet/src/members.rs
+++ b/fleet/src/members.rs
@@ -1,12 +1,15 @@
-//! Who is there: probes, what is said of others, and whom that is believed. Must never hold a member to be gone because
-//! another says so: what is claimed is checked by a probe of one's own, and only claims that this bears out count.
+//! Membership of the fleet: failure detection by probes, suspicion, and gossip of membership updates.
+//!
+//! Invariant: no member is declared dead on the word of another. A suspicion received by gossip is verified by a
+//! direct probe, and only claims that this probe confirms count.
 //!
 //! Sources: SWIM (Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
-//! Protocol", DSN 2002) for probes through others, incarnations and news that ride on probes; Lifeguard (Dadgar, Phillips,
-//! Currey, "Lifeguard: Local Health Awareness for More Accurate Failure Detection", 2018) for the local health
-//! multiplier, nacks, suspicion that shortens with independent confirmations, and telling the suspect first. Departures:
-//! a claim is no verdict (one that lies would empty the list), a word to leave counts from the leaver alone, and a probe
-//! that a stopped process sent says nothing when it goes on.
+//! Protocol", DSN 2002) for indirect probes, incarnation numbers and updates piggybacked on probes; Lifeguard
+//! (Dadgar, Phillips, Currey, "Lifeguard: Local Health Awareness for More Accurate Failure Detection", 2018) for the
+//! local health multiplier, nacks, a suspicion timeout that shrinks with independent confirmations, and sending the
+//! suspicion to the suspect first. Departures: a claim alone changes no state (one lying member could empty the
+//! member list), a leave message counts only from the member that leaves, and probes that were pending when the
+//! process was stopped are discarded when it resumes.
 
 use crate::seal::ReplayWindow;
 use crate::settings;
@@ -23,38 +26,38 @@
 
 pub type Name = Arc<str>;
 
-/// Others that are asked to probe in one's place.
+/// Members that are asked for an indirect probe.
 const INDIRECT_PROBES: usize = 3;
-/// News are passed on this many times the binary logarithm of the members.
+/// An update is retransmitted this many times the binary logarithm of the number of members.
 const RETRANSMIT_MULT: f64 = 2.0;
 const GOSSIP_INTERVAL: Span = Span::from_millis(200);
 const GOSSIP_FANOUT: usize = 3;
-/// The local health multiplier's greatest value.
+/// Upper bound of the local health score; timeouts are multiplied by one plus the score.
 const MAX_HEALTH_SCORE: u32 = 2;
-/// Independent accusers that bring the suspicion down to its shortest.
+/// Independent confirmations that bring the suspicion timeout down to its minimum.
 const SUSPICION_CONFIRMATIONS: usize = 3;
-/// The longest suspicion is this many times the shortest.
+/// The maximum suspicion timeout as a multiple of the minimum.
 const SUSPICION_MAX_MULT: f64 = 2.0;
-/// The host comes so late only when the process was stopped or starved.
+/// A call that is later than this means that the process was stopped or starved of CPU.
 const PAUSE_THRESHOLD: Span = Span::from_millis(700);
-/// Records of those that are gone are kept, lest old news raise them.
+/// Records of dead members are kept this long, so that old gossip does not revive them.
 const DEAD_RETENTION: Span = Span::from_millis(60_000);
-/// One that is gone, or a seed, is asked this often: two halves find each other again by it.
+/// Interval at which a dead member and an unreached seed are contacted; it heals partitions.
 const RECONNECT_INTERVAL: Span = Span::from_millis(5_000);
-/// Tries to join: the first and the longest wait.
+/// Initial and maximum delay between join attempts.
 const JOIN_BACKOFF: (Span, Span) = (Span::from_millis(200), Span::from_millis(2_000));
-/// Claims that are checked at once.
+/// Claims that are verified by a direct probe at the same time.
 const MAX_VERIFICATIONS: usize = 16;
 const MAX_RELAYED_PROBES: usize = 64;
 const MAX_ACCUSERS: usize = 8;
-/// Claims borne out by nothing, of one accuser, before it is not heard for a while.
+/// Refuted claims of one accuser after which its claims are ignored for a while.
 const MAX_REFUTED_CLAIMS: u32 = 5;
 const IGNORE_ACCUSER_FOR: Span = Span::from_millis(30_000);
-/// Bytes a second for lists of members to those that join.
+/// Bytes per second spent on member lists for joining members.
 const JOIN_BYTES_PER_S: f64 = 131_072.0;
 const CHALLENGES_PER_S: f64 = 500.0;
 
-/// Bytes a second, saved up for one second.
+/// Token bucket with a burst of one second's rate.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     rate: f64,
@@ -79,7 +82,7 @@
     }
 }
 
-/// What is to be sent to a member, or to an address of which nothing is known yet.
+/// A message for a member, or for an address whose run is not known yet (`to_run` is 0).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Envelope {
     pub to: SocketAddr,
@@ -94,15 +97,15 @@
     pub incarnation: u64,
     pub state: MemberState,
     state_since: Time,
-    /// Who says that it does not answer, oneself among them once one's own probe failed.
+    /// Members that report it as unresponsive, including this one once its own probe has failed.
     accusers: BTreeSet<Name>,
     deadline: Option<Time>,
-    /// The suspicion is over, and it was asked once more.
+    /// The suspicion timeout has expired and the final probe was sent.
     final_probe_sent: bool,
     replay_window: ReplayWindow,
-    /// It has named this start of ours.
+    /// It has sent a packet that names this gateway's run.
     pub knows_our_run: bool,
-    /// What it said of its list, and when.
+    /// The last heartbeat of its list, and when it was received.
     pub list: Option<(Time, Heartbeat)>,
 }
 
@@ -110,7 +113,7 @@
 struct Probe {
     seq: u64,
     target: Name,
-    /// When others are asked, and when it has failed.
+    /// When indirect probes are sent; `fails_at` is when the probe has failed.
     indirect_at: Time,
     fails_at: Time,
     helpers: Vec<Name>,
@@ -132,7 +135,7 @@
     pub probes_failed: u64,
     pub suspected: u64,
     pub declared_dead: u64,
-    /// Held to be gone, and then heard from again under the same run.
+    /// Declared dead, then heard from again under the same run.
     pub falsely_dead: u64,
     pub claims_refuted: u64,
     pub claims_ignored: u64,
@@ -143,9 +146,9 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disposition {
-    /// The sender is known by this run and says something new.
+    /// The sender is known under this run and the packet is new.
     Accepted,
-    /// Only its challenge may be looked at.
+    /// The sender is not verified; only its challenge may be answered.
     Unverified,
     Dropped,
 }
@@ -164,14 +167,14 @@
     probe_order: Vec<Name>,
     probe: Option<Probe>,
     next_probe: Time,
-    /// By its number, when it is repeated once, and when it has failed.
+    /// Probe number, time of the single retransmission, and time of failure.
     verifications: BTreeMap<Name, (u64, Option<Time>, Time)>,
     to_verify: VecDeque<Name>,
     relayed_probes: BTreeMap<u64, RelayedProbe>,
     health_score: u32,
-    /// When any member was last heard, and the last probe that failed: an answer that still comes to it was late
-    /// here rather than there.
+    /// When any member was last heard from.
     last_heard_any: Time,
+    /// The last probe that failed. An ack that still arrives for it shows that this gateway was slow, not the target.
     last_failed_probe: u64,
     updates: BTreeMap<Name, (MemberRecord, u32)>,
     next_gossip: Time,
@@ -185,12 +188,12 @@
     sync_cursor: Option<Name>,
     last_tick: Time,
     suspicion_paused_until: Time,
-    /// What is said of oneself with probes.
+    /// The list heartbeat that is sent with probes and acks.
     pub list: Option<Heartbeat>,
     leaving: bool,
-    /// Counts changes of who is there.
+    /// Incremented whenever a member becomes live or stops being live.
     pub version: u64,
-    /// When that last grew.
+    /// When a member last became live.
     pub last_growth: Time,
     live: usize,
     pub counts: Counts,
@@ -200,7 +203,7 @@
 impl Members {
     pub fn new(file: &settings::Fleet, run: u64, seed: u64, now: Time) -> Members {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let (secret, early) = (rng.random(), rng.random_range(0.0..1.0));
+        let (secret, jitter) = (rng.random(), rng.random_range(0.0..1.0));
         let config = file.members.clone();
         let period = Span::from_millis(config.probe_ms);
         Members {
@@ -215,7 +218,7 @@
             seq: 0,
             probe_order: Vec::new(),
             probe: None,
-            next_probe: now + period * early,
+            next_probe: now + period * jitter,
             verifications: BTreeMap::new(),
             to_verify: VecDeque::new(),
             relayed_probes: BTreeMap::new(),
@@ -223,8 +226,8 @@
             last_heard_any: now,
             last_failed_probe: 0,
             updates: BTreeMap::new(),
-            next_gossip: now + GOSSIP_INTERVAL * early,
-            next_reconnect: now + RECONNECT_INTERVAL * (1.0 + early),
+            next_gossip: now + GOSSIP_INTERVAL * jitter,
+            next_reconnect: now + RECONNECT_INTERVAL * (1.0 + jitter),
             next_join: now,
             join_backoff: JOIN_BACKOFF.0,
             refuted_claims: BTreeMap::new(),
@@ -245,17 +248,17 @@
         }
     }
 
-    /// Live ones apart from oneself; those under suspicion are among them.
+    /// Live members without this one; suspects are included.
     pub fn others(&self) -> impl Iterator<Item = (&Name, &Member)> {
-        self.members.iter().filter(|(_, k)| k.state <= MemberState::Suspect)
+        self.members.iter().filter(|(_, m)| m.state <= MemberState::Suspect)
     }
 
-    /// Live ones and oneself.
+    /// Live members and this one.
     pub fn names(&self) -> impl Iterator<Item = &str> {
         self.others().map(|(n, _)| &**n).chain([&*self.name])
     }
 
-    /// All that are live or were of late, oneself among them.
+    /// Members that are live or were until recently, and this one.
     pub fn recent_names(&self) -> impl Iterator<Item = &str> {
         self.members.keys().map(|n| &**n).chain([&*self.name])
     }
@@ -264,7 +267,7 @@
         self.members.get(name)
     }
 
-    /// How many are live, oneself among them.
+    /// Number of live members, including this one.
     pub fn live(&self) -> usize {
         self.live + 1
     }
@@ -273,7 +276,7 @@
         self.incarnation
     }
 
-    /// Another gateway was heard, or there is none to hear.
+    /// Another gateway was reached, or no seeds are configured.
     pub fn joined(&self) -> bool {
         self.live > 0 || self.seeds.is_empty()
     }
@@ -301,10 +304,10 @@
         }
     }
 
-    fn record(name: &Name, k: &Member, reported_by: &str) -> MemberRecord {
-        let (ip, port) = wire::ipv4_and_port(k.address);
-        let reported_by = if k.state == MemberState::Alive { "" } else { reported_by };
-        let (run, incarnation, state) = (k.run, k.incarnation, k.state as i32);
+    fn record(name: &Name, m: &Member, reported_by: &str) -> MemberRecord {
+        let (ip, port) = wire::ipv4_and_port(m.address);
+        let reported_by = if m.state == MemberState::Alive { "" } else { reported_by };
+        let (run, incarnation, state) = (m.run, m.incarnation, m.state as i32);
         MemberRecord {
             name: name.to_string(),
             ip,
@@ -316,22 +319,22 @@
         }
     }
 
-    /// Sends to a member that is known. One's own record goes first where it may not know the sender yet.
+    /// Sends to a known member. The sender's own record goes first if the member may not know this run yet.
     pub fn send(&mut self, to: &str, mut parts: Vec<Payload>) {
-        if let Some(k) = self.members.get(to) {
-            if !k.knows_our_run {
+        if let Some(m) = self.members.get(to) {
+            if !m.knows_our_run {
                 parts.insert(0, Payload::Update(self.self_record()));
             }
-            self.outbox.push_back(Envelope { to: k.address, to_run: k.run, parts });
+            self.outbox.push_back(Envelope { to: m.address, to_run: m.run, parts });
         }
     }
 
-    /// Same members, same incarnations: same number.
+    /// Equal for equal sets of members, runs and incarnations.
     fn digest(&self) -> u64 {
-        let one =
+        let hash =
             |name: &str, run: u64, inc: u64| xxh3_64_with_seed(name.as_bytes(), run ^ inc.rotate_left(32));
-        let others = self.others().map(|(n, k)| one(n, k.run, k.incarnation));
-        others.fold(one(&self.name, self.run, self.incarnation), |all, h| all ^ h)
+        let others = self.others().map(|(n, m)| hash(n, m.run, m.incarnation));
+        others.fold(hash(&self.name, self.run, self.incarnation), |digest, h| digest ^ h)
     }
 
     fn ping(&mut self) -> Ping {
@@ -344,32 +347,32 @@
         xxh3_64_with_seed(name.as_bytes(), self.secret ^ run ^ slot.rotate_left(40)).max(1)
     }
 
-    // What comes in.
+    // Incoming packets.
 
-    /// Looks at who sends before anything of it is believed.
+    /// Authenticates the sender's run before any part of the packet is processed.
     pub fn receive(&mut self, now: Time, from: SocketAddr, packet: &Packet) -> Disposition {
         let own_name = *packet.from == *self.name;
         if own_name || packet.to_run != self.run && packet.to_run != 0 {
             self.counts.name_conflicts += u64::from(own_name && packet.run != self.run);
             if !own_name {
-                // It knows an earlier start of ours: by this word it learns of the present one.
+                // It knows an earlier run of this gateway; the challenge tells it the present one.
                 self.challenge(now, from, packet);
             }
             return Disposition::Dropped;
         }
-        if let Some(k) = self.members.get_mut(&*packet.from)
-            && k.run == packet.run
+        if let Some(m) = self.members.get_mut(&*packet.from)
+            && m.run == packet.run
         {
             if packet.to_run == 0 {
-                // It does not know this gateway's run yet; what it says may be old.
+                // It does not know this gateway's run yet; the packet may be a replay.
                 self.challenge(now, from, packet);
                 return Disposition::Dropped;
             }
-            if !k.replay_window.accept(packet.number) {
+            if !m.replay_window.accept(packet.number) {
                 self.counts.replays += 1;
                 return Disposition::Dropped;
             }
-            k.knows_our_run = true;
+            m.knows_our_run = true;
             self.last_heard_any = now;
             self.mark_alive(now, &packet.from);
             return Disposition::Accepted;
@@ -390,21 +393,23 @@
             let good = |back| h.nonce == self.nonce(now, &packet.from, packet.run, back);
             good(0) || good(1)
         });
-        // Only who has heard this start of ours can name its run; a name that is known by another run has to prove more.
+        // Only a sender that has received a packet of this run can name it. A name that is known under another run
+        // also has to answer a challenge.
         let fresh = packet.to_run == self.run && (proven || !self.members.contains_key(&*packet.from));
         match own {
             Some(own) if fresh && own.run == packet.run => {
-                let sure = self.admit(now, own);
-                if let Some(k) = sure.then(|| self.members.get_mut(&*packet.from)).flatten() {
-                    _ = k.replay_window.accept(packet.number);
-                    k.knows_our_run = true;
+                let admitted = self.admit(now, own);
+                if let Some(m) = admitted.then(|| self.members.get_mut(&*packet.from)).flatten() {
+                    _ = m.replay_window.accept(packet.number);
+                    m.knows_our_run = true;
                     return Disposition::Accepted;
                 }
                 Disposition::Dropped
             }
             _ => {
-                let asks = packet.parts.iter().any(|p| matches!(p.payload, Some(Payload::Challenge(_))));
-                if asks {
+                let has_challenge =
+                    packet.parts.iter().any(|p| matches!(p.payload, Some(Payload::Challenge(_))));
+                if has_challenge {
                     return Disposition::Unverified;
                 }
                 self.challenge(now, from, packet);
@@ -425,22 +430,22 @@
         }
     }
 
-    /// A start that has proven to be live: it stands, whatever was said of the name before.
+    /// Adds or replaces a member whose run was proven to be live, whatever was reported of its name before.
     fn admit(&mut self, now: Time, record: &MemberRecord) -> bool {
         let Some(address) = record.address() else { return false };
         let before = self.members.get(&*record.name);
         if before.is_none() && self.members.len() >= self.config.most {
             return false;
         }
-        let least = before.map_or(1, |k| k.incarnation + 1);
-        let incarnation = record.incarnation.max(least);
+        let min_incarnation = before.map_or(1, |m| m.incarnation + 1);
+        let incarnation = record.incarnation.max(min_incarnation);
         let name: Name = Arc::from(record.name.as_str());
         self.set_state(now, &name, address, record.run, incarnation, MemberState::Alive);
         self.enqueue_update(&name, "");
         if incarnation > record.incarnation {
-            // It comes back under a number that is greater than all that was said of it.
-            let told = Self::record(&name, &self.members[&name], "");
-            self.send(&name, vec![Payload::Update(told)]);
+            // It rejoins with an incarnation greater than any that was gossiped about it.
+            let record = Self::record(&name, &self.members[&name], "");
+            self.send(&name, vec![Payload::Update(record)]);
         }
         true
     }
@@ -455,15 +460,15 @@
         state: MemberState,
     ) {
         let before = self.members.get(name);
-        let was_live = before.is_some_and(|k| k.state <= MemberState::Suspect);
-        let same = before.filter(|k| k.run == run);
-        if same.is_some_and(|k| k.state == MemberState::Dead) && state == MemberState::Alive {
+        let was_live = before.is_some_and(|m| m.state <= MemberState::Suspect);
+        let same = before.filter(|m| m.run == run);
+        if same.is_some_and(|m| m.state == MemberState::Dead) && state == MemberState::Alive {
             self.counts.falsely_dead += 1;
         }
-        let replay_window = same.map(|k| k.replay_window).unwrap_or_default();
-        let list = same.and_then(|k| k.list.clone());
-        let knows_our_run = same.is_some_and(|k| k.knows_our_run);
-        let known = Member {
+        let replay_window = same.map(|m| m.replay_window).unwrap_or_default();
+        let list = same.and_then(|m| m.list.clone());
+        let knows_our_run = same.is_some_and(|m| m.knows_our_run);
+        let member = Member {
             address,
             run,
             incarnation,
@@ -476,7 +481,7 @@
             knows_our_run,
             list,
         };
-        self.members.insert(name.clone(), known);
+        self.members.insert(name.clone(), member);
         let is_live = state <= MemberState::Suspect;
         if was_live != is_live {
             self.version += 1;
@@ -492,19 +497,19 @@
         }
     }
 
-    /// It was heard itself: whoever said otherwise was wrong.
+    /// The member was heard from directly, so all suspicions of it are refuted.
     fn mark_alive(&mut self, now: Time, name: &str) {
-        let Some(k) = self.members.get(name) else { return };
-        if k.state == MemberState::Left {
+        let Some(m) = self.members.get(name) else { return };
+        if m.state == MemberState::Left {
             return;
         }
-        let held: Vec<Name> = k.accusers.iter().cloned().collect();
-        if k.state == MemberState::Alive && held.is_empty() {
+        let accusers: Vec<Name> = m.accusers.iter().cloned().collect();
+        if m.state == MemberState::Alive && accusers.is_empty() {
             return;
         }
-        let (name, k): (Name, Member) = (Arc::from(name), k.clone());
-        self.record_refuted_claims(now, &held);
-        self.set_state(now, &name, k.address, k.run, k.incarnation, MemberState::Alive);
+        let (name, m): (Name, Member) = (Arc::from(name), m.clone());
+        self.record_refuted_claims(now, &accusers);
+        self.set_state(now, &name, m.address, m.run, m.incarnation, MemberState::Alive);
         self.verifications.remove(&name);
         self.to_verify.retain(|n| *n != name);
     }
@@ -512,8 +517,8 @@
     fn record_refuted_claims(&mut self, now: Time, accusers: &[Name]) {
         for accuser in accusers.iter().filter(|a| **a != self.name) {
             self.counts.claims_refuted += 1;
-            let strikes = self.refuted_claims.entry(accuser.clone()).or_insert((0, now));
-            *strikes = (strikes.0 + 1, now);
+            let count = self.refuted_claims.entry(accuser.clone()).or_insert((0, now));
+            *count = (count.0 + 1, now);
         }
         while self.refuted_claims.len() > self.config.most {
             self.refuted_claims.pop_first();
@@ -526,7 +531,7 @@
             .is_none_or(|(n, at)| *n < MAX_REFUTED_CLAIMS || now - *at > IGNORE_ACCUSER_FOR)
     }
 
-    /// One part of a packet whose sender is known by its run.
+    /// Handles one part of a packet whose sender was accepted.
     pub fn handle(&mut self, now: Time, from: &Name, payload: &Payload) {
         match payload {
             Payload::Hello(h) => self.handle_hello(now, from, h),
@@ -546,17 +551,17 @@
                 }
             }
             Payload::Leave(_) => {
-                if let Some(k) = self.members.get(from).cloned() {
-                    self.set_state(now, from, k.address, k.run, k.incarnation, MemberState::Left);
-                    let by = from.clone();
-                    self.enqueue_update(from, &by);
+                if let Some(m) = self.members.get(from).cloned() {
+                    self.set_state(now, from, m.address, m.run, m.incarnation, MemberState::Left);
+                    let reported_by = from.clone();
+                    self.enqueue_update(from, &reported_by);
                 }
             }
             _ => {}
         }
     }
 
-    /// A challenge by one that does not know this start yet.
+    /// Answers the challenge of a gateway that does not know this run yet.
     pub fn answer_challenge(&mut self, to: SocketAddr, run: u64, nonce: u64, joining: bool) {
         let hello = Hello { record: Some(self.self_record()), nonce, joining };
         self.outbox.push_back(Envelope { to, to_run: run, parts: vec![Payload::Hello(hello)] });
@@ -570,7 +575,7 @@
         if !hello.joining {
             return;
         }
-        // Who answers is told first, so that the joiner takes what follows.
+        // The own record goes first, so that the joining member accepts the following packets.
         let me = Hello { record: Some(self.self_record()), nonce: 0, joining: false };
         self.send(from, vec![Payload::Hello(me)]);
         let pages = (self.members.len() / 24 + 1).min(self.config.most / 24 + 1);
@@ -582,18 +587,18 @@
         }
     }
 
-    /// A part of all that is known, the next one each time.
+    /// Sends one datagram of member records, starting after the last one that was sent.
     fn send_sync_page(&mut self, to: &Name) {
         let mut parts = Vec::new();
         let mut room = wire::MAX_PAYLOAD_BYTES;
         let start = self.sync_cursor.clone();
         let behind = self.members.iter().filter(|(n, _)| start.as_ref().is_none_or(|s| *n > s));
         let before = self.members.iter().filter(|(n, _)| start.as_ref().is_some_and(|s| *n <= s));
-        for (name, k) in behind.chain(before) {
+        for (name, m) in behind.chain(before) {
             if name == to {
                 continue;
             }
-            let record = Self::record(name, k, &self.name);
+            let record = Self::record(name, m, &self.name);
             let size = record.encoded_len() + 6;
             if size > room || parts.len() >= 40 {
                 break;
@@ -607,7 +612,7 @@
         }
     }
 
-    /// The other knows something else: a part of what is known here goes there, within its bytes.
+    /// Anti-entropy: if the digests differ, sends a datagram of records within the gossip budget.
     fn sync_if_diverged(&mut self, now: Time, from: &Name, digest: u64) {
         if digest != self.digest() && self.gossip_budget.take(now, wire::MAX_PAYLOAD_BYTES as f64) {
             self.send_sync_page(from);
@@ -615,25 +620,25 @@
     }
 
     fn update_from_ping(&mut self, now: Time, from: &Name, ping: &Ping) {
-        if let Some(k) = self.members.get_mut(from) {
-            k.list = ping.list.clone().map(|list| (now, list));
-            if ping.incarnation > k.incarnation {
-                k.incarnation = ping.incarnation;
+        if let Some(m) = self.members.get_mut(from) {
+            m.list = ping.list.clone().map(|list| (now, list));
+            if ping.incarnation > m.incarnation {
+                m.incarnation = ping.incarnation;
             }
         }
     }
 
     fn handle_ack(&mut self, now: Time, from: &Name, ack: &Ping) {
-        if let Some(helping) = self.relayed_probes.get_mut(&ack.seq)
-            && helping.target == *from
-            && !helping.answered
+        if let Some(relayed) = self.relayed_probes.get_mut(&ack.seq)
+            && relayed.target == *from
+            && !relayed.answered
         {
-            helping.answered = true;
-            let (to, seq) = (helping.requester.clone(), helping.seq);
-            let mut passed = ack.clone();
-            // What the other says of its list is not the helper's.
-            (passed.seq, passed.list) = (seq, None);
-            self.send(&to, vec![Payload::Ack(passed)]);
+            relayed.answered = true;
+            let (to, seq) = (relayed.requester.clone(), relayed.seq);
+            let mut forwarded = ack.clone();
+            // The list heartbeat in the ack describes the target's list, not the helper's.
+            (forwarded.seq, forwarded.list) = (seq, None);
+            self.send(&to, vec![Payload::Ack(forwarded)]);
         }
         if self.verifications.get(from).is_some_and(|(seq, ..)| *seq == ack.seq) {
             self.verifications.remove(from);
@@ -648,29 +653,29 @@
                 self.update_from_ping(now, from, ack);
                 self.sync_if_diverged(now, from, ack.members_digest);
             }
-            // Through another it lives, too.
+            // An ack forwarded by a helper counts as well.
             self.mark_alive(now, &target);
             self.probe = None;
             self.health_score = self.health_score.saturating_sub(1);
         }
     }
 
-    fn handle_ping_req(&mut self, now: Time, from: &Name, wanted: &PingReq) {
-        if self.relayed_probes.len() >= MAX_RELAYED_PROBES || !self.members.contains_key(&*wanted.name) {
+    fn handle_ping_req(&mut self, now: Time, from: &Name, request: &PingReq) {
+        if self.relayed_probes.len() >= MAX_RELAYED_PROBES || !self.members.contains_key(&*request.name) {
             return;
         }
         self.seq += 1;
-        let target: Name = Arc::from(wanted.name.as_str());
+        let target: Name = Arc::from(request.name.as_str());
         let nack_at = now + Span::from_millis(self.config.answer_ms) * 0.8;
         let seq = self.seq;
-        let helping = RelayedProbe {
+        let relayed = RelayedProbe {
             target: target.clone(),
             requester: from.clone(),
-            seq: wanted.seq,
+            seq: request.seq,
             nack_at,
             answered: false,
         };
-        self.relayed_probes.insert(seq, helping);
+        self.relayed_probes.insert(seq, relayed);
         self.send_ping(&target, seq);
     }
 
@@ -680,7 +685,7 @@
         self.send_with_updates(to, Payload::Ping(ping));
     }
 
-    /// What is said of one, by one that need not tell the truth.
+    /// Handles an update about any member; its sender may be lying.
     fn handle_update(&mut self, now: Time, from: &Name, r: &MemberRecord) {
         let Ok(state) = MemberState::try_from(r.state) else { return };
         if r.name == *self.name {
@@ -688,7 +693,7 @@
         }
         let Some(address) = r.address() else { return };
         let name: Name = Arc::from(r.name.as_str());
-        let Some(k) = self.members.get(&name) else {
+        let Some(m) = self.members.get(&name) else {
             if state == MemberState::Alive && self.members.len() < self.config.most {
                 self.set_state(now, &name, address, r.run, r.incarnation, MemberState::Alive);
                 self.enqueue_update(&name, "");
@@ -697,20 +702,20 @@
         };
         match state {
             MemberState::Alive => {
-                let newer = r.incarnation > k.incarnation;
-                // One that said itself that it leaves comes back by a new start alone.
-                let back = k.state != MemberState::Left || k.run != r.run;
-                if newer && back {
-                    let known = k.run == r.run && k.state == MemberState::Alive && k.address == address;
-                    if known && k.accusers.is_empty() {
+                let newer = r.incarnation > m.incarnation;
+                // A member that has left by itself comes back only with a new run.
+                let may_return = m.state != MemberState::Left || m.run != r.run;
+                if newer && may_return {
+                    let unchanged = m.run == r.run && m.state == MemberState::Alive && m.address == address;
+                    if unchanged && m.accusers.is_empty() {
                         let name = name.clone();
-                        if let Some(k) = self.members.get_mut(&name) {
-                            k.incarnation = r.incarnation;
+                        if let Some(m) = self.members.get_mut(&name) {
+                            m.incarnation = r.incarnation;
                         }
                     } else {
-                        let accusers: Vec<Name> = k.accusers.iter().cloned().collect();
-                        // It has answered them; only who saw nothing of its own was wrong.
-                        if k.run == r.run {
+                        let accusers: Vec<Name> = m.accusers.iter().cloned().collect();
+                        // The member has refuted its accusers, so each of them gets a refuted claim.
+                        if m.run == r.run {
                             self.record_refuted_claims(now, &accusers);
                         }
                         self.set_state(now, &name, address, r.run, r.incarnation, MemberState::Alive);
@@ -720,16 +725,16 @@
             }
             MemberState::Suspect | MemberState::Dead | MemberState::Left => {
                 let accuser: &str = if r.reported_by.is_empty() { from } else { &r.reported_by };
-                let of_now = r.run == k.run && r.incarnation >= k.incarnation;
-                if !of_now || k.state >= MemberState::Dead {
+                let current = r.run == m.run && r.incarnation >= m.incarnation;
+                if !current || m.state >= MemberState::Dead {
                     return;
                 }
                 if !self.is_trusted(now, accuser) || !self.is_trusted(now, from) {
                     self.counts.claims_ignored += 1;
                     return;
                 }
-                let by: Name = Arc::from(accuser);
-                self.handle_claim(now, &name, by);
+                let accuser: Name = Arc::from(accuser);
+                self.handle_claim(now, &name, accuser);
             }
         }
     }
@@ -743,9 +748,9 @@
         }
         self.counts.name_conflicts +=
             u64::from(other && state == MemberState::Alive && r.incarnation > self.incarnation);
-        // Raised by who admitted it, or refuted.
-        let told = state == MemberState::Alive && !other;
-        self.incarnation = if told { r.incarnation } else { r.incarnation + 1 };
+        // Either adopts the incarnation that an admitting member assigned, or refutes the claim with a greater one.
+        let assigned = state == MemberState::Alive && !other;
+        self.incarnation = if assigned { r.incarnation } else { r.incarnation + 1 };
         if state == MemberState::Suspect && !other {
             self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
         }
@@ -754,19 +759,19 @@
         self.next_gossip = self.next_gossip.min(now + GOSSIP_INTERVAL);
     }
 
-    fn handle_claim(&mut self, now: Time, name: &Name, by: Name) {
-        let least = self.min_suspicion_s();
-        let Some(k) = self.members.get_mut(name) else { return };
-        let known = k.accusers.contains(&by);
-        if k.accusers.len() < MAX_ACCUSERS {
-            k.accusers.insert(by);
-        }
-        if k.state == MemberState::Suspect {
-            // Borne out already by a probe of one's own: another confirmation shortens the wait.
-            if !k.final_probe_sent {
-                k.deadline = Some(Self::suspicion_deadline(least, k));
+    fn handle_claim(&mut self, now: Time, name: &Name, accuser: Name) {
+        let min_s = self.min_suspicion_s();
+        let Some(m) = self.members.get_mut(name) else { return };
+        let repeated = m.accusers.contains(&accuser);
+        if m.accusers.len() < MAX_ACCUSERS {
+            m.accusers.insert(accuser);
+        }
+        if m.state == MemberState::Suspect {
+            // An own probe has failed already: another confirmation shortens the timeout.
+            if !m.final_probe_sent {
+                m.deadline = Some(Self::suspicion_deadline(min_s, m));
             }
-            if !known && k.accusers.len() <= SUSPICION_CONFIRMATIONS + 1 {
+            if !repeated && m.accusers.len() <= SUSPICION_CONFIRMATIONS + 1 {
                 let own = self.name.clone();
                 self.enqueue_update(name, &own);
             }
@@ -776,72 +781,73 @@
         }
     }
 
-    /// Claims become probes of one's own, a bounded number at once.
+    /// Starts direct probes that verify queued claims, a bounded number at a time.
     fn start_verifications(&mut self, now: Time) {
         while self.verifications.len() < MAX_VERIFICATIONS {
             let Some(name) = self.to_verify.pop_front() else { return };
-            if self.members.get(&name).is_some_and(|k| k.state == MemberState::Alive) {
+            if self.members.get(&name).is_some_and(|m| m.state == MemberState::Alive) {
                 self.seq += 1;
-                let answer = Span::from_millis(self.config.answer_ms);
-                self.verifications.insert(name.clone(), (self.seq, Some(now + answer), now + answer * 2.0));
+                let timeout = Span::from_millis(self.config.answer_ms);
+                self.verifications.insert(name.clone(), (self.seq, Some(now + timeout), now + timeout * 2.0));
                 let seq = self.seq;
                 self.send_verification(&name, seq);
             }
         }
     }
 
-    /// The suspect hears of the claim with the probe, so that it can answer to all.
+    /// Sends the claim along with the probe, so that the suspect can refute it to everyone.
     fn send_verification(&mut self, name: &Name, seq: u64) {
-        let Some(k) = self.members.get(name) else { return };
-        let mut claim = Self::record(name, k, "");
+        let Some(m) = self.members.get(name) else { return };
+        let mut claim = Self::record(name, m, "");
         (claim.state, claim.reported_by) = (MemberState::Suspect as i32, self.name.to_string());
         let mut ping = self.ping();
         ping.seq = seq;
         self.send(name, vec![Payload::Update(claim), Payload::Ping(ping)]);
     }
 
-    /// The shortest suspicion in seconds: news need the logarithm of the members to come round (Lifeguard, section 3.4).
+    /// The minimum suspicion timeout in seconds; updates need time logarithmic in the number of members to spread
+    /// (Lifeguard, section 3.4).
     fn min_suspicion_s(&self) -> f64 {
         self.config.suspect_ms as f64 / 1e3 * (self.live() as f64).log10().max(1.0)
     }
 
-    fn suspicion_deadline(least: f64, k: &Member) -> Time {
-        let most = least * SUSPICION_MAX_MULT;
-        let others = k.accusers.len().saturating_sub(1) as f64;
-        let part = (others + 1.0).ln() / (SUSPICION_CONFIRMATIONS as f64 + 1.0).ln();
-        k.state_since + Span::from_secs_f64((most - (most - least) * part).max(least))
+    fn suspicion_deadline(min_s: f64, m: &Member) -> Time {
+        let max_s = min_s * SUSPICION_MAX_MULT;
+        let confirmations = m.accusers.len().saturating_sub(1) as f64;
+        let fraction = (confirmations + 1.0).ln() / (SUSPICION_CONFIRMATIONS as f64 + 1.0).ln();
+        m.state_since + Span::from_secs_f64((max_s - (max_s - min_s) * fraction).max(min_s))
     }
 
-    /// A probe of one's own has failed.
+    /// Records that an own probe of the member has failed.
     fn mark_suspect(&mut self, now: Time, name: &Name) {
         if now < self.suspicion_paused_until {
             return;
         }
-        let (own, least) = (self.name.clone(), self.min_suspicion_s());
-        let Some(k) = self.members.get_mut(name).filter(|k| k.state <= MemberState::Suspect) else { return };
-        k.accusers.insert(own.clone());
-        if k.state == MemberState::Alive {
+        let (own, min_s) = (self.name.clone(), self.min_suspicion_s());
+        let Some(m) = self.members.get_mut(name).filter(|m| m.state <= MemberState::Suspect) else { return };
+        m.accusers.insert(own.clone());
+        if m.state == MemberState::Alive {
             self.counts.suspected += 1;
-            k.state = MemberState::Suspect;
-            k.state_since = now;
+            m.state = MemberState::Suspect;
+            m.state_since = now;
         }
-        if !k.final_probe_sent {
-            k.deadline = Some(Self::suspicion_deadline(least, k));
+        if !m.final_probe_sent {
+            m.deadline = Some(Self::suspicion_deadline(min_s, m));
         }
         self.enqueue_update(name, &own);
     }
 
-    /// Queues what is known of one for the others.
+    /// Queues the record of a member for gossip.
     fn enqueue_update(&mut self, name: &Name, by: &str) {
-        if let Some(k) = self.members.get(name) {
-            let record = Self::record(name, k, by);
+        if let Some(m) = self.members.get(name) {
+            let record = Self::record(name, m, by);
             self.updates.insert(name.clone(), (record, 0));
         }
     }
 
-    /// Takes news for one datagram, those told least first.
+    /// Takes updates for one datagram, the least often transmitted first.
     fn take_updates(&mut self, to: &Name, mut room: usize) -> Vec<Payload> {
-        let often = (RETRANSMIT_MULT * f64::from(self.live() as u32 + 1).log2()).ceil() as u32;
+        let max_transmissions = (RETRANSMIT_MULT * f64::from(self.live() as u32 + 1).log2()).ceil() as u32;
         let mut order: Vec<(u32, Name)> =
             self.updates.iter().map(|(n, (_, sent))| (*sent, n.clone())).collect();
         order.sort_unstable();
@@ -858,7 +864,7 @@
             room -= size;
             *sent += 1;
             parts.push(Payload::Update(record.clone()));
-            if *sent >= often {
+            if *sent >= max_transmissions {
                 self.updates.remove(&name);
             }
         }
@@ -871,7 +877,7 @@
         self.send(to, parts);
     }
 
-    // What time brings.
+    // Timers.
 
     pub fn next_wake(&self) -> Time {
         if self.leaving {
@@ -887,13 +893,16 @@
         if self.wants_to_join() && !self.seeds.is_empty() {
             at = at.min(self.next_join);
         }
-        let checks = self.verifications.values().map(|(_, again, until)| again.unwrap_or(*until));
-        let helps = self.relayed_probes.values().map(|h| h.nack_at);
-        let ends = self.members.values().filter_map(|k| k.deadline);
-        checks.chain(helps).chain(ends).fold(at, Time::min)
+        let verifications = self
+            .verifications
+            .values()
+            .map(|(_, retransmit_at, fails_at)| retransmit_at.unwrap_or(*fails_at));
+        let nacks = self.relayed_probes.values().map(|h| h.nack_at);
+        let suspicions = self.members.values().filter_map(|m| m.deadline);
+        verifications.chain(nacks).chain(suspicions).fold(at, Time::min)
     }
 
-    /// The host comes now, and was to come at `due`.
+    /// Called before every input with the time at which the next call was due.
     pub fn detect_pause(&mut self, now: Time, due: Time) {
         if now - due > PAUSE_THRESHOLD {
             self.handle_pause(now, now - due);
@@ -906,10 +915,10 @@
             return;
         }
         if self.wants_to_join() && now >= self.next_join {
-            // Decorrelated: between the first wait and three times the last one.
-            let (least, most) = (JOIN_BACKOFF.0.as_secs_f64(), JOIN_BACKOFF.1.as_secs_f64());
+            // Decorrelated jitter: between the initial delay and three times the last one.
+            let (min_s, max_s) = (JOIN_BACKOFF.0.as_secs_f64(), JOIN_BACKOFF.1.as_secs_f64());
             let wait =
-                self.rng.random_range(least..=(self.join_backoff.as_secs_f64() * 3.0).max(least)).min(most);
+                self.rng.random_range(min_s..=(self.join_backoff.as_secs_f64() * 3.0).max(min_s)).min(max_s);
             self.join_backoff = Span::from_secs_f64(wait);
             self.next_join = now + self.join_backoff;
             let hello = Hello { record: Some(self.self_record()), nonce: 0, joining: true };
@@ -931,27 +940,28 @@
         }
     }
 
-    /// Guards others from a process that was stopped: what it did not hear while it stood says nothing of them.
+    /// After the process was stopped, pending probes say nothing about other members: they are discarded, and
+    /// suspicion timeouts are extended.
     fn handle_pause(&mut self, now: Time, gap: Span) {
         self.probe = None;
         self.verifications.clear();
         self.relayed_probes.clear();
         self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
         self.suspicion_paused_until = now + Span::from_millis(self.config.probe_ms) * 2.0;
-        for k in self.members.values_mut() {
-            if let Some(at) = &mut k.deadline {
+        for m in self.members.values_mut() {
+            if let Some(at) = &mut m.deadline {
                 *at += gap + Span::from_millis(self.config.probe_ms) * 2.0;
             }
         }
     }
 
     fn tick_verifications(&mut self, now: Time) {
-        let due = |(_, again, until): &(u64, Option<Time>, Time)| {
-            again.is_some_and(|at| at <= now) || *until <= now
+        let is_due = |(_, retransmit_at, fails_at): &(u64, Option<Time>, Time)| {
+            retransmit_at.is_some_and(|at| at <= now) || *fails_at <= now
         };
-        let over: Vec<Name> =
-            self.verifications.iter().filter(|(_, c)| due(c)).map(|(n, _)| n.clone()).collect();
-        for name in over {
+        let due: Vec<Name> =
+            self.verifications.iter().filter(|(_, c)| is_due(c)).map(|(n, _)| n.clone()).collect();
+        for name in due {
             let Some(check) = self.verifications.get_mut(&name) else { continue };
             if check.2 > now {
                 check.1 = None;
@@ -960,13 +970,14 @@
             } else {
                 self.verifications.remove(&name);
                 self.mark_suspect(now, &name);
-                // Where many die at once one that is gone leads to others; the first answer ends the row.
-                let fit = |n: &Name, k: &Member| {
-                    k.state == MemberState::Alive
+                // When many members fail at once, one failure leads on to the next check; the first ack ends the
+                // chain.
+                let eligible = |n: &Name, m: &Member| {
+                    m.state == MemberState::Alive
                         && !self.verifications.contains_key(n)
                         && !self.to_verify.contains(n)
                 };
-                let others = self.members.iter().filter(|(n, k)| fit(n, k)).map(|(n, _)| n.clone());
+                let others = self.members.iter().filter(|(n, m)| eligible(n, m)).map(|(n, _)| n.clone());
                 if let Some(next) = others.choose(&mut self.rng) {
                     self.to_verify.push_back(next);
                 }
@@ -976,9 +987,9 @@
     }
 
     fn tick_relayed_probes(&mut self, now: Time) {
-        let over: Vec<u64> =
+        let due: Vec<u64> =
             self.relayed_probes.iter().filter(|(_, h)| h.nack_at <= now).map(|(s, _)| *s).collect();
-        for seq in over {
+        for seq in due {
             if let Some(h) = self.relayed_probes.remove(&seq).filter(|h| !h.answered) {
                 self.send(&h.requester, vec![Payload::Nack(h.seq)]);
             }
@@ -986,20 +997,21 @@
     }
 
     fn tick_probe(&mut self, now: Time) {
-        let slower = f64::from(1 + self.health_score);
+        let slowdown = f64::from(1 + self.health_score);
         if let Some(probe) = &mut self.probe {
             if !probe.indirect_sent && now >= probe.indirect_at && now < probe.fails_at {
                 probe.indirect_sent = true;
                 let (seq, target) = (probe.seq, probe.target.clone());
-                let fit = self.members.iter().filter(|(n, k)| k.state == MemberState::Alive && **n != target);
+                let eligible =
+                    self.members.iter().filter(|(n, m)| m.state == MemberState::Alive && **n != target);
                 let helpers: Vec<Name> =
-                    fit.map(|(n, _)| n.clone()).choose_multiple(&mut self.rng, INDIRECT_PROBES);
+                    eligible.map(|(n, _)| n.clone()).choose_multiple(&mut self.rng, INDIRECT_PROBES);
                 if let Some(probe) = &mut self.probe {
                     probe.helpers = helpers.clone();
                 }
-                let ask = Payload::PingReq(PingReq { seq, name: target.to_string() });
+                let request = Payload::PingReq(PingReq { seq, name: target.to_string() });
                 for helper in helpers {
-                    self.send(&helper, vec![ask.clone()]);
+                    self.send(&helper, vec![request.clone()]);
                 }
             }
             if now >= self.probe.as_ref().map_or(now, |p| p.fails_at)
@@ -1007,9 +1019,8 @@
             {
                 self.counts.probes_failed += 1;
                 self.last_failed_probe = probe.seq;
-                // Helpers that did not even say that they are there speak against one's own state.
-                // Helpers that did not even say that they are there speak against one's own state, unless others answer:
-                // then these are looked at next, since where many die at once their helpers have died, too.
+                // Helpers that sent not even a nack point to a local problem, unless other members answer. Then these
+                // helpers are checked next, since they may have failed together with the target.
                 if now - self.last_heard_any > Span::from_millis(self.config.probe_ms) * 2.0 {
                     self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
                 }
@@ -1025,23 +1036,23 @@
         if now < self.next_probe {
             return;
         }
-        let period = Span::from_millis(self.config.probe_ms) * slower;
+        let period = Span::from_millis(self.config.probe_ms) * slowdown;
         self.next_probe = now + period;
         if self.probe.is_some() {
             return;
         }
         while let Some(name) = self.next_probe_target() {
-            // One under suspicion is asked once more at its end; till then others are looked at.
-            if self.members.get(&name).is_none_or(|k| k.state != MemberState::Alive) {
+            // A suspect is probed once more when its timeout expires; until then other members are probed.
+            if self.members.get(&name).is_none_or(|m| m.state != MemberState::Alive) {
                 continue;
             }
             self.counts.probes += 1;
             self.seq += 1;
-            let answer = Span::from_millis(self.config.answer_ms) * slower;
+            let timeout = Span::from_millis(self.config.answer_ms) * slowdown;
             self.probe = Some(Probe {
                 seq: self.seq,
                 target: name.clone(),
-                indirect_at: now + answer,
+                indirect_at: now + timeout,
                 fails_at: now + period * 0.95,
                 helpers: Vec::new(),
                 indirect_sent: false,
@@ -1052,36 +1063,39 @@
         }
     }
 
-    /// Each one once in a round, in an order drawn anew each time (SWIM, section 4.3).
+    /// Probes each member once per round, in an order that is shuffled for each round (SWIM, section 4.3).
     fn next_probe_target(&mut self) -> Option<Name> {
         if self.probe_order.is_empty() {
-            let fit = |k: &Member| k.state == MemberState::Alive;
-            self.probe_order = self.members.iter().filter(|(_, k)| fit(k)).map(|(n, _)| n.clone()).collect();
+            let eligible = |m: &Member| m.state == MemberState::Alive;
+            self.probe_order =
+                self.members.iter().filter(|(_, m)| eligible(m)).map(|(n, _)| n.clone()).collect();
             self.probe_order.shuffle(&mut self.rng);
         }
         self.probe_order.pop()
     }
 
     fn expire_suspicions(&mut self, now: Time) {
-        let over = |k: &Member| k.state == MemberState::Suspect && k.deadline.is_some_and(|at| at <= now);
-        let gone: Vec<Name> = self.members.iter().filter(|(_, k)| over(k)).map(|(n, _)| n.clone()).collect();
-        for name in gone {
+        let expired = |m: &Member| m.state == MemberState::Suspect && m.deadline.is_some_and(|at| at <= now);
+        let expired_names: Vec<Name> =
+            self.members.iter().filter(|(_, m)| expired(m)).map(|(n, _)| n.clone()).collect();
+        for name in expired_names {
             let wait = Span::from_millis(self.config.answer_ms) * 2.0 * f64::from(1 + self.health_score);
-            if let Some(k) = self.members.get_mut(&name).filter(|k| !k.final_probe_sent) {
-                // A last word from here: on a starved machine an answer is late, and any sign of it is enough.
-                (k.final_probe_sent, k.deadline) = (true, Some(now + wait));
+            if let Some(m) = self.members.get_mut(&name).filter(|m| !m.final_probe_sent) {
+                // Final probe: acks are late on a starved machine, and any packet from the member refutes the
+                // suspicion.
+                (m.final_probe_sent, m.deadline) = (true, Some(now + wait));
                 self.seq += 1;
                 let seq = self.seq;
                 self.send_verification(&name, seq);
                 continue;
             }
             self.counts.declared_dead += 1;
-            let k = self.members[&name].clone();
-            self.set_state(now, &name, k.address, k.run, k.incarnation, MemberState::Dead);
+            let m = self.members[&name].clone();
+            self.set_state(now, &name, m.address, m.run, m.incarnation, MemberState::Dead);
             let own = self.name.clone();
             self.enqueue_update(&name, &own);
         }
-        self.members.retain(|_, k| k.state <= MemberState::Suspect || now - k.state_since < DEAD_RETENTION);
+        self.members.retain(|_, m| m.state <= MemberState::Suspect || now - m.state_since < DEAD_RETENTION);
     }
 
     fn gossip(&mut self, now: Time) {
@@ -1089,32 +1103,33 @@
             if self.updates.is_empty() || !self.gossip_budget.take(now, wire::MAX_PAYLOAD_BYTES as f64) {
                 return;
             }
-            let live = self.members.iter().filter(|(_, k)| k.state <= MemberState::Suspect);
+            let live = self.members.iter().filter(|(_, m)| m.state <= MemberState::Suspect);
             let Some(to) = live.map(|(n, _)| n.clone()).choose(&mut self.rng) else { return };
             let parts = self.take_updates(&to, wire::MAX_PAYLOAD_BYTES - 100);
             self.send(&to, parts);
         }
     }
 
-    /// Two halves that hold each other to be gone find together again by this, and so does one that lost all.
+    /// Contacts a dead member and an unreached seed. Two partitions that have declared each other dead, or a member
+    /// that has lost all others, rejoin by it.
     fn reconnect(&mut self) {
-        let gone = self.members.iter().filter(|(_, k)| k.state == MemberState::Dead);
-        if let Some(name) = gone.map(|(n, _)| n.clone()).choose(&mut self.rng) {
+        let dead = self.members.iter().filter(|(_, m)| m.state == MemberState::Dead);
+        if let Some(name) = dead.map(|(n, _)| n.clone()).choose(&mut self.rng) {
             let claim = Self::record(&name, &self.members[&name], &self.name);
             self.seq += 1;
             let mut ping = self.ping();
             ping.seq = self.seq;
             self.send(&name, vec![Payload::Update(claim), Payload::Ping(ping)]);
         }
-        let known = |seed: &SocketAddr| self.others().any(|(_, k)| k.address == *seed);
-        let lost: Vec<SocketAddr> = self.seeds.iter().copied().filter(|s| !known(s)).collect();
-        if let Some(to) = lost.into_iter().choose(&mut self.rng) {
+        let reached = |seed: &SocketAddr| self.others().any(|(_, m)| m.address == *seed);
+        let unreached: Vec<SocketAddr> = self.seeds.iter().copied().filter(|s| !reached(s)).collect();
+        if let Some(to) = unreached.into_iter().choose(&mut self.rng) {
             let hello = Hello { record: Some(self.self_record()), nonce: 0, joining: true };
             self.outbox.push_back(Envelope { to, to_run: 0, parts: vec![Payload::Hello(hello)] });
         }
     }
 
-    /// Says so to some; they pass it on, and the others find it out by a probe.
+    /// Announces the departure to some members; they gossip it, and the others find out by probes.
     pub fn leave(&mut self) {
         self.leaving = true;
         let live: Vec<Name> = self.others().map(|(n, _)| n.clone()).collect();
@@ -1124,26 +1139,26 @@
         }
     }
 
-    /// The rules that have to hold after every step; for tests.
+    /// Checks the invariants that hold after every step; for tests.
     pub fn check_invariants(&self) -> Result<(), String> {
         let live = self.others().count();
         if live != self.live {
-            return Err(format!("{} counted as live, {live} are", self.live));
+            return Err(format!("live count is {}, but {live} members are live", self.live));
         }
         if self.members.len() > self.config.most || self.members.contains_key(&self.name) {
-            return Err("too many, or itself among the others".to_owned());
+            return Err("member table is over its limit or contains this gateway".to_owned());
         }
-        for (name, k) in &self.members {
-            let own = k.accusers.contains(&self.name);
-            if k.state == MemberState::Suspect && (!own || k.deadline.is_none()) {
-                return Err(format!("{name} is suspected without a failed probe of one's own"));
+        for (name, m) in &self.members {
+            let own_probe_failed = m.accusers.contains(&self.name);
+            if m.state == MemberState::Suspect && (!own_probe_failed || m.deadline.is_none()) {
+                return Err(format!("{name} is suspect without a failed probe of this gateway"));
             }
-            if k.accusers.len() > MAX_ACCUSERS + 1 {
-                return Err(format!("{name} has {} accusers", k.accusers.len()));
+            if m.accusers.len() > MAX_ACCUSERS + 1 {
+                return Err(format!("{name} has {} accusers", m.accusers.len()));
             }
         }
         if self.verifications.len() > MAX_VERIFICATIONS || self.relayed_probes.len() > MAX_RELAYED_PROBES {
-            return Err("more checks or helps than their bound".to_owned());
+            return Err("more verifications or relayed probes than allowed".to_owned());
         }
         Ok(())
     }
--- a/fleet/src/relay.rs
+++ b/fleet/src/relay.rs
@@ -1,10 +1,13 @@
-//! How the list comes to every gateway while a few ask for it: who asks, whom to follow, what to fetch, and what is
-//! believed of it. Must never pass on an event after a gap, nor hold old news for fresh: ages only grow on the way.
+//! Relays the list of caches from discovery to every gateway while only a few gateways subscribe to discovery.
 //!
-//! Members stand in one order by rendezvous hashing. The first ones ask the bulletin; each other one follows a member
-//! that is about `children` times nearer to the front, so that the depth grows with the logarithm of the members, and two
-//! more that only tell numbers: what the first one keeps back or makes up shows by their numbers and digests.
-//! Every probe carries number, digest and age as well, so that each gateway compares itself with another one a second.
+//! Invariants: no event is passed on after a gap in versions, and old data never passes for fresh, since ages only
+//! grow from hop to hop.
+//!
+//! Members are in one order by rendezvous hashing. The first `askers` members subscribe to discovery. Every other
+//! member has three upstreams: the first one is about `children` times nearer to the front, so that the depth grows
+//! with the logarithm of the number of members, and sends events; the two others send heartbeats only, whose versions
+//! and digests reveal events that the first one withholds or invents. Every probe carries version, digest and age as
+//! well, so that each gateway compares its list with one other member per second.
 
 use crate::list::List;
 use crate::members::{Members, Name};
@@ -17,52 +20,56 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// One tells events, the others numbers: with any two of them gone at once the third one still does.
+/// One upstream sends events, the others heartbeats only: with any two of them gone at once the third one still
+/// reports new versions.
 const UPSTREAMS: usize = 3;
-/// Followers are told this often that nothing is new, and again so long after something was.
+/// Subscribers get a heartbeat this often when there is nothing new.
 const HEARTBEAT_INTERVAL: Span = Span::from_millis(300);
+/// A heartbeat with a new version is repeated after these delays, since datagrams get lost.
 const RESEND_DELAYS: [Span; 2] = [Span::from_millis(60), Span::from_millis(200)];
-/// A source that says nothing for so long is left.
+/// An upstream that is silent for this long is dropped.
 const UPSTREAM_TIMEOUT: Span = Span::from_millis(1_000);
-/// One that was left for that is not counted among those ahead for so long.
+/// For this long after it fell silent, an upstream does not count among the members ahead in the order.
 const SILENT_RETENTION: Span = Span::from_millis(10_000);
-/// Followers say this often that they still follow, and are forgotten after the other span.
+/// Subscriptions are renewed this often and expire after `SUBSCRIPTION_TTL`.
 const SUBSCRIBE_INTERVAL: Span = Span::from_millis(1_000);
 const SUBSCRIPTION_TTL: Span = Span::from_millis(3_500);
-/// The first answer to a new follower is due by then.
+/// A new upstream has to send its first heartbeat within this time.
 const FIRST_HEARTBEAT_TIMEOUT: Span = Span::from_millis(300);
-/// Events that fit into one datagram with the pulse go with it.
+/// Events up to this size are sent within the heartbeat's datagram.
 const MAX_INLINE_BYTES: usize = 1_000;
 const CHUNK_BYTES: usize = 1_000;
 const CHUNK_WINDOW: u32 = 24;
 const FETCH_RETRY: Span = Span::from_millis(80);
 const MAX_FETCH_TRIES: u32 = 6;
-/// The events that a number tells of may still be on their way from the first source.
+/// Delay before events are fetched: the first upstream may already be sending them.
 const FETCH_DELAY: Span = Span::from_millis(20);
-/// A source that failed, was full, or told what did not hold.
+/// How long a member is avoided as an upstream after it failed or refused the subscription.
 const AVOID_FAILED: Span = Span::from_millis(5_000);
+/// How long it is avoided after it sent inconsistent data.
 const AVOID_INCONSISTENT: Span = Span::from_millis(30_000);
-/// Who is there has to stand for so long before one of the first asks; after the other span it asks all the same.
+/// The member set has to be unchanged for this long before one of the first members connects to discovery.
 const SETTLE_TIME: Span = Span::from_millis(400);
+/// After this time it connects even if the member set still changes.
 const SETTLE_DEADLINE: Span = Span::from_millis(4_000);
-/// Alone: so long without hearing of any other gateway.
+/// A gateway that has reached no other one for this long connects to discovery by itself.
 const ISOLATED_AFTER: Span = Span::from_millis(2_000);
-/// A source that stands elsewhere than it should is left for a better one, one of them in this time.
+/// An upstream at the wrong position in the order is replaced, at most one in this time.
 const REBALANCE_INTERVAL: Span = Span::from_millis(2_000);
-/// Groups of gateways take turns of this length at the bulletin while the first ones bring nothing.
+/// While the first members bring no fresh list, groups of gateways take turns of this length at discovery.
 const TURN_DURATION: Span = Span::from_millis(2_000);
-/// One that need not ask any more does so for this long.
+/// A gateway that need not be connected to discovery any more stays connected for this long.
 const YIELD_AFTER: Span = Span::from_millis(2_000);
 const MAX_VOTES: usize = 32;
 const VOTE_LIFETIME: Span = Span::from_millis(10_000);
 const MAX_AVOIDED: usize = 64;
-/// Ages beyond that are no knowledge.
+/// Age of a list that was never confirmed as current.
 const UNKNOWN_AGE: u64 = u64::MAX;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     Send(Name, Vec<Payload>),
-    /// The host has to hear this event, a line of JSON.
+    /// An event for the host, a line of JSON.
     Event(Vec<u8>),
 }
 
@@ -70,7 +77,7 @@
 struct Upstream {
     name: Name,
     subscribed_at: Time,
-    /// Its last word, and the one that is due.
+    /// When its last heartbeat arrived.
     heard_at: Option<Time>,
     since: Time,
     heartbeat: Option<Heartbeat>,
@@ -89,7 +96,7 @@
     from: Name,
     after: u64,
     snapshot: bool,
-    /// What is here was made up by someone: the list that comes stands in its place, whatever its number.
+    /// The local list is inconsistent: the fetched snapshot replaces it, whatever its version.
     repair: bool,
     to: u64,
     digest: u64,
@@ -102,7 +109,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DiscoveryLink {
     Closed,
-    /// The host has been told to connect.
+    /// The host was asked to connect.
     Connecting,
     Open,
 }
@@ -122,31 +129,32 @@
 
 pub struct Relay {
     config: settings::Relays,
-    /// The list comes by the feed: nobody is asked, followed or told.
+    /// The list comes by the feed; the relay does nothing.
     disabled: bool,
     expected: usize,
-    /// Its place among the seeds is one of the first.
+    /// Whether this gateway is among the first `askers` seeds.
     is_seed: bool,
     pub list: List,
     started_at: Time,
-    /// When the bulletin had no more than what is known here.
+    /// When discovery had nothing newer than the local list.
     fresh_at: Option<Time>,
     depth: u32,
     discovery: DiscoveryLink,
     next_attempt: Time,
-    /// Tries that its part of the common pace allows now, and as of when.
+    /// Connection attempts that its share of the fleet's rate allows, and as of when.
     tokens: (f64, Time),
     last_backoff: Span,
-    /// Since when it is not one of those that have to ask.
+    /// Since when it need not be connected to discovery.
     spare_since: Option<Time>,
     upstreams: [Option<Upstream>; UPSTREAMS],
     avoided: BTreeMap<Name, Time>,
-    /// Sources that fell silent, and when: who stands behind them asks in their place before they are held to be gone.
+    /// Upstreams that fell silent, and when. The members behind them connect to discovery in their place before they
+    /// are declared dead.
     silent: BTreeMap<Name, Time>,
     subscribers: BTreeMap<Name, Subscriber>,
     next_heartbeat: Time,
     fetch: Option<FetchState>,
-    /// A number that is not here yet, who told it, and when it is fetched.
+    /// A newer version, the member that reported it, and when it is to be fetched.
     pending: Option<(u64, Name, Time)>,
     votes: BTreeMap<Name, (Time, bool)>,
     next_rebalance: Time,
@@ -163,7 +171,7 @@
     pub fn new(file: &settings::Fleet, list: List, seed: u64, now: Time) -> Relay {
         let config = file.relays.clone();
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let early: f64 = rng.random();
+        let jitter: f64 = rng.random();
         Relay {
             disabled: file.feed.is_some(),
             expected: file.members.expected,
@@ -174,14 +182,14 @@
             depth: 0,
             discovery: DiscoveryLink::Closed,
             next_attempt: now,
-            tokens: (early, now),
+            tokens: (jitter, now),
             last_backoff: Span::ZERO,
             spare_since: None,
             upstreams: [const { None }; UPSTREAMS],
             avoided: BTreeMap::new(),
             silent: BTreeMap::new(),
             subscribers: BTreeMap::new(),
-            next_heartbeat: now + HEARTBEAT_INTERVAL * early,
+            next_heartbeat: now + HEARTBEAT_INTERVAL * jitter,
             fetch: None,
             pending: None,
             votes: BTreeMap::new(),
@@ -209,7 +217,7 @@
         all
     }
 
-    /// How old what is known is; `None`: nothing was ever heard.
+    /// The age of the list; `None` if no version was ever confirmed.
     pub fn age(&self, now: Time) -> Option<Span> {
         self.fresh_at.map(|at| now - at)
     }
@@ -218,7 +226,7 @@
         self.age(now).is_some_and(|age| age <= Span::from_millis(self.config.stale_ms))
     }
 
-    /// The list, whole, has come from somewhere.
+    /// Whether a complete list was received from any source.
     pub fn has_list(&self) -> bool {
         self.disabled || !self.list.is_empty()
     }
@@ -239,26 +247,26 @@
         }
     }
 
-    // The bulletin.
+    // Discovery.
 
-    /// The host keeps a connection to the bulletin while this holds.
+    /// The host keeps a connection to discovery while this is true.
     pub fn wants_discovery(&self) -> bool {
         self.discovery != DiscoveryLink::Closed
     }
 
-    /// The connection has ended or did not come up.
+    /// The connection to discovery has ended or could not be established.
     pub fn discovery_closed(&mut self, now: Time) {
         self.discovery = DiscoveryLink::Closed;
-        // Decorrelated, and no sooner than the fleet's common pace allows.
+        // Decorrelated jitter, with a minimum that keeps to the fleet's connection rate.
         let share = f64::from(2 * self.config.askers as u32) / self.config.connections_per_s;
-        let most = (share * 4.0).max(2.0);
-        let least = share.min(most);
-        let high = (self.last_backoff.as_secs_f64() * 3.0).clamp(least + 0.01, most + 0.02);
-        self.last_backoff = Span::from_secs_f64(self.rng.random_range(least..high));
+        let max_s = (share * 4.0).max(2.0);
+        let min_s = share.min(max_s);
+        let upper = (self.last_backoff.as_secs_f64() * 3.0).clamp(min_s + 0.01, max_s + 0.02);
+        self.last_backoff = Span::from_secs_f64(self.rng.random_range(min_s..upper));
         self.next_attempt = now + self.last_backoff;
     }
 
-    /// An event as the bulletin wrote it.
+    /// An event as discovery wrote it.
     pub fn discovery_event(&mut self, now: Time, line: &[u8]) -> Result<(), crate::list::ListError> {
         self.discovery = DiscoveryLink::Open;
         if self.list.apply(now, line)? {
@@ -268,7 +276,7 @@
         Ok(())
     }
 
-    /// The bulletin's last number. `false`: it has more than was told.
+    /// Discovery's latest version. Returns `false` if it is newer than the events that were received.
     pub fn discovery_version(&mut self, now: Time, version: u64) -> bool {
         (self.discovery, self.last_backoff) = (DiscoveryLink::Open, Span::ZERO);
         if version > self.list.version() {
@@ -280,16 +288,16 @@
         true
     }
 
-    /// Tells followers at once what has come.
+    /// Sends new events to subscribers at once.
     pub fn forward(&mut self, now: Time) {
         let version = self.list.version();
-        let late: Vec<Name> = self
+        let behind: Vec<Name> = self
             .subscribers
             .iter()
             .filter(|(_, f)| f.sent_version < version)
             .map(|(n, _)| n.clone())
             .collect();
-        for name in late {
+        for name in behind {
             self.send_heartbeat(now, &name, true);
         }
     }
@@ -312,7 +320,7 @@
         self.outbox.push_back(Output::Send(name.clone(), vec![Payload::Heartbeat(heartbeat)]));
     }
 
-    // What members say.
+    // Messages of members.
 
     pub fn handle(&mut self, now: Time, from: &Name, payload: &Payload) {
         if self.disabled {
@@ -320,7 +328,7 @@
         }
         self.silent.remove(from);
         match payload {
-            Payload::Subscribe(follow) => self.handle_subscribe(now, from, follow),
+            Payload::Subscribe(request) => self.handle_subscribe(now, from, request),
             Payload::SubscriptionRefused(_) if self.upstreams.iter().flatten().any(|s| s.name == *from) => {
                 self.drop_upstream(now, from, AVOID_FAILED);
             }
@@ -331,31 +339,34 @@
         }
     }
 
-    fn handle_subscribe(&mut self, now: Time, from: &Name, follow: &Subscribe) {
-        if follow.unsubscribe {
+    fn handle_subscribe(&mut self, now: Time, from: &Name, request: &Subscribe) {
+        if request.unsubscribe {
             self.subscribers.remove(from);
             return;
         }
-        // Many more follow for numbers than for events.
-        let most = self.config.children * if follow.heartbeats_only { 2 * UPSTREAMS } else { 2 };
-        let alike = self.subscribers.values().filter(|f| f.heartbeats_only == follow.heartbeats_only).count();
-        let known = self.subscribers.get(from).is_some_and(|f| f.heartbeats_only == follow.heartbeats_only);
-        if !known && alike >= most {
+        // Each member has one upstream for events and two for heartbeats only, so more subscriptions of the latter
+        // kind are accepted.
+        let max = self.config.children * if request.heartbeats_only { 2 * UPSTREAMS } else { 2 };
+        let count =
+            self.subscribers.values().filter(|f| f.heartbeats_only == request.heartbeats_only).count();
+        let renewal =
+            self.subscribers.get(from).is_some_and(|f| f.heartbeats_only == request.heartbeats_only);
+        if !renewal && count >= max {
             self.outbox.push_back(Output::Send(from.clone(), vec![Payload::SubscriptionRefused(true)]));
             return;
         }
-        let until = now + SUBSCRIPTION_TTL;
+        let expires_at = now + SUBSCRIPTION_TTL;
         let sent_version = self.list.version();
-        if known {
+        if renewal {
             if let Some(subscriber) = self.subscribers.get_mut(from) {
-                subscriber.expires_at = until;
+                subscriber.expires_at = expires_at;
             }
         } else {
             self.subscribers.insert(
                 from.clone(),
                 Subscriber {
-                    heartbeats_only: follow.heartbeats_only,
-                    expires_at: until,
+                    heartbeats_only: request.heartbeats_only,
+                    expires_at,
                     sent_version,
                     resend: None,
                 },
@@ -364,7 +375,7 @@
         }
     }
 
-    /// One's own list against what another says of its own.
+    /// Compares the digest of the local list with that of another member at the same version.
     fn compare_digests(&mut self, now: Time, from: &Name, heartbeat: &Heartbeat) {
         let Some(own) = self.list.digest_at(heartbeat.version).filter(|d| *d != 0 && heartbeat.digest != 0)
         else {
@@ -382,28 +393,31 @@
         }
         if !disputed {
             self.counts.disputes += 1;
-            // Others decide between the two, at once.
-            let near = self.order.iter().filter(|n| *n != from).cloned();
-            for name in near.choose_multiple(&mut self.rng, 4) {
-                let ask = Fetch { after: self.list.version(), snapshot: false, to: 0, chunks: Vec::new() };
-                self.outbox.push_back(Output::Send(name, vec![Payload::Fetch(ask)]));
+            // Asks other members for their heartbeats at once, to decide between the two lists.
+            let others = self.order.iter().filter(|n| *n != from).cloned();
+            for name in others.choose_multiple(&mut self.rng, 4) {
+                let request =
+                    Fetch { after: self.list.version(), snapshot: false, to: 0, chunks: Vec::new() };
+                self.outbox.push_back(Output::Send(name, vec![Payload::Fetch(request)]));
             }
         }
-        let of_late = |same: bool| {
-            let wanted = move |(at, s): &(Time, bool)| *s == same && now - *at < VOTE_LIFETIME;
-            self.votes.iter().filter(move |(_, v)| wanted(v)).map(|(n, _)| n.clone())
+        let recent = |same: bool| {
+            let matches = move |(at, s): &(Time, bool)| *s == same && now - *at < VOTE_LIFETIME;
+            self.votes.iter().filter(move |(_, v)| matches(v)).map(|(n, _)| n.clone())
         };
-        let (with, against): (Vec<Name>, Vec<Name>) = (of_late(true).collect(), of_late(false).collect());
-        let mending = self.fetch.as_ref().is_some_and(|f| f.repair);
-        if against.len() >= 2 && against.len() > with.len() && !mending {
-            // Most others hold another list: this one was told a lie, by one of those that bear it out.
+        let (agreeing, dissenting): (Vec<Name>, Vec<Name>) =
+            (recent(true).collect(), recent(false).collect());
+        let repairing = self.fetch.as_ref().is_some_and(|f| f.repair);
+        if dissenting.len() >= 2 && dissenting.len() > agreeing.len() && !repairing {
+            // Most others have a different list: the local one is wrong, and the upstreams that agree with it are
+            // dropped.
             self.counts.inconsistencies += 1;
             let upstreams: Vec<Name> = self.upstreams.iter().flatten().map(|s| s.name.clone()).collect();
-            for name in upstreams.iter().filter(|n| with.contains(n)) {
+            for name in upstreams.iter().filter(|n| agreeing.contains(n)) {
                 self.drop_upstream(now, name, AVOID_INCONSISTENT);
             }
             self.votes.clear();
-            if let Some(from) = against.choose(&mut self.rng).cloned() {
+            if let Some(from) = dissenting.choose(&mut self.rng).cloned() {
                 self.start_fetch(now, &from, 0, true);
             }
         }
@@ -426,7 +440,7 @@
         self.evaluate_heartbeat(now, from, heartbeat);
     }
 
-    /// A number, a digest and an age that another names, by whatever way.
+    /// Evaluates version, digest and age of another member's list, whether from a heartbeat or from a probe.
     pub fn evaluate_heartbeat(&mut self, now: Time, from: &Name, heartbeat: &Heartbeat) {
         if self.disabled {
             return;
@@ -446,8 +460,8 @@
             && (heartbeat.digest == self.list.digest() || version == 0)
         {
             let at = now.back(Span::from_micros(heartbeat.age_us));
-            let upstream = self.upstreams.iter().flatten().any(|s| s.name == *from);
-            if upstream && self.fresh_at.is_none_or(|known| at > known) {
+            let is_upstream = self.upstreams.iter().flatten().any(|s| s.name == *from);
+            if is_upstream && self.fresh_at.is_none_or(|fresh_at| at > fresh_at) {
                 self.fresh_at = Some(at);
                 if self.discovery != DiscoveryLink::Open {
                     self.depth = heartbeat.depth.saturating_add(1).min(64);
@@ -482,7 +496,7 @@
         }
     }
 
-    /// Events in order; what does not fit is its teller's fault.
+    /// Applies events in order. If one does not fit, its sender is dropped.
     fn apply_events(&mut self, now: Time, from: &Name, lines: &[u8], to: u64, digest: u64) {
         for line in lines.split(|b| *b == b'\n').filter(|l| !l.is_empty()) {
             match self.list.apply(now, line) {
@@ -499,7 +513,7 @@
         }
         let fits = self.list.digest_at(to).is_none_or(|own| own == digest || digest == 0 || own == 0);
         if self.list.version() < to || !fits {
-            // It told one thing and gave another.
+            // The events do not lead to the announced version and digest.
             self.counts.inconsistencies += 1;
             self.drop_upstream(now, from, AVOID_INCONSISTENT);
             if !fits {
@@ -511,10 +525,10 @@
         }
     }
 
-    /// Gets the whole list from someone else.
+    /// Fetches a snapshot from a member other than `not`.
     fn repair(&mut self, now: Time, not: &Name) {
-        let fit = |n: &&Name| *n != not && !self.is_avoided(now, n);
-        let others: Vec<Name> = self.order.iter().filter(fit).cloned().collect();
+        let eligible = |n: &&Name| *n != not && !self.is_avoided(now, n);
+        let others: Vec<Name> = self.order.iter().filter(eligible).cloned().collect();
         if let Some(from) = others.choose(&mut self.rng) {
             self.start_fetch(now, from, 0, true);
         }
@@ -546,8 +560,8 @@
         let Some(f) = &self.fetch else { return };
         let total = if f.total == 0 { CHUNK_WINDOW } else { f.total };
         let chunks = (0..total).filter(|i| !f.received.contains_key(i)).take(CHUNK_WINDOW as usize).collect();
-        let ask = Fetch { after: f.after, snapshot: f.snapshot, to: f.to, chunks };
-        self.outbox.push_back(Output::Send(f.from.clone(), vec![Payload::Fetch(ask)]));
+        let request = Fetch { after: f.after, snapshot: f.snapshot, to: f.to, chunks };
+        self.outbox.push_back(Output::Send(f.from.clone(), vec![Payload::Fetch(request)]));
     }
 
     fn handle_fetch(&mut self, now: Time, from: &Name, fetch: &Fetch) {
@@ -565,7 +579,7 @@
                 (0, true, to, bytes.to_vec())
             }
         };
-        // Of an older number the digest may be known no more; 0 is not compared.
+        // The digest of an older version may not be kept any more; 0 is not compared.
         let digest = self.list.digest_at(to).unwrap_or(0);
         let total = bytes.len().div_ceil(CHUNK_BYTES).max(1) as u32;
         for &index in fetch.chunks.iter().filter(|i| **i < total) {
@@ -577,15 +591,15 @@
     }
 
     fn handle_chunk(&mut self, now: Time, from: &Name, chunk: &Chunk) {
-        let most = self.config.most_kb * 1024;
+        let max_bytes = self.config.most_kb * 1024;
         let Some(f) = self.fetch.as_mut().filter(|f| f.from == *from) else { return };
-        if chunk.total as usize * CHUNK_BYTES > most + CHUNK_BYTES {
+        if chunk.total as usize * CHUNK_BYTES > max_bytes + CHUNK_BYTES {
             self.counts.fetches_failed += 1;
             return self.drop_upstream(now, from, AVOID_INCONSISTENT);
         }
-        let same = (chunk.after, chunk.snapshot, chunk.to, chunk.digest, chunk.total);
-        if f.total == 0 || (f.after, f.snapshot, f.to, f.digest, f.total) != same {
-            (f.after, f.snapshot, f.to, f.digest, f.total) = same;
+        let header = (chunk.after, chunk.snapshot, chunk.to, chunk.digest, chunk.total);
+        if f.total == 0 || (f.after, f.snapshot, f.to, f.digest, f.total) != header {
+            (f.after, f.snapshot, f.to, f.digest, f.total) = header;
             f.received.clear();
         }
         let fresh = f.received.insert(chunk.index, chunk.bytes.clone()).is_none();
@@ -604,7 +618,7 @@
             return self.apply_events(now, from, &text, f.to, f.digest);
         }
         if f.to < self.list.version() && !f.repair {
-            // Older than what has come meanwhile, and nothing speaks against that.
+            // Older than the local list by now, and the local list is not in doubt.
             return;
         }
         match self.list.replace(now, &text, f.to, f.digest) {
@@ -616,7 +630,7 @@
                     self.pending = None;
                 }
                 if self.discovery == DiscoveryLink::Open {
-                    // The bulletin is asked anew from this number.
+                    // Reconnects, so that discovery continues from this version.
                     self.discovery = DiscoveryLink::Closed;
                 }
             }
@@ -627,15 +641,15 @@
         }
     }
 
-    // What time brings.
+    // Timers.
 
     pub fn next_wake(&self, now: Time) -> Time {
         let mut at = now + Span::from_millis(100);
         if !self.subscribers.is_empty() {
             at = at.min(self.next_heartbeat);
         }
-        let again = self.subscribers.values().filter_map(|f| f.resend.map(|a| a.1));
-        at = again.fold(at, Time::min);
+        let resends = self.subscribers.values().filter_map(|f| f.resend.map(|a| a.1));
+        at = resends.fold(at, Time::min);
         if let Some((_, _, due)) = self.pending.as_ref().filter(|_| self.fetch.is_none()) {
             at = at.min(*due);
         }
@@ -681,45 +695,45 @@
         let (askers, n) = (self.config.askers, members.live());
         let since = now - self.started_at;
         if self.is_seed && !self.has_list() && since < SETTLE_DEADLINE {
-            // The seeds are known to all before anyone else is: they bring the first list.
+            // The seeds are known to all gateways from the start, so they fetch the first list.
             return self.connect_if(now, true, 0.5 / askers as f64);
         }
         if !members.joined() {
-            // Its fair part of the common pace, and no more.
-            let part = 1.0 / self.expected.max(members.recent_names().count()).max(1) as f64;
-            let mine = f64::from(members.name.len() as u32 % 8) / 8.0;
-            return self.connect_if(now, since > ISOLATED_AFTER * (1.0 + mine), part);
-        }
-        // With most of those that are expected the order is nearly the last one.
-        let enough = n * 5 >= self.expected * 4;
-        // One that is fed already takes its place at the bulletin when the order stands for sure.
+            // Its share of the fleet's connection rate.
+            let share = 1.0 / self.expected.max(members.recent_names().count()).max(1) as f64;
+            let jitter = f64::from(members.name.len() as u32 % 8) / 8.0;
+            return self.connect_if(now, since > ISOLATED_AFTER * (1.0 + jitter), share);
+        }
+        // With most of the expected members present, the order is nearly final.
+        let complete = n * 5 >= self.expected * 4;
+        // A gateway with a fresh list connects only once the order is certain.
         let settled =
-            if self.is_fresh(now) { false } else { enough || now - members.last_growth >= SETTLE_TIME };
+            if self.is_fresh(now) { false } else { complete || now - members.last_growth >= SETTLE_TIME };
         let settled = settled || since >= SETTLE_DEADLINE;
-        let passed = |n: &&Name| self.silent.get(*n).is_some_and(|at| now - *at < SILENT_RETENTION);
+        let is_silent = |n: &&Name| self.silent.get(*n).is_some_and(|at| now - *at < SILENT_RETENTION);
         let ahead = self.rank.min(self.order.len());
-        let silent = self.order[..ahead].iter().filter(passed).count();
+        let silent = self.order[..ahead].iter().filter(is_silent).count();
         let first = self.rank - silent.min(self.rank) < askers;
         if first {
             self.spare_since = None;
             return self.connect_if(now, settled, 0.5 / askers as f64);
         }
-        let stale = match self.age(now) {
+        let age = match self.age(now) {
             Some(age) => age,
             None => since,
         };
         let limit = Span::from_millis(self.config.stale_ms);
-        if stale > limit {
+        if age > limit {
             self.spare_since = None;
             let (groups, turn) = (
                 n.div_ceil(askers),
-                ((stale.as_micros() - limit.as_micros()) / TURN_DURATION.as_micros()) as usize,
+                ((age.as_micros() - limit.as_micros()) / TURN_DURATION.as_micros()) as usize,
             );
-            let mine = groups > 1 && self.rank / askers == 1 + turn % (groups - 1).max(1);
-            if mine && self.discovery == DiscoveryLink::Closed {
+            let our_turn = groups > 1 && self.rank / askers == 1 + turn % (groups - 1).max(1);
+            if our_turn && self.discovery == DiscoveryLink::Closed {
                 self.counts.turns += 1;
             }
-            if mine || self.discovery == DiscoveryLink::Open {
+            if our_turn || self.discovery == DiscoveryLink::Open {
                 self.connect_if(now, settled, 0.5 / askers as f64);
             } else {
                 self.discovery = DiscoveryLink::Closed;
@@ -727,33 +741,33 @@
             return;
         }
         if self.discovery != DiscoveryLink::Closed {
-            // Others bring it now: the place at the bulletin is given back once they have done so for a while.
-            let fed = self.upstreams.iter().flatten().any(|s| {
+            // Upstreams deliver a fresh list: the connection is closed once they have done so for a while.
+            let fresh_upstream = self.upstreams.iter().flatten().any(|s| {
                 s.heartbeat
                     .as_ref()
                     .is_some_and(|p| p.age_us < limit.as_micros() && p.version >= self.list.version())
             });
-            let spare = *self.spare_since.get_or_insert(now);
-            if !fed {
+            let spare_since = *self.spare_since.get_or_insert(now);
+            if !fresh_upstream {
                 self.spare_since = Some(now);
-            } else if now - spare > YIELD_AFTER {
+            } else if now - spare_since > YIELD_AFTER {
                 self.discovery = DiscoveryLink::Closed;
             }
         }
     }
 
-    fn connect_if(&mut self, now: Time, is: bool, part: f64) {
-        if !is {
+    fn connect_if(&mut self, now: Time, allowed: bool, share: f64) {
+        if !allowed {
             return;
         }
-        // Saved up one at the most; the first ones need none for their first try.
-        let rate = self.config.connections_per_s * part;
+        // The bucket holds one attempt at most; the first members need no token for their first attempt.
+        let rate = self.config.connections_per_s * share;
         self.tokens.0 = (self.tokens.0 + (now - self.tokens.1).as_secs_f64() * rate).min(1.0);
         self.tokens.1 = now;
         if self.discovery == DiscoveryLink::Closed && now >= self.next_attempt {
             let first = self.is_seed || self.rank < self.config.askers && !self.order.is_empty();
-            let begins = self.counts.discovery_attempts == 0 && first;
-            if !self.config.on || begins || self.tokens.0 >= 1.0 {
+            let initial = self.counts.discovery_attempts == 0 && first;
+            if !self.config.on || initial || self.tokens.0 >= 1.0 {
                 self.tokens.0 = (self.tokens.0 - 1.0).max(0.0);
                 self.counts.discovery_attempts += 1;
                 self.discovery = DiscoveryLink::Connecting;
@@ -761,24 +775,24 @@
         }
     }
 
-    /// Whom one may follow: members about `children` times nearer to the front, or, with those gone, any nearer one.
+    /// Possible upstreams: members about `children` times nearer to the front or, if those are gone, any nearer one.
     fn upstream_candidates(&self, now: Time, members: &Members) -> Vec<Name> {
         let ahead = self.rank.min(self.order.len());
         let near = (ahead / self.config.children).max(self.config.askers).min(ahead);
         let from = if near > self.config.askers { near / 2 } else { 0 };
-        let fit = |names: &[Name]| -> Vec<Name> {
-            let good = |n: &&Name| {
+        let eligible = |names: &[Name]| -> Vec<Name> {
+            let usable = |n: &&Name| {
                 !self.is_avoided(now, n) && members.get(n).is_some_and(|k| k.state == MemberState::Alive)
             };
-            names.iter().filter(good).cloned().collect()
+            names.iter().filter(usable).cloned().collect()
         };
-        // The order leaves oneself out: all before one's own place are nearer.
-        let mut all = fit(&self.order[from..near]);
+        // `order` does not contain this gateway: all before its own position are nearer to the front.
+        let mut all = eligible(&self.order[from..near]);
         if all.len() < 2 {
-            all = fit(&self.order[..ahead]);
+            all = eligible(&self.order[..ahead]);
         }
         if all.len() < 2 {
-            all = fit(&self.order);
+            all = eligible(&self.order);
         }
         all
     }
@@ -792,14 +806,14 @@
                 Some(at) => now - at > UPSTREAM_TIMEOUT,
                 None => now - s.since > FIRST_HEARTBEAT_TIMEOUT,
             };
-            let gone = members.get(&s.name).is_none_or(|k| k.state >= MemberState::Dead);
-            // Old itself while another member says that it is not.
-            let old = s.heartbeat.as_ref().is_some_and(|p| p.age_us > stale.as_micros())
+            let dead = members.get(&s.name).is_none_or(|k| k.state >= MemberState::Dead);
+            // Its list is stale while another member reports a fresh one.
+            let outdated = s.heartbeat.as_ref().is_some_and(|p| p.age_us > stale.as_micros())
                 && now - s.since > stale
                 && members
                     .others()
                     .any(|(n, k)| *n != s.name && Self::is_fresher(k.list.as_ref(), now, stale));
-            if silent || gone || old {
+            if silent || dead || outdated {
                 let name = s.name.clone();
                 if silent {
                     self.silent.insert(name.clone(), now);
@@ -808,7 +822,7 @@
             }
         }
         if self.discovery == DiscoveryLink::Open && first {
-            // The source of others needs none for itself; its probes compare it with them.
+            // A gateway connected to discovery needs no upstream; its probes compare its list with others.
             for i in 0..UPSTREAMS {
                 if let Some(s) = self.upstreams[i].take() {
                     let unsubscribe = Subscribe { heartbeats_only: false, unsubscribe: true };
@@ -823,20 +837,20 @@
                 let taken: Vec<Name> = self.upstreams.iter().flatten().map(|s| s.name.clone()).collect();
                 let mut all = self.upstream_candidates(now, members);
                 if !self.is_fresh(now) && now - self.started_at > stale {
-                    let better: Vec<Name> = members
+                    let fresher: Vec<Name> = members
                         .others()
                         .filter(|(n, k)| {
                             Self::is_fresher(k.list.as_ref(), now, stale) && !self.is_avoided(now, n)
                         })
                         .map(|(n, _)| n.clone())
                         .collect();
-                    if !better.is_empty() {
-                        all = better;
+                    if !fresher.is_empty() {
+                        all = fresher;
                     }
                 }
                 all.retain(|n| !taken.contains(n));
-                let purpose = rank::key(&members.name) ^ i as u64;
-                let Some(name) = all.iter().max_by_key(|n| rank::score(n, purpose)).cloned() else {
+                let seed = rank::key(&members.name) ^ i as u64;
+                let Some(name) = all.iter().max_by_key(|n| rank::score(n, seed)).cloned() else {
                     continue;
                 };
                 self.upstreams[i] = Some(Upstream {
@@ -846,30 +860,32 @@
                     since: now,
                     heartbeat: None,
                 });
-                let follow = Subscribe { heartbeats_only: i > 0, unsubscribe: false };
-                self.outbox.push_back(Output::Send(name, vec![Payload::Subscribe(follow)]));
+                let request = Subscribe { heartbeats_only: i > 0, unsubscribe: false };
+                self.outbox.push_back(Output::Send(name, vec![Payload::Subscribe(request)]));
             } else if let Some(s) =
                 self.upstreams[i].as_mut().filter(|s| now - s.subscribed_at >= SUBSCRIBE_INTERVAL)
             {
                 s.subscribed_at = now;
-                let follow = Subscribe { heartbeats_only: i > 0, unsubscribe: false };
-                self.outbox.push_back(Output::Send(s.name.clone(), vec![Payload::Subscribe(follow)]));
+                let request = Subscribe { heartbeats_only: i > 0, unsubscribe: false };
+                self.outbox.push_back(Output::Send(s.name.clone(), vec![Payload::Subscribe(request)]));
             }
         }
     }
 
-    /// Who is followed since the start was chosen among the few known then: one at a time moves to its right place.
+    /// Upstreams chosen at the start were chosen among the few members known then: moves one at a time to the right
+    /// position.
     fn rebalance(&mut self, now: Time, members: &Members) {
         if now < self.next_rebalance || now - members.last_growth < REBALANCE_INTERVAL || !self.is_fresh(now)
         {
             return;
         }
         self.next_rebalance = now + REBALANCE_INTERVAL * self.rng.random_range(0.7..1.3);
-        let fit = self.upstream_candidates(now, members);
-        let astray = |s: &&mut Upstream| !fit.contains(&s.name) && now - s.since > REBALANCE_INTERVAL;
-        let enough = fit.len() >= UPSTREAMS.min(self.order.len());
+        let candidates = self.upstream_candidates(now, members);
+        let misplaced =
+            |s: &&mut Upstream| !candidates.contains(&s.name) && now - s.since > REBALANCE_INTERVAL;
+        let enough = candidates.len() >= UPSTREAMS.min(self.order.len());
         if let Some(name) =
-            self.upstreams.iter_mut().flatten().find(astray).map(|s| s.name.clone()).filter(|_| enough)
+            self.upstreams.iter_mut().flatten().find(misplaced).map(|s| s.name.clone()).filter(|_| enough)
         {
             self.drop_upstream(now, &name, Span::ZERO);
         }
@@ -915,9 +931,9 @@
         if periodic {
             self.next_heartbeat = now + HEARTBEAT_INTERVAL;
         }
-        let due = |f: &Subscriber| periodic || f.resend.is_some_and(|(_, at)| at <= now);
+        let is_due = |f: &Subscriber| periodic || f.resend.is_some_and(|(_, at)| at <= now);
         let due: Vec<Name> =
-            self.subscribers.iter().filter(|(_, f)| due(f)).map(|(n, _)| n.clone()).collect();
+            self.subscribers.iter().filter(|(_, f)| is_due(f)).map(|(n, _)| n.clone()).collect();
         for name in due {
             if let Some(f) = self.subscribers.get_mut(&name) {
                 f.resend = match f.resend {
@@ -929,15 +945,15 @@
         }
     }
 
-    /// The rules that have to hold after every step; for tests.
+    /// Checks the invariants that hold after every step; for tests.
     pub fn check_invariants(&self) -> Result<(), String> {
-        let most = self.config.children * (2 + 2 * UPSTREAMS);
-        if self.subscribers.len() > most {
-            return Err(format!("{} followers, {most} at most", self.subscribers.len()));
+        let max = self.config.children * (2 + 2 * UPSTREAMS);
+        if self.subscribers.len() > max {
+            return Err(format!("{} subscribers, the limit is {max}", self.subscribers.len()));
         }
         let names: BTreeSet<&Name> = self.upstreams.iter().flatten().map(|s| &s.name).collect();
         if names.len() < self.upstreams.iter().flatten().count() {
-            return Err("two sources are one".to_owned());
+            return Err("one member is upstream twice".to_owned());
         }
         Ok(())
     }
