--- a/fleet/examples/schema.rs
+++ b/fleet/examples/schema.rs
@@ -1,4 +1,4 @@
-//! Prints the schema of the file that names a fleet: `cargo run -p kelpcart-fleet --example fleet-schema`.
+//! Prints the JSON Schema of the fleet settings file: `cargo run -p kelpcart-fleet --example fleet-schema`.
 
 fn main() {
     println!("{}", kelpcart_fleet::settings::Fleet::schema());
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -1,7 +1,9 @@
-//! What gateways of one installation know of each other and share: who is there, the list of caches relayed from a
-//! few askers, and budgets that hold for all of them together. Everything here is without I/O and clock; the host
-//! hands in datagrams, lines and times, and pulls what is to be done. Must never decide on a txn: the module does,
-//! and what is decided here only ever narrows what it may use.
+//! Shared state of the gateways of one installation: membership, the list of caches relayed from a few gateways that
+//! subscribe to discovery, and budgets that hold for all gateways together. Everything here is without I/O and clock:
+//! the host passes in datagrams, events and the time, and polls for outputs.
+//!
+//! Invariant: nothing here decides on a txn. That is up to the module; the results of this package only narrow down
+//! what it may use.
 
 pub mod lease;
 pub mod list;
--- a/fleet/src/list.rs
+++ b/fleet/src/list.rs
@@ -1,17 +1,19 @@
-//! The list of caches as numbered events made it, so that it can be handed on: the latest events, the list itself, the
-//! purges of late and a digest for each number. Must never take an event after a gap, nor grow beyond its bounds.
+//! The list of caches as built from versioned events, in a form that can be passed on: a log of the latest events,
+//! the list itself, recent purges and a digest for each recent version.
+//!
+//! Invariants: no event is applied after a gap in versions, and all tables are bounded.
 
 use kelpcart::{Span, Time};
 use serde_json::{Map, Value, json};
 use std::collections::{BTreeMap, VecDeque};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Events that are kept, and their bytes: who is further behind gets the whole list.
+/// Limits of the event log. A member that is further behind gets a snapshot.
 const MAX_EVENTS: usize = 2_048;
 const MAX_LOG_BYTES: usize = 512 * 1024;
-/// Numbers whose digests are kept.
+/// Versions whose digests are kept.
 const MAX_DIGESTS: usize = 256;
-/// Caches have dropped what was purged long before that: a purge need not be told any more.
+/// Caches have dropped purged objects long before this time, so older purges need not be passed on.
 const PURGE_RETENTION: Span = Span::from_millis(30_000);
 const MAX_PURGES: usize = 4_096;
 
@@ -19,11 +21,11 @@
 pub enum ListError {
     #[error("not JSON")]
     Json,
-    #[error("no event: {0}")]
+    #[error("malformed event: {0}")]
     Malformed(&'static str),
-    #[error("number {0} after {1}")]
+    #[error("version {0} does not follow {1}")]
     Gap(u64, u64),
-    #[error("more than its bound")]
+    #[error("larger than the limit")]
     TooLarge,
 }
 
@@ -37,37 +39,34 @@
 pub struct List {
     version: u64,
     entries: BTreeMap<String, Value>,
-    /// Of the entries, in no order.
+    /// XOR of the hashes of all entries, independent of their order.
     entries_hash: u64,
-    /// Of the last event.
+    /// Hash of the last event.
     last_event_hash: u64,
     log: VecDeque<Event>,
     log_bytes: usize,
     purges: VecDeque<(Time, Event)>,
     digests: VecDeque<(u64, u64)>,
     max_bytes: usize,
-    /// The list at one number, while others fetch it.
+    /// The encoded snapshot of one version, kept while others fetch it.
     snapshot: Option<(u64, Vec<u8>)>,
 }
 
 fn hash(value: &Value) -> u64 {
-    // Keys are in order, whoever wrote the line.
+    // `serde_json` orders the keys, so the hash does not depend on how the line was written.
     xxh3_64_with_seed(value.to_string().as_bytes(), 1)
 }
 
 fn entry_name(entry: &Value) -> Result<&str, ListError> {
-    entry.get("name").and_then(Value::as_str).ok_or(ListError::Malformed("an endpoint without a name"))
+    entry.get("name").and_then(Value::as_str).ok_or(ListError::Malformed("endpoint without a name"))
 }
 
 fn roster_endpoints(roster: &Value) -> Result<&Vec<Value>, ListError> {
-    roster
-        .get("endpoints")
-        .and_then(Value::as_array)
-        .ok_or(ListError::Malformed("a roster without endpoints"))
+    roster.get("endpoints").and_then(Value::as_array).ok_or(ListError::Malformed("roster without endpoints"))
 }
 
 impl List {
-    /// `no`: the last event that the host knows already; `most`: bytes of the whole list at the most.
+    /// `version`: the last event that the host knows already; `max_bytes`: size limit of a snapshot.
     pub fn new(version: u64, max_bytes: usize) -> List {
         List {
             version,
@@ -103,17 +102,17 @@
         ]
     }
 
-    /// 0: it can't be compared, since the last event itself is not known.
+    /// The digest of the current version; 0 if it can't be compared because the last event itself is not known.
     pub fn digest(&self) -> u64 {
         if self.last_event_hash == 0 { 0 } else { (self.entries_hash ^ self.last_event_hash).max(1) }
     }
 
-    /// As it was at a number of late; `None` where that is not known.
+    /// The digest of a recent version; `None` if it is not kept.
     pub fn digest_at(&self, version: u64) -> Option<u64> {
         self.digests.iter().rev().find(|(n, _)| *n == version).map(|(_, d)| *d)
     }
 
-    /// What the host knew at its start, in place of the events that made it.
+    /// Loads the host's initial state in place of the events that led to it.
     pub fn load_initial(&mut self, items: &[Value]) -> Result<(), ListError> {
         for item in items {
             if let Some(roster) = item.get("roster") {
@@ -147,10 +146,11 @@
         Ok(())
     }
 
-    /// One line of the bulletin or of a member that passes it on; `false`: it is known already.
+    /// Applies one event from discovery or from a relaying member. Returns `false` if it was applied before.
     pub fn apply(&mut self, now: Time, line: &[u8]) -> Result<bool, ListError> {
         let value: Value = serde_json::from_slice(line).map_err(|_| ListError::Json)?;
-        let version = value.get("no").and_then(Value::as_u64).ok_or(ListError::Malformed("no number"))?;
+        let version =
+            value.get("no").and_then(Value::as_u64).ok_or(ListError::Malformed("missing version number"))?;
         if version <= self.version {
             return Ok(false);
         }
@@ -192,7 +192,7 @@
         }
     }
 
-    /// The lines behind a number, each with its end; `None`: they are not all kept.
+    /// The events after one version up to another, one per line; `None` if they are not all kept.
     pub fn lines(&self, after: u64, to: u64) -> Option<Vec<u8>> {
         let first = self.log.front().map_or(self.version + 1, |e| e.version);
         if after + 1 < first || to > self.version {
@@ -206,10 +206,10 @@
         Some(out)
     }
 
-    /// The whole list as text with its number; the same one again for who has begun to fetch it.
+    /// The encoded snapshot with its version. A member that has begun to fetch one gets the rest of the same one.
     pub fn snapshot(&mut self, now: Time, to: u64) -> Option<(u64, &[u8])> {
-        let kept = self.snapshot.as_ref().is_some_and(|(version, _)| *version == to);
-        if !kept {
+        let encoded = self.snapshot.as_ref().is_some_and(|(version, _)| *version == to);
+        if !encoded {
             if self.digests.back().is_none_or(|(version, _)| *version != self.version) {
                 return None;
             }
@@ -232,8 +232,8 @@
         self.snapshot.as_ref().map(|(version, bytes)| (*version, bytes.as_slice()))
     }
 
-    /// Takes a whole list in place of all events up to its number; gives the lines that the host has to hear. Nothing
-    /// is taken where the text is damaged or its digest is not the one that was told.
+    /// Replaces the list by a snapshot and returns the events that the host has to process. Nothing changes if the
+    /// text is damaged or its digest is not the announced one.
     pub fn replace(
         &mut self,
         now: Time,
@@ -248,16 +248,16 @@
         let head: Value =
             serde_json::from_slice(lines.next().unwrap_or_default()).map_err(|_| ListError::Json)?;
         let last = head.get("last").and_then(Value::as_str).and_then(|h| u64::from_str_radix(h, 16).ok());
-        let last = last.ok_or(ListError::Malformed("a list without its last event"))?;
-        let roster = head.get("roster").ok_or(ListError::Malformed("a list without a roster"))?;
+        let last = last.ok_or(ListError::Malformed("snapshot without the hash of its last event"))?;
+        let roster = head.get("roster").ok_or(ListError::Malformed("snapshot without a roster"))?;
         if head.get("no").and_then(Value::as_u64) != Some(to) {
-            return Err(ListError::Malformed("a list of another number"));
+            return Err(ListError::Malformed("snapshot of a different version"));
         }
-        let mut fresh = List::new(to, self.max_bytes);
-        fresh.apply_roster(roster)?;
-        fresh.last_event_hash = last;
-        if fresh.digest() != digest {
-            return Err(ListError::Malformed("a list of another digest"));
+        let mut replacement = List::new(to, self.max_bytes);
+        replacement.apply_roster(roster)?;
+        replacement.last_event_hash = last;
+        if replacement.digest() != digest {
+            return Err(ListError::Malformed("snapshot with a different digest"));
         }
         let mut out = vec![
             Value::Object(Map::from_iter([
@@ -270,15 +270,15 @@
         for line in lines {
             let purge: Value = serde_json::from_slice(line).map_err(|_| ListError::Json)?;
             let version = purge.get("no").and_then(Value::as_u64).filter(|version| *version <= to);
-            let version = version.ok_or(ListError::Malformed("a purge without a number"))?;
-            if purge.get("recall").is_none() || fresh.purges.len() >= MAX_PURGES {
-                return Err(ListError::Malformed("no purge, or too many"));
+            let version = version.ok_or(ListError::Malformed("purge without a valid version number"))?;
+            if purge.get("recall").is_none() || replacement.purges.len() >= MAX_PURGES {
+                return Err(ListError::Malformed("not a purge, or too many purges"));
             }
             out.push(line.to_vec());
-            fresh.purges.push_back((now, Event { version, line: line.to_vec() }));
+            replacement.purges.push_back((now, Event { version, line: line.to_vec() }));
         }
-        fresh.record_digest();
-        *self = fresh;
+        replacement.record_digest();
+        *self = replacement;
         Ok(out)
     }
 }
--- a/fleet/src/node.rs
+++ b/fleet/src/node.rs
@@ -1,6 +1,9 @@
-//! One gateway in its fleet: members, relay and leases behind one set of inputs, driven alike by the gateway's host and
-//! by tests. The host hands in datagrams, the bulletin's lines and times, and pulls what is to be done until there is
-//! nothing. Must never do I/O, read a clock, or keep the host from serving: a host that gets no word goes on as alone.
+//! One gateway of a fleet: membership, relay and leases behind one set of inputs, driven in the same way by the
+//! gateway's host and by tests. The host passes in datagrams, discovery's events and the time, and polls for outputs
+//! until there are none.
+//!
+//! Invariants: no I/O and no clock in here. The host never depends on an output in order to serve: without any it
+//! goes on like a single gateway.
 
 use crate::lease::{self, BudgetKey, Decision, Leases};
 use crate::list::{List, ListError};
@@ -17,19 +20,19 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     Datagram(SocketAddr, Vec<u8>),
-    /// An event that the host has to hear, a line of JSON.
+    /// An event for the host, a line of JSON.
     Event(Vec<u8>),
     Decision(u64, Decision),
     Contended(BudgetKey),
 }
 
-/// How far a start has come.
+/// Progress of the start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
     Joining,
-    /// Others are known, the list is not.
+    /// Other members are known, the list is not.
     Joined,
-    /// The list is known, and the fleet is cold: first fills are counted.
+    /// The list is known and the fleet is cold: first fills are limited.
     Warming,
     Serving,
 }
@@ -60,14 +63,14 @@
 
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    #[error("keys: a secret is no row of hex digits")]
+    #[error("keys: a secret is not a string of hex digits")]
     Keys,
-    #[error("what is known at the start: {0}")]
+    #[error("initial events: {0}")]
     InitialEvents(#[from] ListError),
 }
 
 impl Node {
-    /// `run`: a number that no other start has; `no` and `known`: the events that the host knows already.
+    /// `run` is unique to this start. `version` and `initial_events` are what the host knows already.
     pub fn new(
         file: &Fleet,
         run: u64,
@@ -99,12 +102,12 @@
         })
     }
 
-    /// Other keys from now on; `false`: they can't be used, and all stays.
+    /// Replaces the keys. Returns `false`, and keeps the old ones, if the new ones can't be used.
     pub fn rekey(&mut self, keys: &[settings::Key]) -> bool {
-        let fresh = Keys::new(&self.fleet, keys);
-        let usable = fresh.is_some();
-        if let Some(fresh) = fresh {
-            self.keys = fresh;
+        let replacement = Keys::new(&self.fleet, keys);
+        let usable = replacement.is_some();
+        if let Some(replacement) = replacement {
+            self.keys = replacement;
         }
         usable
     }
@@ -119,7 +122,7 @@
         }
     }
 
-    /// Whatever comes first after a stop shows it.
+    /// Detects that the process was stopped, on whichever input comes first after it.
     fn detect_pause(&mut self, now: Time) {
         self.members.detect_pause(now, self.next_due);
         self.next_due = self.next_due.max(now);
@@ -133,8 +136,8 @@
         self.traffic.bytes_in += bytes.len() as u64;
         let packet = match self.keys.open(bytes) {
             Ok(packet) => packet,
-            Err(why) => {
-                *self.refused.entry(why).or_default() += 1;
+            Err(reason) => {
+                *self.refused.entry(reason).or_default() += 1;
                 return;
             }
         };
@@ -185,7 +188,7 @@
         self.relay.forward(now);
     }
 
-    /// An event of the bulletin as it wrote it.
+    /// An event as discovery wrote it.
     pub fn discovery_event(&mut self, now: Time, line: &[u8]) -> Result<(), ListError> {
         self.detect_pause(now);
         self.relay.discovery_event(now, line)?;
@@ -194,20 +197,20 @@
         Ok(())
     }
 
-    /// The bulletin's last number; `false`: it has more than it told.
+    /// Discovery's latest version. Returns `false` if it is newer than the events that were received.
     pub fn discovery_version(&mut self, now: Time, version: u64) -> bool {
         self.detect_pause(now);
-        let fits = self.relay.discovery_version(now, version);
+        let up_to_date = self.relay.discovery_version(now, version);
         self.collect_output(now);
-        fits
+        up_to_date
     }
 
-    /// The connection to the bulletin has ended or did not come up.
+    /// The connection to discovery has ended or could not be established.
     pub fn discovery_closed(&mut self, now: Time) {
         self.relay.discovery_closed(now);
     }
 
-    /// The host keeps a connection to the bulletin while this holds.
+    /// The host keeps a connection to discovery while this is true.
     pub fn wants_discovery(&self) -> bool {
         self.relay.wants_discovery()
     }
@@ -228,13 +231,13 @@
         self.collect_output(now);
     }
 
-    /// The process ends: some are told, the others find out.
+    /// The process is about to end: announces it to some members; the others find out by gossip or by probes.
     pub fn leave(&mut self, now: Time) {
         self.members.leave();
         self.collect_output(now);
     }
 
-    // Time.
+    // Timers.
 
     pub fn next_wake(&self, now: Time) -> Time {
         let at = self.members.next_wake().min(self.relay.next_wake(now));
@@ -261,7 +264,7 @@
     }
 
     fn collect_output(&mut self, now: Time) {
-        // Verdicts of one's own keeper and lines change nothing below, so that one round is enough.
+        // Outputs of relay and leases cause no further outputs of either, so one pass is enough.
         while let Some(out) = self.relay.outbox.pop_front() {
             match out {
                 relay::Output::Send(to, parts) => self.members.send(&to, parts),
@@ -294,7 +297,7 @@
         self.next_due = self.next_wake(now).max(now);
     }
 
-    /// How much is kept, by name.
+    /// Table sizes by name.
     pub fn sizes(&self) -> Vec<(&'static str, usize)> {
         let mut all = self.members.sizes().to_vec();
         all.extend(self.relay.sizes());
@@ -302,7 +305,7 @@
         all
     }
 
-    /// The rules that have to hold after every step; for tests.
+    /// Checks the invariants that hold after every step; for tests.
     pub fn check_invariants(&self, now: Time) -> Result<(), String> {
         self.members.check_invariants()?;
         self.relay.check_invariants()?;
--- a/fleet/src/seal.rs
+++ b/fleet/src/seal.rs
@@ -1,5 +1,6 @@
-//! Packets under the fleet's keys, and the window of numbers against replays (RFC 4303, section 3.4.3). Must never say
-//! that a packet is good before its code was checked, nor hold more of a sender than one window.
+//! Authenticates packets with the fleet's keys, and holds the anti-replay window (RFC 4303, section 3.4.3).
+//!
+//! Invariants: no packet is decoded before its code was verified, and no more than one window is kept per sender.
 
 use crate::wire::{Packet, VERSION};
 use kelpcart_feed::seal;
@@ -7,14 +8,14 @@
 
 pub use kelpcart_feed::seal::{MOST_DATAGRAM, Refused};
 
-/// Numbers behind the newest that may still come.
+/// Packet numbers behind the highest one that are still accepted.
 const WINDOW_SIZE: u64 = 128;
 
-/// The first signs, all of them are good for what comes.
+/// The first key signs; all of them verify.
 pub struct Keys(seal::Keys);
 
 impl Keys {
-    /// `None`: a secret is no row of hex digits, or there is none.
+    /// Returns `None` if there is no key or a secret is not a string of hex digits.
     pub fn new(fleet: &str, keys: &[crate::settings::Key]) -> Option<Keys> {
         seal::Keys::new(fleet, keys).map(Keys)
     }
@@ -29,7 +30,7 @@
     }
 }
 
-/// What has come of one start of one sender.
+/// The packet numbers received from one run of one sender.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReplayWindow {
     highest: u64,
@@ -37,14 +38,14 @@
 }
 
 impl ReplayWindow {
-    /// Notes a number; `false`: it came before, or is too old to tell.
+    /// Records a packet number. Returns `false` if it was received before or is too old to tell.
     pub fn accept(&mut self, number: u64) -> bool {
         if number == 0 {
             return false;
         }
         if number > self.highest {
-            let by = number - self.highest;
-            self.received = if by >= WINDOW_SIZE { 0 } else { self.received << by };
+            let shift = number - self.highest;
+            self.received = if shift >= WINDOW_SIZE { 0 } else { self.received << shift };
             self.received |= 1;
             self.highest = number;
             return true;
--- a/fleet/src/settings.rs
+++ b/fleet/src/settings.rs
@@ -1,5 +1,5 @@
-//! Owns what operators write of the fleet, and its checks: a file that can't be used is told by the path of the field
-//! and what is wrong with it. Must never hold a decision; what is not written has the value that stands here.
+//! The fleet's settings file and its validation. A file that can't be used is reported by the path of the field and
+//! what is wrong with it. Absent fields have the defaults given here.
 
 use kelpcart_feed::settings::{Feed, is_name};
 use schemars::JsonSchema;
@@ -12,20 +12,19 @@
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// The fleet's name; gateways of others are not heard.
+    /// The fleet's name; gateways of other fleets are ignored.
     pub fleet: String,
     /// This gateway's name, unique in its fleet and the same after a restart.
     pub gateway: String,
-    /// Where it hears the others (UDP).
+    /// The address that it listens on for the other gateways (UDP).
     pub listen: SocketAddr,
-    /// Where they reach it, if that is another address (IPv4).
+    /// The address at which the others reach it, if that is a different one (IPv4).
     #[serde(default)]
     pub advertise: Option<SocketAddr>,
-    /// A few gateways that are asked first; its own address among them does no harm. A machine set aside for control has
-    /// none.
+    /// A few gateways that are contacted first; its own address among them does no harm. A control machine has none.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// The first one signs, each of them is good for what comes; read again on SIGHUP.
+    /// The first key signs, each of them verifies; read again on SIGHUP.
     pub keys: Vec<Key>,
     #[serde(default)]
     pub members: Members,
@@ -33,7 +32,7 @@
     pub relays: Relays,
     #[serde(default)]
     pub budgets: Budgets,
-    /// Where many sites are one installation: this fleet is one of them. The list is not relayed then.
+    /// For installations of several sites: this fleet is one of them. The list is then not relayed within the fleet.
     #[serde(default)]
     pub feed: Option<Feed>,
 }
@@ -41,18 +40,19 @@
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Members {
-    /// Gateways that are known at most.
+    /// The maximum number of gateways.
     pub most: usize,
-    /// Gateways that there are, about: one that hears of none shares by it.
+    /// The approximate number of gateways; one that reaches no other takes its share by it.
     pub expected: usize,
-    /// One member is probed this often.
+    /// Interval between probes; each goes to one member.
     pub probe_ms: u64,
-    /// A probe that is not answered by then is repeated through others; the period's end decides.
+    /// A probe that is not acknowledged by then is repeated through other members; it has failed at the end of the
+    /// interval.
     pub answer_ms: u64,
-    /// A member that does not answer is held to be gone after this time at the least; it grows with the decimal
-    /// logarithm of the members beyond ten.
+    /// A member that does not answer is declared dead after this time at the earliest; the time grows with the
+    /// decimal logarithm of the number of members beyond ten.
     pub suspect_ms: u64,
-    /// Bytes a second that news may take beyond probes.
+    /// Bytes per second for gossip beyond what is sent with probes.
     pub news_bytes: u64,
 }
 
@@ -69,19 +69,19 @@
     }
 }
 
-/// How the list of caches comes to all of them.
+/// How the list of caches reaches all gateways.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Relays {
-    /// Without it each gateway asks the bulletin for itself.
+    /// If false, each gateway subscribes to discovery by itself.
     pub on: bool,
-    /// Gateways that ask the bulletin.
+    /// Number of gateways that subscribe to discovery.
     pub askers: usize,
-    /// Members that one gateway tells, about.
+    /// Approximate number of members to which one gateway relays the list.
     pub children: usize,
-    /// News older than this is not held to be fresh: other sources are sought, the bulletin among them.
+    /// A list that was last confirmed longer ago than this is stale: other sources are used, discovery among them.
     pub stale_ms: u64,
-    /// Connections to the bulletin a second, of all gateways together.
+    /// Connections to discovery per second, of all gateways together.
     pub connections_per_s: f64,
     /// The largest list that is relayed, in KB.
     pub most_kb: usize,
@@ -93,21 +93,23 @@
     }
 }
 
-/// What all gateways together may use of caches and parents while they start. Below what these bear.
+/// Limits on the use of caches and parents by all gateways together while they start. Set below the capacity of
+/// these.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Budgets {
-    /// Connections to one member of the list; absent: not counted.
+    /// Connections to one member of the list; absent: no limit.
     pub connections: Option<u32>,
-    /// Gateways that have one object filled at once while the fleet is warming; absent: not counted.
+    /// Gateways that have one object filled at the same time while the fleet is warming; absent: no limit.
     pub fills: Option<u32>,
-    /// Objects that are filled through one cache at once, of all gateways together, while the fleet is warming.
+    /// Objects that all gateways together fill through one cache at the same time while the fleet is warming; absent:
+    /// no limit.
     pub fills_at_cache: Option<u32>,
-    /// A lease ends by itself after this time.
+    /// A lease expires after this time.
     pub lease_ms: u64,
-    /// A txn waits for what others hold for this part of its SLA time at the most.
+    /// The fraction of its SLA time that a txn waits at most for units that others hold.
     pub wait_part: f64,
-    /// A gateway that starts in a cold fleet is warming for so long.
+    /// How long a gateway that starts in a cold fleet is warming.
     pub warming_ms: u64,
 }
 
@@ -143,60 +145,64 @@
         let require = |is: bool, field: &str, what: &'static str| {
             if is { Ok(()) } else { Err(SettingsError::Field(field.to_owned(), what)) }
         };
-        require(is_name(&self.fleet), "fleet", "a name has 1 to 64 visible characters")?;
-        require(is_name(&self.gateway), "gateway", "a name has 1 to 64 visible characters")?;
-        require(self.listen.port() != 0, "listen", "the others have to know the port")?;
+        require(is_name(&self.fleet), "fleet", "must have 1 to 64 visible characters")?;
+        require(is_name(&self.gateway), "gateway", "must have 1 to 64 visible characters")?;
+        require(self.listen.port() != 0, "listen", "the port must be given")?;
         require(
             self.advertised_address().is_ipv4() && self.advertised_address().port() != 0,
             "advertise",
-            "an IPv4 address with its port",
+            "must be an IPv4 address with a port",
         )?;
         let control = self.feed.as_ref().and_then(|f| f.control.as_ref());
         match control {
             Some(control) => {
-                require(self.seeds.is_empty(), "seeds", "a control machine has no members: none are wanted")?;
+                require(
+                    self.seeds.is_empty(),
+                    "seeds",
+                    "must be empty for a control machine, which has no members",
+                )?;
                 require(
                     self.gateway == control.name,
                     "gateway",
-                    "a control machine has the name of its hub",
+                    "must be the name of the hub on a control machine",
                 )?;
             }
-            None => require((1..=16).contains(&self.seeds.len()), "seeds", "1 to 16 are wanted")?,
+            None => require((1..=16).contains(&self.seeds.len()), "seeds", "must have 1 to 16 entries")?,
         }
-        require((1..=4).contains(&self.keys.len()), "keys", "1 to 4 are wanted")?;
+        require((1..=4).contains(&self.keys.len()), "keys", "must have 1 to 4 entries")?;
         let mut ids = BTreeSet::new();
         for (i, key) in self.keys.iter().enumerate() {
-            require(ids.insert(key.id), &format!("keys[{i}].id"), "another key has it")?;
+            require(ids.insert(key.id), &format!("keys[{i}].id"), "used by another key")?;
             let long = key.bytes().is_some_and(|b| b.len() >= 32);
-            require(long, &format!("keys[{i}].secret"), "32 bytes or more in hex digits are wanted")?;
+            require(long, &format!("keys[{i}].secret"), "must be at least 32 bytes in hex digits")?;
         }
         let m = &self.members;
-        require((2..=4_096).contains(&m.most), "members.most", "2 to 4,096")?;
-        require((1..=m.most).contains(&m.expected), "members.expected", "1 to members.most")?;
-        require((100..=60_000).contains(&m.probe_ms), "members.probe_ms", "100 to 60,000")?;
+        require((2..=4_096).contains(&m.most), "members.most", "must be 2 to 4,096")?;
+        require((1..=m.most).contains(&m.expected), "members.expected", "must be 1 to members.most")?;
+        require((100..=60_000).contains(&m.probe_ms), "members.probe_ms", "must be 100 to 60,000")?;
         require(
             m.answer_ms >= 20 && m.answer_ms * 2 <= m.probe_ms,
             "members.answer_ms",
-            "20 to half of probe_ms",
+            "must be 20 to half of probe_ms",
         )?;
-        require(m.suspect_ms >= m.probe_ms, "members.suspect_ms", "probe_ms at the least")?;
-        require(m.news_bytes >= 1_024, "members.news_bytes", "1,024 at the least")?;
+        require(m.suspect_ms >= m.probe_ms, "members.suspect_ms", "must be at least probe_ms")?;
+        require(m.news_bytes >= 1_024, "members.news_bytes", "must be at least 1,024")?;
         let r = &self.relays;
-        require((1..=16).contains(&r.askers), "relays.askers", "1 to 16")?;
-        require((2..=64).contains(&r.children), "relays.children", "2 to 64")?;
-        require((1_500..=60_000).contains(&r.stale_ms), "relays.stale_ms", "1,500 to 60,000")?;
+        require((1..=16).contains(&r.askers), "relays.askers", "must be 1 to 16")?;
+        require((2..=64).contains(&r.children), "relays.children", "must be 2 to 64")?;
+        require((1_500..=60_000).contains(&r.stale_ms), "relays.stale_ms", "must be 1,500 to 60,000")?;
         require(
             r.connections_per_s.is_finite() && r.connections_per_s >= 0.1,
             "relays.connections_per_s",
-            "0.1 at the least",
+            "must be at least 0.1",
         )?;
-        require((16..=16_384).contains(&r.most_kb), "relays.most_kb", "16 to 16,384")?;
+        require((16..=16_384).contains(&r.most_kb), "relays.most_kb", "must be 16 to 16,384")?;
         let b = &self.budgets;
-        require(b.connections != Some(0), "budgets.connections", "1 at the least")?;
-        require(b.fills != Some(0), "budgets.fills", "1 at the least")?;
-        require(b.fills_at_cache != Some(0), "budgets.fills_at_cache", "1 at the least")?;
-        require((200..=60_000).contains(&b.lease_ms), "budgets.lease_ms", "200 to 60,000")?;
-        require((0.0..=0.9).contains(&b.wait_part), "budgets.wait_part", "0 to 0.9")?;
+        require(b.connections != Some(0), "budgets.connections", "must be at least 1")?;
+        require(b.fills != Some(0), "budgets.fills", "must be at least 1")?;
+        require(b.fills_at_cache != Some(0), "budgets.fills_at_cache", "must be at least 1")?;
+        require((200..=60_000).contains(&b.lease_ms), "budgets.lease_ms", "must be 200 to 60,000")?;
+        require((0.0..=0.9).contains(&b.wait_part), "budgets.wait_part", "must be 0 to 0.9")?;
         match &self.feed {
             Some(feed) => {
                 feed.check().map_err(|(field, what)| SettingsError::Field(format!("feed.{field}"), what))
@@ -209,7 +215,7 @@
         self.advertise.unwrap_or(self.listen)
     }
 
-    /// The schema of the file (JSON Schema 2020-12).
+    /// The JSON Schema (2020-12) of the file.
     pub fn schema() -> String {
         serde_json::to_string_pretty(&schemars::schema_for!(Fleet)).unwrap_or_default()
     }
--- a/fleet/src/wire.rs
+++ b/fleet/src/wire.rs
@@ -1,11 +1,13 @@
-//! What gateways of a fleet say to each other (protobuf by prost), and what may stand in it. Must never be trusted
-//! before `seal` has checked its code; a packet that is not sound is thrown away whole.
+//! Messages between the gateways of a fleet (protobuf, encoded by prost) and their validity rules.
+//!
+//! Invariants: no message is used before `seal` has verified its authentication code, and a packet with an invalid
+//! part is discarded as a whole.
 
 use kelpcart_feed::settings::is_name;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
 pub const VERSION: u8 = 1;
-/// Room for what a packet says, so that it fits a datagram with its head.
+/// Payload bytes per packet, so that it fits into a datagram with its header.
 pub const MAX_PAYLOAD_BYTES: usize = 1_200;
 const MAX_PARTS: usize = 64;
 
@@ -13,13 +15,13 @@
 pub struct Packet {
     #[prost(string, tag = "1")]
     pub from: String,
-    /// A number that is new with each start of the sender.
+    /// Unique to each start of the sender.
     #[prost(fixed64, tag = "2")]
     pub run: u64,
-    /// The receiver's, as the sender knows it; 0: it does not.
+    /// The receiver's run as the sender knows it; 0 if it does not.
     #[prost(fixed64, tag = "3")]
     pub to_run: u64,
-    /// Counts up with each packet of the run.
+    /// Packet number, increasing within the run.
     #[prost(uint64, tag = "4")]
     pub number: u64,
     #[prost(message, repeated, tag = "5")]
@@ -34,25 +36,25 @@
 
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Payload {
-    /// Who the sender is; with the number that it was challenged with.
+    /// Introduces the sender; answers a challenge by its nonce.
     #[prost(message, tag = "1")]
     Hello(Hello),
     #[prost(fixed64, tag = "2")]
     Challenge(u64),
-    /// What is known of a member.
+    /// A gossip update: the state of a member.
     #[prost(message, tag = "3")]
     Update(MemberRecord),
     #[prost(message, tag = "4")]
     Ping(Ping),
     #[prost(message, tag = "5")]
     Ack(Ping),
-    /// Ask this member for a sign of life in the sender's place.
+    /// Asks the receiver to probe a member on the sender's behalf.
     #[prost(message, tag = "6")]
     PingReq(PingReq),
-    /// The helper is alive and has no answer from the member yet.
+    /// The helper is alive and has no ack from the target yet.
     #[prost(uint64, tag = "7")]
     Nack(u64),
-    /// The sender leaves.
+    /// The sender leaves the fleet.
     #[prost(bool, tag = "8")]
     Leave(bool),
     #[prost(message, tag = "9")]
@@ -67,7 +69,7 @@
     LeaseRequests(LeaseRequests),
     #[prost(message, tag = "14")]
     Grants(Grants),
-    /// No room for one more that follows.
+    /// The sender has no room for another subscriber.
     #[prost(bool, tag = "15")]
     SubscriptionRefused(bool),
 }
@@ -78,7 +80,7 @@
     pub record: Option<MemberRecord>,
     #[prost(fixed64, tag = "2")]
     pub nonce: u64,
-    /// It wants to know who is there.
+    /// It asks for the member list.
     #[prost(bool, tag = "3")]
     pub joining: bool,
 }
@@ -106,20 +108,20 @@
     pub incarnation: u64,
     #[prost(enumeration = "MemberState", tag = "6")]
     pub state: i32,
-    /// Who says so, where it is no good news.
+    /// The member that reports the state, unless the state is alive.
     #[prost(string, tag = "7")]
     pub reported_by: String,
 }
 
-/// What a member says of itself with each probe and its answer.
+/// What a member reports about itself with each probe and ack.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Ping {
     #[prost(uint64, tag = "1")]
     pub seq: u64,
-    /// Its incarnation.
+    /// The sender's incarnation.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// How much and what it knows of members, as one number.
+    /// Digest of the live members that it knows.
     #[prost(fixed64, tag = "3")]
     pub members_digest: u64,
     #[prost(message, optional, tag = "4")]
@@ -136,46 +138,46 @@
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Subscribe {
-    /// Only numbers are wanted, no events.
+    /// Only heartbeats are wanted, no events.
     #[prost(bool, tag = "1")]
     pub heartbeats_only: bool,
-    /// No more of it.
+    /// Ends the subscription.
     #[prost(bool, tag = "2")]
     pub unsubscribe: bool,
 }
 
-/// How far the sender's list goes and how old that knowledge is.
+/// Version, digest and age of the sender's list.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Heartbeat {
     #[prost(uint64, tag = "1")]
     pub version: u64,
-    /// Of the list as it is at that number.
+    /// Digest of the list at that version.
     #[prost(fixed64, tag = "2")]
     pub digest: u64,
-    /// Microseconds since the bulletin said that there is no more than that.
+    /// Microseconds since discovery confirmed that there is no newer version.
     #[prost(uint64, tag = "3")]
     pub age_us: u64,
-    /// Members between the sender and the bulletin.
+    /// Relay hops between the sender and discovery.
     #[prost(uint32, tag = "4")]
     pub depth: u32,
-    /// Events behind `after` up to `no`, a line each; empty: only the number is told.
+    /// Events after `after` up to `version`, one per line; empty if there are none in this datagram.
     #[prost(uint64, tag = "5")]
     pub after: u64,
     #[prost(bytes = "vec", tag = "6")]
     pub lines: Vec<u8>,
-    /// The sender serves fully: the caches are not cold.
+    /// The sender is serving without the warm-up limits: the caches are not cold.
     #[prost(bool, tag = "7")]
     pub warm: bool,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Fetch {
-    /// What is there behind this number; `whole`: the list as it is.
+    /// Requests the events after this version or, with `snapshot`, the complete list.
     #[prost(uint64, tag = "1")]
     pub after: u64,
     #[prost(bool, tag = "2")]
     pub snapshot: bool,
-    /// The last number of an answer that has begun; 0: as far as it goes.
+    /// The version of a transfer that has begun; 0: the latest.
     #[prost(uint64, tag = "3")]
     pub to: u64,
     #[prost(uint32, repeated, tag = "4")]
@@ -186,7 +188,7 @@
 pub struct Chunk {
     #[prost(uint64, tag = "1")]
     pub after: u64,
-    /// These are the whole list and the purges of late, not events.
+    /// The chunks are a snapshot and recent purges, not events.
     #[prost(bool, tag = "2")]
     pub snapshot: bool,
     #[prost(uint64, tag = "3")]
@@ -201,7 +203,7 @@
     pub bytes: Vec<u8>,
 }
 
-/// Asks the keeper of a budget.
+/// Requests to the lessor of the budgets.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct LeaseRequests {
     #[prost(message, repeated, tag = "1")]
@@ -214,10 +216,10 @@
     pub key: u64,
     #[prost(enumeration = "BudgetKind", tag = "2")]
     pub kind: i32,
-    /// So many in all, those held already included; 0: all given back.
+    /// Total number of units wanted, including those already held; 0 releases all.
     #[prost(uint32, tag = "3")]
     pub units: u32,
-    /// What it was held for is done: nobody needs to do it again.
+    /// The work that the units were leased for is finished; nobody needs to repeat it.
     #[prost(bool, tag = "4")]
     pub done: bool,
 }
@@ -246,10 +248,10 @@
     pub units: u32,
     #[prost(uint64, tag = "4")]
     pub duration_us: u64,
-    /// It is done, or not counted any more: go on without.
+    /// The work is done, or the budget is not limited any more: go on without a lease.
     #[prost(bool, tag = "5")]
     pub not_required: bool,
-    /// Others wait for some of them.
+    /// Other members wait for units.
     #[prost(bool, tag = "6")]
     pub contended: bool,
 }
@@ -267,7 +269,7 @@
     }
 }
 
-/// Only IPv4: what is not has no place in a record.
+/// The address as it stands in a member record, which holds IPv4 only; (0, 0) for IPv6.
 pub fn ipv4_and_port(address: SocketAddr) -> (u32, u32) {
     match address {
         SocketAddr::V4(a) => (u32::from(*a.ip()), a.port().into()),
--- a/fleet/tests/wire.rs
+++ b/fleet/tests/wire.rs
@@ -92,7 +92,7 @@
         "keys": [{"id": 1, "secret": "ab".repeat(32)}]});
     assert!(Fleet::read(&good.to_string()).is_ok());
     for (path, value, told) in [
-        ("/fleet", json!(""), "fleet: a name"),
+        ("/fleet", json!(""), "fleet: must have 1 to 64"),
         ("/listen", json!("127.0.0.1:0"), "listen: "),
         ("/listen", json!("[::1]:7600"), "advertise: "),
         ("/seeds", json!([]), "seeds: "),
--- a/gateway/src/fleet.rs
+++ b/gateway/src/fleet.rs
@@ -1,6 +1,7 @@
-//! Joins the gateway to its fleet: one UDP socket, the bulletin's connection while the core wants one, events to the
-//! dispatcher, and permits of budgets in common to hops. Owns no decision: who asks, what is believed and what is lent is
-//! decided by the core in `kelpcart-fleet`. Nothing of it runs unless `KELPCART_FLEET` names a file.
+//! Connects the gateway to its fleet: one UDP socket, the discovery connection while the core wants one, events for
+//! the dispatcher, and permits of the shared budgets for hops. All decisions (who subscribes to discovery, what is
+//! trusted, what is leased) are made by the core in `kelpcart-fleet`. Nothing here runs unless `KELPCART_FLEET` names
+//! a file.
 
 use crate::Tasks;
 use crate::caches::Caches;
@@ -28,29 +29,30 @@
 use std::net::UdpSocket;
 use std::rc::Rc;
 
-/// Datagrams that are taken in before others have their turn.
+/// Datagrams received in a row before other tasks have their turn.
 const MAX_DATAGRAMS_PER_TURN: usize = 64;
 const MIN_SLEEP: Span = Span::from_millis(1);
 
 pub struct Fleet {
     node: RefCell<Node>,
-    /// Where many sites are one installation. It shares the socket, and the list comes by it.
+    /// Set for installations of several sites. The feed shares the socket, and the list comes by it.
     pub feed: Option<Rc<Feed>>,
-    /// The members that the feed was told of.
+    /// The version of the member list that the feed has.
     members_version_sent: Cell<u64>,
     socket: Rc<Async<UdpSocket>>,
     clock: Clock,
     counters: Rc<Counters>,
     dispatcher: Sender<Event>,
     names: Names,
-    /// The core was told something: its next time may have moved.
+    /// Notified when the core's next wake time may have moved forward.
     wake: Notify,
     sleeping_until: Cell<Time>,
-    /// Whether the bulletin is to be asked has changed.
+    /// Notified when `discovery_wanted` has changed.
     discovery_changed: Notify,
     discovery_wanted: Cell<bool>,
     pending: RefCell<BTreeMap<u64, (BudgetKey, Sender<Decision>)>>,
-    /// What has come back. Guards who drops a connection in the middle of its own tables from being called back there.
+    /// Released units and cancelled requests, queued so that code that drops a connection while it uses its own
+    /// tables is not called back from here.
     returned: RefCell<Vec<Returned>>,
     next_ticket: Cell<u64>,
     caches: Rc<Caches>,
@@ -59,7 +61,7 @@
 }
 
 enum Returned {
-    /// Nobody waits under this ticket any more; one unit may have been lent for it meanwhile.
+    /// The request was dropped; one unit may have been granted for it meanwhile.
     Ticket {
         ticket: u64,
         granted: Option<BudgetKey>,
@@ -70,7 +72,7 @@
     },
 }
 
-/// What the rest of the gateway lends.
+/// Shared parts of the gateway that the fleet uses.
 pub struct Resources {
     pub tasks: Tasks,
     pub clock: Clock,
@@ -80,7 +82,7 @@
 }
 
 impl Fleet {
-    /// `known`: the configuration's events of the start.
+    /// `initial_events`: the events of the configuration.
     pub fn start(
         resources: Resources,
         text: &str,
@@ -138,23 +140,23 @@
         let (receiver, timers) = (Rc::clone(&fleet), Rc::clone(&fleet));
         resources.tasks.spawn(async move { receiver.receive_datagrams().await }).detach();
         resources.tasks.spawn(async move { timers.run_timers().await }).detach();
-        log::info!("{} is of the fleet {} at {}", file.gateway, file.fleet, file.listen);
+        log::info!("{} joins the fleet {} at {}", file.gateway, file.fleet, file.listen);
         Ok(fleet)
     }
 
-    /// Reads the keys again; with a file that can't be used all stays.
+    /// Replaces the keys by those of the file; keeps the old ones if the file can't be used.
     pub fn rekey(&self, text: Result<String, String>) {
         let file = text.and_then(|text| File::read(&text).map_err(|e| e.to_string()));
         match file {
             Ok(file) if self.node.borrow_mut().rekey(&file.keys) => {
                 self.feed.iter().for_each(|feed| feed.reread(&file));
                 self.counters.add("fleet keys read again");
-                log::info!("the fleet's keys are as they are now in its file");
+                log::info!("fleet keys reloaded");
             }
-            Ok(_) => log::warn!("the fleet's keys can't be used; they stay"),
+            Ok(_) => log::warn!("the fleet's new keys can't be used; keeping the old ones"),
             Err(why) => {
                 self.counters.add("fleet keys that can't be used");
-                log::warn!("the fleet's file: {why}; its keys stay");
+                log::warn!("failed to reload the fleet's settings file: {why}; keeping the old keys");
             }
         }
     }
@@ -176,8 +178,8 @@
                         self.process_output();
                         self.wake_if_earlier(now);
                     }
-                    // A closed port at the other end is told as a refusal on the next call.
-                    Err(e) => log::debug!("the fleet's socket: {e}"),
+                    // A closed port at the remote end shows up as an error on the next call.
+                    Err(e) => log::debug!("fleet socket: {e}"),
                 }
             }
             future::yield_now().await;
@@ -203,32 +205,32 @@
                 node.tick(now);
             }
             self.process_output();
-            let moved = self.wake.listen();
+            let woken = self.wake.listen();
             if !self.returned.borrow().is_empty() {
                 future::yield_now().await;
                 continue;
             }
-            // Whatever the core asks for, the others of the process have their turn.
+            // Leaves the other tasks of the process their turn, whatever the core asks for.
             let at = self.node.borrow().next_wake(now).max(now + MIN_SLEEP);
             self.sleeping_until.set(at);
-            self.clock.by(at, moved).await;
+            self.clock.by(at, woken).await;
         }
     }
 
-    /// Has the core called sooner where what came asks for it.
+    /// Wakes the timer task if the core's next wake time is earlier than the time until which it sleeps.
     fn wake_if_earlier(&self, now: Time) {
         if self.node.borrow().next_wake(now) < self.sleeping_until.get() {
             self.wake.notify(1);
         }
     }
 
-    /// Does what the core wants done.
+    /// Carries out the core's outputs.
     fn process_output(&self) {
         loop {
             let Some(out) = self.node.borrow_mut().poll() else { break };
             match out {
                 Output::Datagram(to, bytes) => {
-                    // Lost here or on the way is the same to the core.
+                    // To the core a failed send is the same as a lost datagram.
                     if self.socket.get_ref().send_to(&bytes, to).is_err() {
                         self.counters.add("fleet datagrams not sent");
                     }
@@ -236,7 +238,7 @@
                 Output::Event(line) => self.forward_event(&line),
                 Output::Decision(ticket, decision) => {
                     let pending = self.pending.borrow_mut().remove(&ticket);
-                    // It has room for the one verdict that there is; nobody may wait for it any more.
+                    // The channel has room for the only decision; the send fails if nobody waits for it any more.
                     if let Some((key, sender)) = pending
                         && sender.try_send(decision).is_err()
                         && decision == Decision::Granted
@@ -258,7 +260,7 @@
             let node = self.node.borrow();
             let version = node.members.version;
             if self.members_version_sent.replace(version) != version {
-                feed.members(node.members.others().map(|(name, known)| (&**name, known.address)));
+                feed.members(node.members.others().map(|(name, member)| (&**name, member.address)));
             }
         }
         if self.discovery_wanted.replace(wanted) != wanted {
@@ -274,18 +276,18 @@
         match value.map_err(|e| e.to_string()).and_then(|v| config::parse_event(&v, &self.names)) {
             Ok((_, Some(event))) => {
                 self.counters.add("bulletin events");
-                // It fails only when the dispatcher has ended, and with it the process.
+                // Fails only if the dispatcher has ended, and with it the process.
                 _ = self.dispatcher.try_send(Event::Discovery(event));
             }
             Ok((_, None)) => {}
             Err(why) => {
                 self.counters.add("fleet events that can't be used");
-                log::warn!("an event of the list can't be used: {why}");
+                log::warn!("event of the cache list can't be used: {why}");
             }
         }
     }
 
-    /// Tells the core something, and does what comes of it.
+    /// Calls the core and carries out the outputs that follow.
     fn with_node<T>(&self, call: impl FnOnce(&mut Node, Time) -> T) -> T {
         let now = self.clock.now();
         let result = call(&mut self.node.borrow_mut(), now);
@@ -320,7 +322,7 @@
     }
 }
 
-/// One ticket; if it is dropped before its verdict was taken, what was lent goes back.
+/// A pending request. If it is dropped before its decision was taken, a granted unit is released.
 struct PendingRequest {
     fleet: Rc<Fleet>,
     key: BudgetKey,
@@ -347,7 +349,7 @@
     }
 }
 
-/// Units that go back when it is dropped.
+/// Leased units; released when the permit is dropped.
 struct LeasePermit {
     fleet: Rc<Fleet>,
     keys: Vec<BudgetKey>,
@@ -393,7 +395,7 @@
         let now = fleet.clock.now();
         let until = now + (job.sla_deadline - now) * fleet.wait_part;
         let object = rank::key(&format!("{}/{}/{}", job.rule, job.request.object_name, job.request.part));
-        let at = (BudgetKind::FillsAtCache, rank::key(&job.member));
+        let cache = (BudgetKind::FillsAtCache, rank::key(&job.member));
         let first = fleet.request((BudgetKind::Fill, object), until);
         Some(Box::pin(async move {
             let mut permit = LeasePermit { fleet: Rc::clone(&fleet), keys: Vec::new(), done: false };
@@ -403,10 +405,10 @@
                 Decision::NotRequired => {}
                 Decision::Denied => return None,
             }
-            // The copy is near already where somebody else had it filled.
+            // No second unit is needed if another gateway had the object filled: its copy is already close.
             if !permit.keys.is_empty() {
-                match fleet.request(at, until).decision().await {
-                    Decision::Granted => permit.keys.push(at),
+                match fleet.request(cache, until).decision().await {
+                    Decision::Granted => permit.keys.push(cache),
                     Decision::NotRequired => {}
                     Decision::Denied => return None,
                 }
@@ -468,7 +470,7 @@
     }
 }
 
-/// The bulletin's lines go to the core, which passes them on to the dispatcher and the others.
+/// Passes discovery's events to the core, which forwards them to the dispatcher and to other members.
 pub struct DiscoverySubscriber(pub Rc<Fleet>);
 
 impl Subscriber for DiscoverySubscriber {
@@ -481,9 +483,13 @@
         if line.is_empty() {
             return Ok(());
         }
-        if let Some(no) = crate::digits(line) {
-            let fits = self.0.with_node(|node, now| node.discovery_version(now, no));
-            return if fits { Ok(()) } else { Err(format!("number {no} after {}", self.after())) };
+        if let Some(version) = crate::digits(line) {
+            let up_to_date = self.0.with_node(|node, now| node.discovery_version(now, version));
+            return if up_to_date {
+                Ok(())
+            } else {
+                Err(format!("version {version} does not follow {}", self.after()))
+            };
         }
         self.0.with_node(|node, now| node.discovery_event(now, line)).map_err(|e| e.to_string())
     }
--- a/gateway/tests/fleet.rs
+++ b/gateway/tests/fleet.rs
@@ -212,7 +212,7 @@
     while !wrong.has_ended() && begun.elapsed() < Duration::from_secs(10) {
         thread::sleep(Duration::from_millis(10));
     }
-    assert!(wrong.has_ended() && wrong.log().contains("keys: 1 to 4 are wanted"), "{}", wrong.log());
+    assert!(wrong.has_ended() && wrong.log().contains("keys: must have 1 to 4 entries"), "{}", wrong.log());
     _ = std::fs::remove_dir_all(folder);
 }
 
