--- a/fleet/tests/deploy.rs
+++ b/fleet/tests/deploy.rs
@@ -1,4 +1,4 @@
-//! What operators start from is what the program reads.
+//! The example files in deploy/ are accepted by the program, and the schema there is current.
 
 use kelpcart::Time;
 use kelpcart_feed::Feed;
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn the_example_file_can_be_used_and_the_schema_is_the_present_one() {
+fn the_example_file_is_valid_and_the_schema_is_current() {
     Fleet::read(&read("fleet.json")).unwrap();
     assert_eq!(read("fleet.schema.json").trim(), Fleet::schema());
 }
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_file_of_the_feed_that_can_not_be_used_names_its_field() {
+fn an_invalid_feed_setting_is_reported_by_its_field() {
     let refused = |of: &str, path: &str, value: Value| {
         let mut file: Value = serde_json::from_str(&read(of)).unwrap();
         *file.pointer_mut(path).unwrap() = value;
--- a/fleet/tests/model.rs
+++ b/fleet/tests/model.rs
@@ -1,5 +1,5 @@
-//! The core of the fleet in simulated time: hard cases one by one, and random schedules with the rules after every step.
-//! `FLEET_STEPS` seconds of schedule and `FLEET_SEEDS` make the random part longer.
+//! The fleet's core in simulated time: difficult cases one by one, and random schedules with all invariants checked
+//! after every step. `FLEET_STEPS` (seconds of schedule) and `FLEET_SEEDS` make the random part longer.
 
 use kelpcart_fleet::lease::Decision;
 use kelpcart_fleet::node::Phase;
@@ -9,11 +9,11 @@
 use rand::Rng;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-const NO_CHANGE: fn(usize, &mut serde_json::Value) = |_, _| ();
+const DEFAULT_SETTINGS: fn(usize, &mut serde_json::Value) = |_, _| ();
 
 #[test]
-fn all_start_at_once_and_a_few_ask() {
-    let mut net = Net::new(60, 1, NO_CHANGE);
+fn a_simultaneous_start_leaves_few_discovery_connections() {
+    let mut net = Net::new(60, 1, DEFAULT_SETTINGS);
     net.start_all();
     net.run(ms(5_000));
     net.all_told().unwrap();
@@ -25,12 +25,12 @@
 }
 
 #[test]
-fn a_bulletin_that_is_down_at_the_start_is_not_stormed() {
-    let mut net = Net::new(60, 2, NO_CHANGE);
+fn discovery_down_at_the_start_is_not_overloaded() {
+    let mut net = Net::new(60, 2, DEFAULT_SETTINGS);
     net.bulletin_up = false;
     net.start_all();
     net.run(ms(10_000));
-    // Ten a second of all together are allowed.
+    // The limit is ten attempts per second of all gateways together.
     assert!(net.attempts <= 110, "{} attempts", net.attempts);
     net.bulletin_up = true;
     net.run(ms(5_000));
@@ -39,14 +39,15 @@
 }
 
 #[test]
-fn askers_killed_twice_in_a_row_are_replaced() {
-    let mut net = Net::new(40, 3, NO_CHANGE);
+fn discovery_subscribers_killed_twice_in_a_row_are_replaced() {
+    let mut net = Net::new(40, 3, DEFAULT_SETTINGS);
     net.start_all();
     net.run(ms(8_000));
     for _ in 0..2 {
-        let askers: Vec<usize> = net.live().into_iter().filter(|&i| net.node(i).wants_discovery()).collect();
-        assert!(!askers.is_empty());
-        askers.into_iter().for_each(|i| net.kill(i));
+        let subscribers: Vec<usize> =
+            net.live().into_iter().filter(|&i| net.node(i).wants_discovery()).collect();
+        assert!(!subscribers.is_empty());
+        subscribers.into_iter().for_each(|i| net.kill(i));
         let no = net.purge(7);
         net.run(ms(12_000));
         assert_eq!(net.events.len() as u64, no);
@@ -56,8 +57,8 @@
 }
 
 #[test]
-fn a_purge_is_everywhere_soon_also_when_a_source_on_each_level_dies() {
-    let mut net = Net::new(120, 4, NO_CHANGE);
+fn a_purge_spreads_fast_although_one_relay_on_each_level_dies() {
+    let mut net = Net::new(120, 4, DEFAULT_SETTINGS);
     net.start_all();
     net.run(ms(10_000));
     let depth = |net: &Net, i: usize| net.node(i).relay.heartbeat(net.sim.now).depth;
@@ -76,9 +77,9 @@
 }
 
 #[test]
-fn one_that_declares_all_others_gone_is_not_believed() {
+fn a_member_that_declares_all_others_dead_is_ignored() {
     use kelpcart_fleet::wire::{MemberRecord, MemberState, Payload, ipv4_and_port};
-    let mut net = Net::new(20, 5, NO_CHANGE);
+    let mut net = Net::new(20, 5, DEFAULT_SETTINGS);
     net.start_all();
     net.run(ms(12_000));
     for _ in 0..20 {
@@ -106,13 +107,13 @@
         net.run(ms(1_000));
         assert_eq!(net.seen(), (20, 20));
     }
-    let unheard: u64 = (1..20).map(|i| net.node(i).members.counts.claims_ignored).sum();
-    assert!(unheard > 0, "the liar is still heard");
+    let ignored: u64 = (1..20).map(|i| net.node(i).members.counts.claims_ignored).sum();
+    assert!(ignored > 0, "the lying member's claims are still accepted");
 }
 
 #[test]
-fn stopped_ones_do_not_make_others_look_gone() {
-    let mut net = Net::new(40, 6, NO_CHANGE);
+fn stopped_processes_do_not_declare_others_dead() {
+    let mut net = Net::new(40, 6, DEFAULT_SETTINGS);
     net.sim.loss = 0.1;
     net.start_all();
     net.run(ms(12_000));
@@ -129,24 +130,24 @@
 }
 
 #[test]
-fn two_halves_find_each_other_again() {
-    let mut net = Net::new(24, 7, NO_CHANGE);
+fn two_partitions_merge_again() {
+    let mut net = Net::new(24, 7, DEFAULT_SETTINGS);
     net.start_all();
     net.run(ms(10_000));
-    let sides = |i: usize| i % 2;
+    let side = |i: usize| i % 2;
     for a in 0..24 {
         for b in 0..24 {
-            if sides(a) != sides(b) {
+            if side(a) != side(b) {
                 net.sim.cuts.insert((a, b));
             }
         }
-        if sides(a) == 1 {
+        if side(a) == 1 {
             net.cut_from_bulletin.insert(a);
         }
     }
     net.run(ms(25_000));
     assert!(net.seen().1 <= 13, "{:?}", net.seen());
-    // The half without a bulletin keeps to its part of the pace and knows that its list is old.
+    // The partition without discovery keeps to its share of the rate and knows that its list is old.
     let odd: Vec<usize> = (0..24).filter(|i| i % 2 == 1).collect();
     assert!(odd.iter().all(|&i| !net.node(i).relay.is_fresh(net.sim.now)));
     let before = net.attempts;
@@ -162,11 +163,11 @@
 }
 
 #[test]
-fn a_one_way_cut_hurts_nobody_else() {
-    let mut net = Net::new(20, 8, NO_CHANGE);
+fn a_one_way_partition_affects_no_other_member() {
+    let mut net = Net::new(20, 8, DEFAULT_SETTINGS);
     net.start_all();
     net.run(ms(10_000));
-    // g5 hears nothing; what it says arrives.
+    // g5 receives nothing, but what it sends arrives.
     for i in 0..20 {
         net.sim.cuts.insert((i, 5));
     }
@@ -181,13 +182,13 @@
 }
 
 #[test]
-fn old_news_sent_again_change_nothing() {
-    let mut net = Net::new(16, 9, NO_CHANGE);
+fn replayed_datagrams_change_nothing() {
+    let mut net = Net::new(16, 9, DEFAULT_SETTINGS);
     net.sim.records = 5_000;
     net.start_all();
     net.run(ms(6_000));
     net.sim.records = 0;
-    // One leaves for good, one comes back by a new start.
+    // One is gone for good, one comes back with a new run.
     net.kill(15);
     net.kill(14);
     net.run(ms(12_000));
@@ -207,7 +208,7 @@
 }
 
 #[test]
-fn another_fleet_with_the_same_seeds_is_not_heard() {
+fn a_fleet_with_other_keys_and_the_same_seeds_is_ignored() {
     let mut net = Net::new(16, 10, |i, v| {
         if i >= 8 {
             v["keys"][0]["secret"] = "29".repeat(32).into();
@@ -222,8 +223,8 @@
 }
 
 #[test]
-fn keys_change_in_the_middle_of_a_start() {
-    let mut net = Net::new(30, 11, NO_CHANGE);
+fn keys_can_change_during_a_start() {
+    let mut net = Net::new(30, 11, DEFAULT_SETTINGS);
     net.start_all();
     net.run(ms(300));
     let key = |id: u32, byte: &str| kelpcart_fleet::settings::Key { id, secret: byte.repeat(32) };
@@ -242,26 +243,26 @@
 }
 
 #[test]
-fn a_relayer_that_makes_up_or_keeps_back_events_is_found_out() {
+fn a_relay_that_invents_or_withholds_events_is_detected() {
     use kelpcart_fleet::wire::{Heartbeat, Payload};
-    let mut net = Net::new(40, 12, NO_CHANGE);
+    let mut net = Net::new(40, 12, DEFAULT_SETTINGS);
     net.start_all();
     net.run(ms(10_000));
     let liar = net.live().into_iter().find(|&i| net.node(i).wants_discovery()).unwrap();
-    let no = net.events.len() as u64 + 1;
-    // It says that c1 is gone, which the bulletin never said, and that nothing else happened.
-    let false_line = format!(
-        "{{\"no\":{no},\"roster\":{{\"index\":0,\"snapshot\":false,\"endpoints\":[{{\"name\":\"c1\",\"status\":\"removed\"}}]}}}}\n"
+    let version = net.events.len() as u64 + 1;
+    // It claims that c1 was removed, which discovery never reported, and withholds the real event.
+    let invented_event = format!(
+        "{{\"no\":{version},\"roster\":{{\"index\":0,\"snapshot\":false,\"endpoints\":[{{\"name\":\"c1\",\"status\":\"removed\"}}]}}}}\n"
     );
     let names: Vec<String> = (0..40).map(|i| format!("g{i}")).collect();
     net.with(liar, |n, now| {
         let pulse = Heartbeat {
-            version: no,
+            version,
             digest: 77,
             age_us: 0,
             depth: 0,
-            after: no - 1,
-            lines: false_line.clone().into_bytes(),
+            after: version - 1,
+            lines: invented_event.clone().into_bytes(),
             warm: true,
         };
         names.iter().for_each(|to| n.members.send(to, vec![Payload::Heartbeat(pulse.clone())]));
@@ -273,13 +274,13 @@
     net.all_told().unwrap();
     let digest = net.node(liar).relay.list.digest();
     for i in net.live() {
-        assert_eq!(net.node(i).relay.list.digest(), digest, "g{i} keeps what was made up");
+        assert_eq!(net.node(i).relay.list.digest(), digest, "g{i} keeps the invented event");
     }
 }
 
 #[test]
-fn a_relayer_stopped_and_continued_does_not_pass_for_fresh() {
-    let mut net = Net::new(40, 13, NO_CHANGE);
+fn a_relay_that_was_stopped_does_not_pass_for_fresh() {
+    let mut net = Net::new(40, 13, DEFAULT_SETTINGS);
     net.start_all();
     net.run(ms(10_000));
     let stopped: Vec<usize> = net.live().into_iter().filter(|&i| net.node(i).wants_discovery()).collect();
@@ -297,7 +298,7 @@
 }
 
 #[test]
-fn one_that_starts_alone_in_a_warm_fleet_is_not_slowed() {
+fn a_single_start_in_a_warm_fleet_is_not_delayed() {
     let mut net =
         Net::new(50, 14, |_, v| v["budgets"] = serde_json::json!({"fills": 1, "warming_ms": 5_000}));
     (0..49).for_each(|i| net.start(i));
@@ -313,14 +314,14 @@
 }
 
 #[test]
-fn a_budget_is_never_lent_out_twice_and_what_one_leaves_others_have() {
+fn a_budget_is_never_leased_twice_and_released_units_are_granted_again() {
     let mut net =
         Net::new(30, 15, |_, v| v["budgets"] = serde_json::json!({"connections": 12, "lease_ms": 1_000}));
     net.start_all();
     net.run(ms(10_000));
     let key = (BudgetKind::Connections, 77);
     let until = net.sim.now + ms(2_000);
-    // Two of the thirty want all of it.
+    // Two of the thirty request the whole budget.
     for ticket in 0..12 {
         net.want(3, key, ticket, until);
         net.want(4, key, 100 + ticket, until);
@@ -329,11 +330,11 @@
     let used = |net: &Net| -> u32 { net.live().into_iter().map(|i| net.node(i).leases.usage(key).0).sum() };
     assert_eq!(used(&net), 12);
     net.run(ms(3_000));
-    assert_eq!(used(&net), 12, "leases that are renewed go on");
-    let told = |net: &Net, i: usize, v: Decision| net.verdicts(i).values().filter(|x| x.1 == v).count();
-    let go = told(&net, 3, Decision::Granted) + told(&net, 4, Decision::Granted);
-    assert_eq!((go, told(&net, 3, Decision::Denied) + told(&net, 4, Decision::Denied)), (12, 12));
-    // One is killed with what it held: that ends by itself, and others have it.
+    assert_eq!(used(&net), 12, "renewed leases stay valid");
+    let count = |net: &Net, i: usize, v: Decision| net.verdicts(i).values().filter(|x| x.1 == v).count();
+    let granted = count(&net, 3, Decision::Granted) + count(&net, 4, Decision::Granted);
+    assert_eq!((granted, count(&net, 3, Decision::Denied) + count(&net, 4, Decision::Denied)), (12, 12));
+    // One is killed while it holds units: its leases expire and others get the units.
     let held = net.node(3).leases.usage(key).0;
     net.kill(3);
     let until = net.sim.now + ms(2_500);
@@ -345,7 +346,7 @@
 }
 
 #[test]
-fn an_object_is_filled_by_one_and_the_others_go_on_when_it_is_done() {
+fn an_object_is_filled_once_and_the_others_continue_when_it_is_done() {
     let mut net = Net::new(30, 16, |_, v| v["budgets"] = serde_json::json!({"fills": 1}));
     net.start_all();
     net.run(ms(10_000));
@@ -366,8 +367,8 @@
 }
 
 #[test]
-fn a_gateway_with_a_wrong_clock_is_one_like_others() {
-    let mut net = Net::new(20, 18, NO_CHANGE);
+fn a_gateway_with_a_wrong_clock_behaves_like_any_other() {
+    let mut net = Net::new(20, 18, DEFAULT_SETTINGS);
     net.sim.slots[7].ahead = ms(3_600_000 * 24 * 365);
     net.sim.slots[0].ahead = ms(3_600_000);
     net.start_all();
@@ -380,8 +381,8 @@
 }
 
 #[test]
-fn those_that_come_back_at_once_with_all_seeds_are_known_again_soon() {
-    let mut net = Net::new(16, 20, NO_CHANGE);
+fn members_restarted_together_with_all_seeds_rejoin_soon() {
+    let mut net = Net::new(16, 20, DEFAULT_SETTINGS);
     net.start_all();
     net.run(ms(6_000));
     (0..11).for_each(|i| net.kill(i));
@@ -394,12 +395,12 @@
 }
 
 #[test]
-fn one_that_leaves_asks_for_no_more_turns_than_one_that_stays() {
-    let mut net = Net::new(8, 19, NO_CHANGE);
+fn a_leaving_member_does_not_wake_up_more_often() {
+    let mut net = Net::new(8, 19, DEFAULT_SETTINGS);
     net.start_all();
     net.run(ms(6_000));
     net.with(3, |n, now| n.leave(now));
-    // The net fails where time stands still.
+    // The simulated network panics if a node's timers never advance.
     net.run(ms(3_000));
     let at = net.sim.at(3);
     assert!(net.node(3).next_wake(at) > at);
@@ -409,8 +410,8 @@
 }
 
 #[test]
-fn the_fleet_shrinks_to_a_few_and_serves_on() {
-    let mut net = Net::new(60, 17, NO_CHANGE);
+fn a_fleet_that_shrinks_to_a_few_members_goes_on_serving() {
+    let mut net = Net::new(60, 17, DEFAULT_SETTINGS);
     net.start_all();
     net.run(ms(10_000));
     (5..60).for_each(|i| net.kill(i));
@@ -436,8 +437,8 @@
     }
 }
 
-/// Kills, starts, stops, cuts, loss, repeats, replays and a bulletin that fails, then a calm time after which all have
-/// to agree.
+/// Kills, starts, stops, partitions, loss, duplicates, replays and failures of discovery, then a calm period after
+/// which all members have to agree.
 fn random_schedule(s: Schedule) -> bool {
     const N: usize = 14;
     let mut net =
@@ -471,8 +472,8 @@
                 net.want(i, (kind, (j % 3) as u64), ticket, until);
                 if j % 5 < 3 {
                     net.run(ms(50));
-                    let went = net.verdicts(i).get(&ticket).is_some_and(|v| v.1 == Decision::Granted);
-                    if went && net.runs(i) {
+                    let granted = net.verdicts(i).get(&ticket).is_some_and(|v| v.1 == Decision::Granted);
+                    if granted && net.runs(i) {
                         net.with(i, |n, now| n.release(now, (kind, (j % 3) as u64), j % 5 == 0));
                     }
                 }
@@ -501,7 +502,7 @@
 }
 
 #[test]
-fn random_schedules_keep_the_rules_and_end_in_agreement() {
+fn random_schedules_keep_the_invariants_and_converge() {
     let seeds = std::env::var("FLEET_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(12);
     QuickCheck::new().tests(seeds).quickcheck(random_schedule as fn(Schedule) -> bool);
     println!("{} steps in {seeds} schedules", STEPS.load(Ordering::Relaxed));
--- a/fleet/tests/wire.rs
+++ b/fleet/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Damaged, foreign and overlong input is refused and changes nothing.
+//! Damaged, foreign and oversized input is rejected and changes nothing.
 
 use kelpcart::Time;
 use kelpcart_fleet::list::{List, ListError};
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn only_what_the_fleets_key_signed_is_opened() {
+fn only_packets_signed_with_the_fleets_key_are_opened() {
     let (ours, sealed) = (keys("east", 1, "ab"), keys("east", 1, "ab").seal(&packet()));
     assert_eq!(ours.open(&sealed), Ok(packet()));
     assert_eq!(keys("west", 1, "ab").open(&sealed), Err(Refused::Code));
@@ -31,7 +31,7 @@
 }
 
 quickcheck! {
-    fn a_changed_bit_is_seen(at: usize, bit: u8) -> bool {
+    fn a_changed_bit_is_detected(at: usize, bit: u8) -> bool {
         let mut sealed = keys("east", 1, "ab").seal(&packet());
         let at = at % sealed.len();
         sealed[at] ^= 1 << (bit % 8);
@@ -46,8 +46,8 @@
         before == (list.version(), list.digest(), list.len())
     }
 
-    /// However the events came, the same number has the same list: all of them, or a whole list and the rest.
-    fn a_list_handed_on_is_the_list(changes: Vec<(u8, bool)>, at: usize) -> bool {
+    /// Lists of the same version are equal, whether all events were applied or a snapshot and the rest.
+    fn a_relayed_list_equals_the_original(changes: Vec<(u8, bool)>, at: usize) -> bool {
         let now = Time::default();
         let (mut first, mut second) = (List::new(0, 1 << 20), List::new(0, 1 << 20));
         let event = |no: usize, (name, up): (u8, bool)| {
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn an_event_after_a_gap_is_not_taken() {
+fn an_event_after_a_gap_is_rejected() {
     let mut list = List::new(4, 1_000);
     let line = |no: u64| json!({"no": no, "recall": {"lot": 1, "issued": 5}}).to_string();
     let now = Time::default();
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_file_that_cant_be_used_is_told_by_its_field() {
+fn an_invalid_setting_is_reported_by_its_field() {
     let good = json!({"fleet": "east", "gateway": "g1", "listen": "127.0.0.1:7600", "seeds": ["127.0.0.1:7601"],
         "keys": [{"id": 1, "secret": "ab".repeat(32)}]});
     assert!(Fleet::read(&good.to_string()).is_ok());
--- a/gateway/tests/fleet.rs
+++ b/gateway/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Fleets of the program on loopback, between stand-ins that can be swamped and with faults between every pair. All
-//! servers are simulated. Runs follow one another, since each uses the same part of loopback.
+//! Fleets of gateway processes on loopback, between simulated servers that can be overloaded, with faults on the link
+//! between every pair. The tests run one at a time, since each uses the same loopback addresses.
 
 mod common;
 
@@ -20,24 +20,24 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-static ONE: Mutex<()> = Mutex::new(());
+static RUN_LOCK: Mutex<()> = Mutex::new(());
 
-fn alone() -> MutexGuard<'static, ()> {
-    // One that failed has ended its processes.
-    ONE.lock().unwrap_or_else(|e| e.into_inner())
+fn exclusive() -> MutexGuard<'static, ()> {
+    // A test that panicked has ended its processes, so a poisoned lock does no harm.
+    RUN_LOCK.lock().unwrap_or_else(|e| e.into_inner())
 }
 
 fn event(at: f64, lasts: f64, what: What) -> Event {
     Event { at, lasts, what }
 }
 
-/// Plays a fleet; no rule may be broken and none may end by itself.
-fn play(n: usize, seconds: f64, plan: Vec<Event>, change: impl FnOnce(&mut Options)) -> Outcome {
-    let _alone = alone();
-    play_alone(n, seconds, plan, change)
+/// Runs a fleet; no invariant may be violated and no process may end by itself.
+fn run_fleet(n: usize, seconds: f64, plan: Vec<Event>, change: impl FnOnce(&mut Options)) -> Outcome {
+    let _exclusive = exclusive();
+    run_fleet_locked(n, seconds, plan, change)
 }
 
-fn play_alone(n: usize, seconds: f64, plan: Vec<Event>, change: impl FnOnce(&mut Options)) -> Outcome {
+fn run_fleet_locked(n: usize, seconds: f64, plan: Vec<Event>, change: impl FnOnce(&mut Options)) -> Outcome {
     let folder = std::env::temp_dir().join(format!("kelpcart-fleet-{}", std::process::id()));
     let mut options =
         Options::small(n, seconds, PathBuf::from(env!("CARGO_BIN_EXE_kelpcart")), folder.clone());
@@ -53,71 +53,71 @@
     outcome.report.share(from, to)
 }
 
-/// A counter of each gateway that is still there.
-fn told(outcome: &Outcome, name: &str) -> Vec<f64> {
+/// The values of a counter on all gateways that are still running.
+fn counter(outcome: &Outcome, name: &str) -> Vec<f64> {
     outcome.counters.iter().filter_map(|c| c.get(name).copied()).collect()
 }
 
 #[test]
-fn a_start_at_once_with_the_bulletin_down_does_not_storm_it() {
+fn a_simultaneous_start_does_not_overload_discovery_that_is_down() {
     let plan = vec![event(0.0, 5.0, What::BulletinDown)];
-    let with = play(16, 11.0, plan.clone(), |_| ());
-    // Ten tries a second of all together, and the first ones.
-    assert!(with.list.refused <= 60 && with.list.connections <= 12, "{:?}", with.list);
-    assert!(served(&with, 8, 11) > 0.7, "{}", served(&with, 8, 11));
-    // Without the remedy each asks for itself.
-    let without = play(16, 6.0, plan, |o| o.fleet = false);
-    assert!(without.list.refused > 3 * with.list.refused, "{:?} against {:?}", without.list, with.list);
+    let outcome = run_fleet(16, 11.0, plan.clone(), |_| ());
+    // Ten attempts per second of all gateways together, and the first ones.
+    assert!(outcome.list.refused <= 60 && outcome.list.connections <= 12, "{:?}", outcome.list);
+    assert!(served(&outcome, 8, 11) > 0.7, "{}", served(&outcome, 8, 11));
+    // Without the fleet each gateway connects for itself.
+    let without = run_fleet(16, 6.0, plan, |o| o.fleet = false);
+    assert!(without.list.refused > 3 * outcome.list.refused, "{:?} against {:?}", without.list, outcome.list);
 }
 
 #[test]
-fn a_bulletin_that_dies_with_the_list_half_out_is_asked_again() {
+fn discovery_that_dies_in_the_middle_of_the_list_is_contacted_again() {
     let plan = vec![event(0.0, 3.0, What::BulletinDies(700))];
-    let with = play(12, 10.0, plan, |_| ());
-    assert!(served(&with, 7, 10) > 0.7, "{}", served(&with, 7, 10));
-    assert!(told(&with, "fleet list number").iter().all(|no| *no == 1.0));
+    let outcome = run_fleet(12, 10.0, plan, |_| ());
+    assert!(served(&outcome, 7, 10) > 0.7, "{}", served(&outcome, 7, 10));
+    assert!(counter(&outcome, "fleet list number").iter().all(|no| *no == 1.0));
 }
 
 #[test]
-fn askers_killed_twice_in_a_row_leave_no_purge_unheard() {
+fn no_purge_is_lost_when_discovery_subscribers_are_killed_twice_in_a_row() {
     let mut plan = vec![event(4.0, 1.0, What::KillAskers), event(6.5, 1.0, What::KillAskers)];
     plan.extend((0..20).map(|i| event(4.1 + f64::from(i) * 0.3, 0.0, What::Purge)));
-    // A break of all its connections counts as told 2 s later.
-    let with = play(16, 12.0, plan, |o| o.told_ms = 2_000);
+    // A gateway whose connections all broke counts as informed 2 s later.
+    let outcome = run_fleet(16, 12.0, plan, |o| o.told_ms = 2_000);
     assert!(
-        told(&with, "fleet list number").iter().all(|no| *no == 21.0),
+        counter(&outcome, "fleet list number").iter().all(|no| *no == 21.0),
         "{:?}",
-        told(&with, "fleet list number")
+        counter(&outcome, "fleet list number")
     );
-    assert!(with.list.connections <= 30, "{:?}", with.list);
+    assert!(outcome.list.connections <= 30, "{:?}", outcome.list);
 }
 
 #[test]
-fn askers_stopped_and_continued_with_an_old_list_pass_nothing_old_for_fresh() {
+fn discovery_subscribers_stopped_for_a_while_do_not_pass_old_lists_for_fresh() {
     let mut plan = vec![event(4.0, 4.0, What::StopAskers)];
     plan.extend((0..8).map(|i| event(4.5 + f64::from(i) * 0.4, 0.0, What::Purge)));
-    // One that was stopped for 4 s can't know what was purged meanwhile.
-    let with = play(16, 11.0, plan, |o| o.told_ms = 4_000);
+    // A gateway that was stopped for 4 s can't know what was purged meanwhile.
+    let outcome = run_fleet(16, 11.0, plan, |o| o.told_ms = 4_000);
     assert!(
-        told(&with, "fleet list number").iter().all(|no| *no == 9.0),
+        counter(&outcome, "fleet list number").iter().all(|no| *no == 9.0),
         "{:?}",
-        told(&with, "fleet list number")
+        counter(&outcome, "fleet list number")
     );
-    assert_eq!(told(&with, "fleet lies").iter().sum::<f64>(), 0.0);
+    assert_eq!(counter(&outcome, "fleet lies").iter().sum::<f64>(), 0.0);
 }
 
 #[test]
-fn half_a_fleet_cut_off_comes_back_and_one_that_is_deaf_hurts_nobody() {
+fn a_partition_heals_and_a_member_that_receives_nothing_affects_no_other() {
     let mut plan = vec![event(4.0, 4.0, What::Cut(0.5)), event(9.0, 2.0, What::Deaf(3))];
     plan.extend((0..3).map(|i| event(5.0 + f64::from(i) * 0.4, 0.0, What::Purge)));
-    // Those that are cut off can't know what was purged.
-    let with = play(14, 17.0, plan, |o| o.told_ms = 8_000);
+    // Gateways that are cut off can't know what was purged.
+    let outcome = run_fleet(14, 17.0, plan, |o| o.told_ms = 8_000);
     assert!(
-        told(&with, "fleet list number").iter().all(|no| *no == 4.0),
+        counter(&outcome, "fleet list number").iter().all(|no| *no == 4.0),
         "{:?}",
-        told(&with, "fleet list number")
+        counter(&outcome, "fleet list number")
     );
-    assert!(served(&with, 14, 17) > 0.7, "{}", served(&with, 14, 17));
+    assert!(served(&outcome, 14, 17) > 0.7, "{}", served(&outcome, 14, 17));
 }
 
 #[test]
@@ -128,59 +128,59 @@
         event(4.0, 4.0, What::Bad(8)),
         event(4.5, 0.0, What::Purge),
     ];
-    // Among those killed may be all that were connected to the bulletin.
-    let with = play(16, 12.0, plan, |o| o.told_ms = 2_000);
+    // The killed gateways may include all that were connected to discovery.
+    let outcome = run_fleet(16, 12.0, plan, |o| o.told_ms = 2_000);
     assert!(
-        told(&with, "fleet members live").iter().all(|n| *n == 16.0),
+        counter(&outcome, "fleet members live").iter().all(|n| *n == 16.0),
         "{:?}",
-        told(&with, "fleet members live")
+        counter(&outcome, "fleet members live")
     );
-    assert!(served(&with, 9, 12) > 0.7, "{}", served(&with, 9, 12));
-    assert!(with.caches.values().all(|c| c.fallen == 0));
+    assert!(served(&outcome, 9, 12) > 0.7, "{}", served(&outcome, 9, 12));
+    assert!(outcome.caches.values().all(|c| c.fallen == 0));
 }
 
 #[test]
-fn keys_change_in_the_middle_of_a_start_and_all_are_restarted_by_tenths() {
+fn keys_change_during_a_start_and_a_rolling_restart() {
     let plan = vec![event(0.2, 3.0, What::Rekey), event(4.0, 5.0, What::Roll)];
-    let with = play(10, 15.0, plan, |_| ());
-    let live = told(&with, "fleet members live");
+    let outcome = run_fleet(10, 15.0, plan, |_| ());
+    let live = counter(&outcome, "fleet members live");
     assert!(live.len() == 10 && live.iter().all(|n| *n >= 10.0), "{live:?}");
-    assert!(served(&with, 13, 15) > 0.7, "{}", served(&with, 13, 15));
+    assert!(served(&outcome, 13, 15) > 0.7, "{}", served(&outcome, 13, 15));
 }
 
 #[test]
 fn two_fleets_with_the_same_seeds_and_other_keys_stay_apart() {
-    let with = play(12, 9.0, Vec::new(), |o| o.foreign = 4);
-    let mut live = told(&with, "fleet members live");
+    let outcome = run_fleet(12, 9.0, Vec::new(), |o| o.foreign = 4);
+    let mut live = counter(&outcome, "fleet members live");
     live.sort_by(f64::total_cmp);
     assert!(live[11] <= 8.0 && live[8..].iter().all(|n| *n == 8.0), "{live:?}");
-    assert!(told(&with, "fleet datagrams refused").iter().sum::<f64>() > 0.0);
+    assert!(counter(&outcome, "fleet datagrams refused").iter().sum::<f64>() > 0.0);
 }
 
-/// Each gateway keeps a third of the budgets itself, and others want what it holds all the time.
+/// Each gateway is the lessor of a third of the budgets, and the others want the units that it holds all the time.
 #[test]
-fn a_keeper_that_closes_what_others_want_goes_on() {
-    let with = play(3, 6.0, Vec::new(), |o| (o.connections, o.rate, o.caches) = (Some(2), 150.0, 6));
-    assert!(told(&with, "fleet units wanted").iter().sum::<f64>() > 100.0);
-    assert!(served(&with, 2, 6) > 0.3, "{}", served(&with, 2, 6));
+fn a_lessor_goes_on_while_it_closes_contended_connections() {
+    let outcome = run_fleet(3, 6.0, Vec::new(), |o| (o.connections, o.rate, o.caches) = (Some(2), 150.0, 6));
+    assert!(counter(&outcome, "fleet units wanted").iter().sum::<f64>() > 100.0);
+    assert!(served(&outcome, 2, 6) > 0.3, "{}", served(&outcome, 2, 6));
 }
 
 #[test]
 fn most_of_a_fleet_gone_for_good_leaves_the_rest_serving() {
     let plan = vec![event(5.0, 100.0, What::Kill(0.75))];
-    let with = play(20, 13.0, plan, |_| ());
-    assert!(served(&with, 0, 13) > 0.1);
-    assert_eq!(with.counters.len(), 5);
+    let outcome = run_fleet(20, 13.0, plan, |_| ());
+    assert!(served(&outcome, 0, 13) > 0.1);
+    assert_eq!(outcome.counters.len(), 5);
     assert!(
-        told(&with, "fleet list age us").iter().all(|us| *us < 3e6),
+        counter(&outcome, "fleet list age us").iter().all(|us| *us < 3e6),
         "{:?}",
-        told(&with, "fleet list age us")
+        counter(&outcome, "fleet list age us")
     );
 }
 
 #[test]
-fn off_there_is_no_thread_socket_or_table_of_it_and_on_one_socket() {
-    let _alone = alone();
+fn disabled_it_has_no_thread_socket_or_table_and_enabled_one_socket() {
+    let _exclusive = exclusive();
     let folder = std::env::temp_dir().join(format!("kelpcart-fleet-off-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let bulletin = Bulletin::start(1).unwrap();
@@ -204,7 +204,7 @@
     assert_eq!((sockets, with_sockets, with_threads), (0, 1, threads));
     let counters = off.counters();
     assert!(!counters.is_empty() && !counters.contains("fleet") && !counters.contains("feed"), "{counters}");
-    // A file that can't be used ends the start with its field.
+    // An invalid file ends the start and names the field.
     let mut bad = file.clone();
     bad["keys"] = json!([]);
     let mut wrong = fleet::Process::spawn(&program, &folder, "wrong", &config("wrong"), Some(&bad)).unwrap();
@@ -217,29 +217,32 @@
 }
 
 #[test]
-fn a_day_of_two_sites_by_the_feed_with_purges_at_a_rate_keeps_all_rules() {
+fn a_day_of_two_sites_on_the_feed_with_steady_purges_keeps_all_invariants() {
     let size = Installation { sites: 2, hubs: 2, streams: 2 };
-    let outcome = play(12, 9.0, vec![event(2.0, 5.0, What::Purges(40.0))], |o| {
+    let outcome = run_fleet(12, 9.0, vec![event(2.0, 5.0, What::Purges(40.0))], |o| {
         (o.installation, o.told_ms, o.objects) = (Some(size), fleet_day::FEED_MS, 20);
     });
     let after = outcome.after_purge;
     assert!(after.purges == 200 && after.reads > 50, "{after:?}");
-    assert!(told(&outcome, "fleet members live").iter().all(|n| *n == 6.0));
+    assert!(counter(&outcome, "fleet members live").iter().all(|n| *n == 6.0));
     let last: Vec<f64> = outcome.lists.iter().map(|l| l.0 as f64).collect();
     assert_eq!(last.iter().sum::<f64>(), 201.0);
     for (stream, last) in last.iter().enumerate() {
-        let known = told(&outcome, &format!("fleet feed position {stream}"));
-        assert!(known.len() == 12 && known.iter().all(|n| n == last), "{stream}: {known:?} of {last}");
+        let positions = counter(&outcome, &format!("fleet feed position {stream}"));
+        assert!(
+            positions.len() == 12 && positions.iter().all(|n| n == last),
+            "{stream}: {positions:?} of {last}"
+        );
         let name = format!("fleet feed done everywhere {stream}");
         let done: Vec<f64> = outcome.hubs_counters.iter().filter_map(|c| c.get(&name).copied()).collect();
         assert_eq!(done, [*last; 2]);
     }
 }
 
-/// A member that speaks for itself with the fleet's key, declares all others gone and sends old news again.
+/// A member with the fleet's key that declares all others dead and replays its own old datagrams.
 #[test]
 fn a_member_that_lies_and_replays_does_no_harm() {
-    let _alone = alone();
+    let _exclusive = exclusive();
     switch::next_net();
     let file = Fleet::read(
         &json!({"fleet": "rig", "gateway": "liar", "listen": "127.0.0.1:7699",
@@ -253,35 +256,36 @@
         let mut node =
             Member::new(&Fleet { advertise: Some(switch::reached(10)), ..file }, 7, 7, clock.now(), 0, &[])
                 .unwrap();
-        let (begun, mut bytes, mut old, mut lied) = (Instant::now(), [0; 2_048], Vec::new(), Instant::now());
-        let mut told = 0;
+        let (begun, mut bytes, mut old, mut last_lie) =
+            (Instant::now(), [0; 2_048], Vec::new(), Instant::now());
+        let mut lies_sent = 0;
         while begun.elapsed() < Duration::from_secs(11) {
             socket.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
             if let Ok((n, from)) = socket.recv_from(&mut bytes) {
                 node.handle_datagram(clock.now(), from, &bytes[..n]);
             }
             node.tick(clock.now());
-            if lied.elapsed() > Duration::from_millis(300) {
-                lied = Instant::now();
-                let others: Vec<_> = node.members.others().map(|(n, k)| (n.to_string(), k.clone())).collect();
+            if last_lie.elapsed() > Duration::from_millis(300) {
+                last_lie = Instant::now();
+                let others: Vec<_> = node.members.others().map(|(n, m)| (n.to_string(), m.clone())).collect();
                 let claims: Vec<Payload> = others
                     .iter()
-                    .map(|(name, k)| {
-                        let (ip, port) = ipv4_and_port(k.address);
-                        let (run, incarnation) = (k.run, k.incarnation + 1);
-                        let standing = MemberState::Dead as i32;
+                    .map(|(name, m)| {
+                        let (ip, port) = ipv4_and_port(m.address);
+                        let (run, incarnation) = (m.run, m.incarnation + 1);
+                        let state = MemberState::Dead as i32;
                         Payload::Update(MemberRecord {
                             name: name.clone(),
                             ip,
                             port,
                             run,
                             incarnation,
-                            state: standing,
+                            state,
                             reported_by: "liar".into(),
                         })
                     })
                     .collect();
-                told += claims.len();
+                lies_sent += claims.len();
                 others.iter().for_each(|(name, _)| node.members.send(name, claims.clone()));
                 node.tick(clock.now());
             }
@@ -291,17 +295,17 @@
                     old.push((to, bytes));
                 }
             }
-            // All that it ever said, again.
+            // Replays the datagrams that it sent.
             for (to, bytes) in old.iter().rev().take(20) {
                 _ = socket.send_to(bytes, *to);
             }
             old.truncate(2_000);
         }
-        told
+        lies_sent
     });
-    let with = play_alone(10, 12.0, Vec::new(), |o| (o.guests, o.has_net) = (1, true));
-    let told_lies = hostile.join().unwrap();
-    assert!(told_lies > 0, "it never joined");
-    assert!(told(&with, "fleet falsely gone").iter().all(|n| *n == 0.0));
-    assert!(served(&with, 6, 12) > 0.7, "{}", served(&with, 6, 12));
+    let outcome = run_fleet_locked(10, 12.0, Vec::new(), |o| (o.guests, o.has_net) = (1, true));
+    let lies_sent = hostile.join().unwrap();
+    assert!(lies_sent > 0, "the hostile member never joined");
+    assert!(counter(&outcome, "fleet falsely gone").iter().all(|n| *n == 0.0));
+    assert!(served(&outcome, 6, 12) > 0.7, "{}", served(&outcome, 6, 12));
 }
