--- a/gateway/tests/feed.rs
+++ b/gateway/tests/feed.rs
@@ -7,7 +7,7 @@
 mod installation;
 
 use common::{PATIENCE, held, program};
-use installation::{Installation, TOLD_MS, alone};
+use installation::{Installation, PURGE_DEADLINE_MS, exclusive};
 use kelpcart::interface::MemberState;
 use kelpcart_gateway::config::{self, DiscoveryEvent, Names};
 use kelpcart_gateway::feed::Owners;
@@ -41,9 +41,9 @@
     thread::sleep(WHILE / 3);
     all.kill(order[7]);
     thread::sleep(WHILE);
-    assert!(all.purged() > 20);
-    all.wait_for_all_done();
-    all.end(TOLD_MS + 1_000);
+    assert!(all.stop_purges() > 20);
+    all.wait_for_all_confirmed();
+    all.end(PURGE_DEADLINE_MS + 1_000);
 }
 
 #[test]
@@ -56,13 +56,13 @@
     all.kill(order[0]);
     all.kill(order[1]);
     all.wait_for("a third contact", |all| all.counter(order[2], "fleet feed contacts") >= 1.0);
-    all.wait_for_all_known_so_far();
+    all.wait_for_current_events();
     all.spawn(order[0]);
     all.spawn(order[1]);
     thread::sleep(WHILE);
-    assert!(all.purged() > 20);
-    all.wait_for_all_done();
-    all.end(TOLD_MS + SILENT_MS);
+    assert!(all.stop_purges() > 20);
+    all.wait_for_all_confirmed();
+    all.end(PURGE_DEADLINE_MS + SILENT_MS);
 }
 
 #[test]
@@ -73,7 +73,7 @@
     all.kill(first);
     thread::sleep(WHILE);
     all.spawn(first);
-    all.wait_for_all_known_so_far();
+    all.wait_for_current_events();
     all.kill(first);
     all.kill(second);
     // Contacts ask the list services now.
@@ -82,18 +82,18 @@
     all.spawn(first);
     all.spawn(second);
     thread::sleep(WHILE);
-    assert!(all.purged() > 20);
-    all.wait_for_all_done();
+    assert!(all.stop_purges() > 20);
+    all.wait_for_all_confirmed();
     let asking =
         all.gateways().into_iter().filter(|i| all.counter(*i, "fleet feed list services asked now") > 0.0);
     assert_eq!(asking.count(), 0, "contacts still ask while hubs are heard");
-    all.end(TOLD_MS + SILENT_MS + 2_000);
+    all.end(PURGE_DEADLINE_MS + SILENT_MS + 2_000);
 }
 
 #[test]
 fn a_contact_cut_from_all_hubs_for_a_time_costs_its_site_no_purge() {
     let mut all = Installation::start("feed-cut", &[4, 2], 2, 2);
-    let (order, n) = (all.order(0), all.of.len());
+    let (order, n) = (all.order(0), all.site_of.len());
     all.purge(30);
     let of_hub = |i: usize| i >= n;
     all.switch.cut(true, |a, b| a == order[0] && of_hub(b) || b == order[0] && of_hub(a));
@@ -102,18 +102,18 @@
             || all.counter(order[0], "fleet feed provisional made") > 0.0
     });
     thread::sleep(WHILE);
-    all.wait_for_all_known_so_far();
+    all.wait_for_current_events();
     all.switch.cut(false, |_, _| true);
     thread::sleep(WHILE);
-    assert!(all.purged() > 20);
-    all.wait_for_all_done();
-    all.end(TOLD_MS + SILENT_MS + 1_000);
+    assert!(all.stop_purges() > 20);
+    all.wait_for_all_confirmed();
+    all.end(PURGE_DEADLINE_MS + SILENT_MS + 1_000);
 }
 
 #[test]
 fn a_site_cut_from_all_hubs_hears_purges_by_its_contact() {
     let mut all = Installation::start("feed-site-cut", &[3, 2], 2, 2);
-    let (of, n) = (all.of.clone(), all.of.len());
+    let (of, n) = (all.site_of.clone(), all.site_of.len());
     all.purge(30);
     let cut = |a: usize, b: usize| a < n && of[a] == 0 && b >= n;
     all.switch.cut(true, |a, b| cut(a, b) || cut(b, a));
@@ -129,10 +129,10 @@
     thread::sleep(WHILE);
     all.switch.cut(false, |_, _| true);
     thread::sleep(WHILE);
-    assert!(all.purged() > 20);
-    all.wait_for_all_done();
+    assert!(all.stop_purges() > 20);
+    all.wait_for_all_confirmed();
     all.wait_for("nobody missing", |all| all.not_confirmed(hub).is_empty());
-    all.end(TOLD_MS + SILENT_MS + 2_000);
+    all.end(PURGE_DEADLINE_MS + SILENT_MS + 2_000);
 }
 
 #[test]
@@ -140,9 +140,9 @@
     let mut all = Installation::start("feed-flood", &[5, 2], 2, 2);
     all.purge(400);
     thread::sleep(WHILE * 2);
-    assert!(all.purged() > 500);
-    all.wait_for_all_done();
-    all.end(TOLD_MS + 500);
+    assert!(all.stop_purges() > 500);
+    all.wait_for_all_confirmed();
+    all.end(PURGE_DEADLINE_MS + 500);
 }
 
 #[test]
@@ -151,10 +151,10 @@
     all.switch.weather(|w| (w.loss, w.duplicate, w.reorder, w.jitter_ms) = (0.1, 0.1, 0.1, 20.0));
     all.purge(30);
     thread::sleep(WHILE * 2);
-    assert!(all.purged() > 40);
-    all.wait_for_all_done();
+    assert!(all.stop_purges() > 40);
+    all.wait_for_all_confirmed();
     assert!(all.sum("fleet feed repaired") > 0.0, "nothing was lost");
-    all.end(TOLD_MS + 1_000);
+    all.end(PURGE_DEADLINE_MS + 1_000);
 }
 
 #[test]
@@ -167,11 +167,11 @@
     thread::sleep(WHILE * 2);
     all.signal("CONT", &stopped);
     thread::sleep(WHILE);
-    assert!(all.purged() > 40);
-    all.wait_for_all_done();
+    assert!(all.stop_purges() > 40);
+    all.wait_for_all_confirmed();
     // One that was stopped can't know what was purged meanwhile.
     let more = |i| if stopped.contains(&i) { 2 * WHILE.as_millis() as u64 } else { 0 };
-    all.end_by(|i| TOLD_MS + SILENT_MS + more(i));
+    all.end_by(|i| PURGE_DEADLINE_MS + SILENT_MS + more(i));
 }
 
 #[test]
@@ -180,15 +180,15 @@
     all.purge(30);
     for keys in [vec![1, 2], vec![2, 1], vec![2]] {
         all.keys = keys;
-        all.reread();
+        all.reload_settings();
     }
-    all.purged();
-    all.wait_for_all_done();
+    all.stop_purges();
+    all.wait_for_all_confirmed();
     assert_eq!(all.sum("fleet feed refused seals"), 0.0);
-    all.move_lists();
+    all.move_discovery_services();
     all.purge(30);
     thread::sleep(WHILE / 3);
-    all.wait_for_all_known_so_far();
+    all.wait_for_current_events();
     // The own stream's place came to the gateways by their configuration, the other's by their file.
     let hub = all.hub(0);
     all.kill(hub);
@@ -196,9 +196,9 @@
     all.wait_for("purges by the contact", |all| all.sum("fleet feed provisional") > 0.0);
     thread::sleep(WHILE);
     all.spawn(hub);
-    assert!(all.purged() > 20);
-    all.wait_for_all_done();
-    all.end(TOLD_MS + SILENT_MS + 2_000);
+    assert!(all.stop_purges() > 20);
+    all.wait_for_all_confirmed();
+    all.end(PURGE_DEADLINE_MS + SILENT_MS + 2_000);
 }
 
 #[test]
@@ -206,7 +206,7 @@
     let all = Installation::start("feed-lists", &[3, 2], 2, 2);
     let names = |of: &str, n: usize| (0..n).map(|i| format!("{of}{i}")).collect::<Vec<_>>();
     let lists = |n: f64| {
-        all.wait_for_all_done();
+        all.wait_for_all_confirmed();
         all.wait_for("lists as they were told", |all| {
             all.gateways().into_iter().all(|i| all.counter(i, "fleet feed caches listed") == n)
         });
@@ -225,7 +225,7 @@
     lists(4.0);
     // Nobody asks, follows or tells by the fleet's own relay.
     assert_eq!(all.sum("fleet bulletin asked"), 0.0);
-    all.end(TOLD_MS);
+    all.end(PURGE_DEADLINE_MS);
 }
 
 #[test]
@@ -274,7 +274,7 @@
 
 #[test]
 fn off_there_is_nothing_of_it_and_on_it_has_no_thread_or_socket_of_its_own() {
-    let _alone = alone();
+    let _exclusive = exclusive();
     let folder = std::env::temp_dir().join(format!("kelpcart-feed-off-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let bulletin = Bulletin::start(1).unwrap();
