--- a/fleet/src/relay.rs
+++ b/fleet/src/relay.rs
@@ -48,9 +48,9 @@
 const AVOID_FAILED: Span = Span::from_millis(5_000);
 /// How long it is avoided after it sent inconsistent data.
 const AVOID_INCONSISTENT: Span = Span::from_millis(30_000);
-/// The member set has to be unchanged for this long before one of the first members connects to discovery.
+/// No member may have joined for this long before one of the first members connects to discovery.
 const SETTLE_TIME: Span = Span::from_millis(400);
-/// After this time it connects even if the member set still changes.
+/// After this time it connects even if members are still joining.
 const SETTLE_DEADLINE: Span = Span::from_millis(4_000);
 /// A gateway that has reached no other one for this long connects to discovery by itself.
 const ISOLATED_AFTER: Span = Span::from_millis(2_000);
--- a/fleet/src/wire.rs
+++ b/fleet/src/wire.rs
@@ -269,7 +269,7 @@
     }
 }
 
-/// The address as it stands in a member record, which holds IPv4 only; (0, 0) for IPv6.
+/// The address and port as fields of a member record, which holds IPv4 only; (0, 0) for IPv6.
 pub fn ipv4_and_port(address: SocketAddr) -> (u32, u32) {
     match address {
         SocketAddr::V4(a) => (u32::from(*a.ip()), a.port().into()),
--- a/fleet/tests/model.rs
+++ b/fleet/tests/model.rs
@@ -124,8 +124,8 @@
         stopped.iter().for_each(|&i| net.sim.stop(i, false));
         net.run(ms(3_000));
     }
-    let gone: u64 = (0..40).map(|i| net.node(i).members.counts.declared_dead).sum();
-    assert_eq!(gone, 0);
+    let declared_dead: u64 = (0..40).map(|i| net.node(i).members.counts.declared_dead).sum();
+    assert_eq!(declared_dead, 0);
     net.all_told().unwrap();
 }
 
--- a/fleet/tests/wire.rs
+++ b/fleet/tests/wire.rs
@@ -13,8 +13,8 @@
 }
 
 fn packet() -> Packet {
-    let said = Payload::Fetch(Fetch { after: 7, snapshot: false, to: 0, chunks: vec![0, 1] });
-    Packet { from: "g1".to_owned(), run: 5, to_run: 6, number: 1, parts: vec![Part::from(said)] }
+    let payload = Payload::Fetch(Fetch { after: 7, snapshot: false, to: 0, chunks: vec![0, 1] });
+    Packet { from: "g1".to_owned(), run: 5, to_run: 6, number: 1, parts: vec![Part::from(payload)] }
 }
 
 #[test]
@@ -91,7 +91,7 @@
     let good = json!({"fleet": "east", "gateway": "g1", "listen": "127.0.0.1:7600", "seeds": ["127.0.0.1:7601"],
         "keys": [{"id": 1, "secret": "ab".repeat(32)}]});
     assert!(Fleet::read(&good.to_string()).is_ok());
-    for (path, value, told) in [
+    for (path, value, prefix) in [
         ("/fleet", json!(""), "fleet: must have 1 to 64"),
         ("/listen", json!("127.0.0.1:0"), "listen: "),
         ("/listen", json!("[::1]:7600"), "advertise: "),
@@ -102,7 +102,7 @@
         let mut bad = good.clone();
         *bad.pointer_mut(path).unwrap() = value;
         let why = Fleet::read(&bad.to_string()).unwrap_err().to_string();
-        assert!(why.starts_with(told), "{why}");
+        assert!(why.starts_with(prefix), "{why}");
     }
     let mut bad = good.clone();
     bad["relays"] = json!({"askers": 0});
