--- a/gateway/tests/feed.rs
+++ b/gateway/tests/feed.rs
@@ -7,7 +7,7 @@
 mod installation;
 
 use common::{PATIENCE, held, program};
-use installation::{Installation, TOLD_MS, alone};
+use installation::{Installation, PURGE_DEADLINE_MS, exclusive};
 use kelpcart::interface::MemberState;
 use kelpcart_gateway::config::{self, DiscoveryEvent, Names};
 use kelpcart_gateway::feed::CacheOwners;
@@ -42,9 +42,9 @@
     thread::sleep(FAULT_DURATION / 3);
     all.kill(order[7]);
     thread::sleep(FAULT_DURATION);
-    assert!(all.purged() > 20);
-    all.wait_for_all_done();
-    all.end(TOLD_MS + 1_000);
+    assert!(all.stop_purges() > 20);
+    all.wait_for_all_confirmed();
+    all.end(PURGE_DEADLINE_MS + 1_000);
 }
 
 #[test]
@@ -57,13 +57,13 @@
     all.kill(order[0]);
     all.kill(order[1]);
     all.wait_for("a third contact", |all| all.counter(order[2], "fleet feed contacts") >= 1.0);
-    all.wait_for_all_known_so_far();
+    all.wait_for_current_events();
     all.spawn(order[0]);
     all.spawn(order[1]);
     thread::sleep(FAULT_DURATION);
-    assert!(all.purged() > 20);
-    all.wait_for_all_done();
-    all.end(TOLD_MS + TAKEOVER_MS);
+    assert!(all.stop_purges() > 20);
+    all.wait_for_all_confirmed();
+    all.end(PURGE_DEADLINE_MS + TAKEOVER_MS);
 }
 
 #[test]
@@ -74,7 +74,7 @@
     all.kill(first);
     thread::sleep(FAULT_DURATION);
     all.spawn(first);
-    all.wait_for_all_known_so_far();
+    all.wait_for_current_events();
     all.kill(first);
     all.kill(second);
     // Contacts connect to the list services now.
@@ -83,18 +83,18 @@
     all.spawn(first);
     all.spawn(second);
     thread::sleep(FAULT_DURATION);
-    assert!(all.purged() > 20);
-    all.wait_for_all_done();
+    assert!(all.stop_purges() > 20);
+    all.wait_for_all_confirmed();
     let asking =
         all.gateways().into_iter().filter(|i| all.counter(*i, "fleet feed list services asked now") > 0.0);
     assert_eq!(asking.count(), 0, "contacts are still connected although hubs are live");
-    all.end(TOLD_MS + TAKEOVER_MS + 2_000);
+    all.end(PURGE_DEADLINE_MS + TAKEOVER_MS + 2_000);
 }
 
 #[test]
 fn a_contact_partitioned_from_all_hubs_costs_its_site_no_purge() {
     let mut all = Installation::start("feed-cut", &[4, 2], 2, 2);
-    let (order, n) = (all.order(0), all.of.len());
+    let (order, n) = (all.order(0), all.site_of.len());
     all.purge(30);
     let of_hub = |i: usize| i >= n;
     all.switch.cut(true, |a, b| a == order[0] && of_hub(b) || b == order[0] && of_hub(a));
@@ -103,18 +103,18 @@
             || all.counter(order[0], "fleet feed provisional made") > 0.0
     });
     thread::sleep(FAULT_DURATION);
-    all.wait_for_all_known_so_far();
+    all.wait_for_current_events();
     all.switch.cut(false, |_, _| true);
     thread::sleep(FAULT_DURATION);
-    assert!(all.purged() > 20);
-    all.wait_for_all_done();
-    all.end(TOLD_MS + TAKEOVER_MS + 1_000);
+    assert!(all.stop_purges() > 20);
+    all.wait_for_all_confirmed();
+    all.end(PURGE_DEADLINE_MS + TAKEOVER_MS + 1_000);
 }
 
 #[test]
 fn a_site_partitioned_from_all_hubs_gets_purges_through_its_contact() {
     let mut all = Installation::start("feed-site-cut", &[3, 2], 2, 2);
-    let (of, n) = (all.of.clone(), all.of.len());
+    let (of, n) = (all.site_of.clone(), all.site_of.len());
     all.purge(30);
     let cut = |a: usize, b: usize| a < n && of[a] == 0 && b >= n;
     all.switch.cut(true, |a, b| cut(a, b) || cut(b, a));
@@ -131,10 +131,10 @@
     thread::sleep(FAULT_DURATION);
     all.switch.cut(false, |_, _| true);
     thread::sleep(FAULT_DURATION);
-    assert!(all.purged() > 20);
-    all.wait_for_all_done();
+    assert!(all.stop_purges() > 20);
+    all.wait_for_all_confirmed();
     all.wait_for("nobody missing", |all| all.not_confirmed(hub).is_empty());
-    all.end(TOLD_MS + TAKEOVER_MS + 2_000);
+    all.end(PURGE_DEADLINE_MS + TAKEOVER_MS + 2_000);
 }
 
 #[test]
@@ -142,9 +142,9 @@
     let mut all = Installation::start("feed-flood", &[5, 2], 2, 2);
     all.purge(400);
     thread::sleep(FAULT_DURATION * 2);
-    assert!(all.purged() > 500);
-    all.wait_for_all_done();
-    all.end(TOLD_MS + 500);
+    assert!(all.stop_purges() > 500);
+    all.wait_for_all_confirmed();
+    all.end(PURGE_DEADLINE_MS + 500);
 }
 
 #[test]
@@ -153,10 +153,10 @@
     all.switch.weather(|w| (w.loss, w.duplicate, w.reorder, w.jitter_ms) = (0.1, 0.1, 0.1, 20.0));
     all.purge(30);
     thread::sleep(FAULT_DURATION * 2);
-    assert!(all.purged() > 40);
-    all.wait_for_all_done();
+    assert!(all.stop_purges() > 40);
+    all.wait_for_all_confirmed();
     assert!(all.sum("fleet feed repaired") > 0.0, "nothing was lost");
-    all.end(TOLD_MS + 1_000);
+    all.end(PURGE_DEADLINE_MS + 1_000);
 }
 
 #[test]
@@ -169,11 +169,11 @@
     thread::sleep(FAULT_DURATION * 2);
     all.signal("CONT", &stopped);
     thread::sleep(FAULT_DURATION);
-    assert!(all.purged() > 40);
-    all.wait_for_all_done();
+    assert!(all.stop_purges() > 40);
+    all.wait_for_all_confirmed();
     // A stopped process cannot know what was purged meanwhile.
     let more = |i| if stopped.contains(&i) { 2 * FAULT_DURATION.as_millis() as u64 } else { 0 };
-    all.end_by(|i| TOLD_MS + TAKEOVER_MS + more(i));
+    all.end_by(|i| PURGE_DEADLINE_MS + TAKEOVER_MS + more(i));
 }
 
 #[test]
@@ -182,15 +182,15 @@
     all.purge(30);
     for keys in [vec![1, 2], vec![2, 1], vec![2]] {
         all.keys = keys;
-        all.reread();
+        all.reload_settings();
     }
-    all.purged();
-    all.wait_for_all_done();
+    all.stop_purges();
+    all.wait_for_all_confirmed();
     assert_eq!(all.sum("fleet feed refused seals"), 0.0);
-    all.move_lists();
+    all.move_discovery_services();
     all.purge(30);
     thread::sleep(FAULT_DURATION / 3);
-    all.wait_for_all_known_so_far();
+    all.wait_for_current_events();
     // The gateways got the new address of the own stream from their configuration, that of the other stream from their
     // fleet file.
     let hub = all.hub(0);
@@ -199,9 +199,9 @@
     all.wait_for("purges by the contact", |all| all.sum("fleet feed provisional") > 0.0);
     thread::sleep(FAULT_DURATION);
     all.spawn(hub);
-    assert!(all.purged() > 20);
-    all.wait_for_all_done();
-    all.end(TOLD_MS + TAKEOVER_MS + 2_000);
+    assert!(all.stop_purges() > 20);
+    all.wait_for_all_confirmed();
+    all.end(PURGE_DEADLINE_MS + TAKEOVER_MS + 2_000);
 }
 
 #[test]
@@ -209,7 +209,7 @@
     let all = Installation::start("feed-lists", &[3, 2], 2, 2);
     let names = |of: &str, n: usize| (0..n).map(|i| format!("{of}{i}")).collect::<Vec<_>>();
     let lists = |n: f64| {
-        all.wait_for_all_done();
+        all.wait_for_all_confirmed();
         all.wait_for("lists as published", |all| {
             all.gateways().into_iter().all(|i| all.counter(i, "fleet feed caches listed") == n)
         });
@@ -228,7 +228,7 @@
     lists(4.0);
     // The fleet's own relay is not used.
     assert_eq!(all.sum("fleet bulletin asked"), 0.0);
-    all.end(TOLD_MS);
+    all.end(PURGE_DEADLINE_MS);
 }
 
 #[test]
@@ -277,7 +277,7 @@
 
 #[test]
 fn disabled_it_leaves_no_trace_and_enabled_it_adds_no_thread_or_socket() {
-    let _alone = alone();
+    let _alone = exclusive();
     let folder = std::env::temp_dir().join(format!("kelpcart-feed-off-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let bulletin = Bulletin::start(1).unwrap();
