--- a/gateway/tests/common/installation.rs
+++ b/gateway/tests/common/installation.rs
@@ -3,12 +3,12 @@
 #![allow(dead_code, reason = "each test file uses its part")]
 
 use super::PATIENCE;
-use kelpcart_rig::bulletin::Bulletin;
-use kelpcart_rig::caches::{Place, Site, Times, born, unix_ms};
-use kelpcart_rig::client::{self, Ask, Word};
+use kelpcart_rig::caches::{CacheEndpoint, Latencies, Site, copy_created_ms, unix_ms};
+use kelpcart_rig::client::{self, Request, Status};
+use kelpcart_rig::discovery::DiscoveryServer;
 use kelpcart_rig::fleet::{self, Node, Process, counters, endpoint};
-use kelpcart_rig::fleet_day::front;
-use kelpcart_rig::lane::Weather;
+use kelpcart_rig::fleet_run::client_address;
+use kelpcart_rig::link_emulator::LinkConditions;
 use kelpcart_rig::switch::{self, Switch};
 use ring::signature::{Ed25519KeyPair, KeyPair};
 use serde_json::{Value, json};
@@ -59,9 +59,9 @@
 pub struct Installation {
     _alone: MutexGuard<'static, ()>,
     pub switch: Switch,
-    pub lists: Arc<Vec<Bulletin>>,
+    pub lists: Arc<Vec<DiscoveryServer>>,
     site: Arc<Site>,
-    places: Vec<Place>,
+    endpoints: Vec<CacheEndpoint>,
     /// The site of each gateway.
     pub of: Vec<usize>,
     hubs: usize,
@@ -100,22 +100,22 @@
 
     fn with(test: &str, sites: &[usize], hubs: usize, streams: usize) -> Installation {
         let alone = alone();
-        switch::next_net();
+        switch::next_subnet();
         let folder = std::env::temp_dir().join(format!("kelpcart-{test}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let of: Vec<usize> = sites.iter().enumerate().flat_map(|(s, n)| vec![s; *n]).collect();
         let ms = Duration::from_millis;
-        let site = Site::new(Times { hit: ms(2), fill: ms(3), origin: ms(10) }, |_| 2_000);
+        let site = Site::new(Latencies { hit: ms(2), fill: ms(3), origin: ms(10) }, |_| 2_000);
         let kinds = [("c0", "box"), ("c1", "box"), ("p0", "parent"), ("o", "origin")];
-        let places = kinds.map(|(name, kind)| site.place(name, kind).unwrap()).to_vec();
-        let weather = Weather { delay_ms: 2.0, ..Weather::default() };
+        let endpoints = kinds.map(|(name, kind)| site.start_member(name, kind).unwrap()).to_vec();
+        let weather = LinkConditions { delay_ms: 2.0, ..LinkConditions::default() };
         let switch = Switch::start(of.len() + hubs, 1, weather).unwrap();
         Installation {
             _alone: alone,
             switch,
-            lists: Arc::new((0..streams).map(|_| Bulletin::start(1).unwrap()).collect()),
+            lists: Arc::new((0..streams).map(|_| DiscoveryServer::start(1).unwrap()).collect()),
             site,
-            places,
+            endpoints,
             processes: (0..of.len() + hubs).map(|_| None).collect(),
             seen: Arc::new(Seen {
                 served: of.iter().map(|_| AtomicU64::new(0)).collect(),
@@ -150,20 +150,21 @@
 
     fn file(&self, i: usize) -> Value {
         let n = self.of.len();
-        let hubs: Vec<Value> = (0..self.hubs).map(|h| hub(h, switch::reached(n + h))).collect();
-        let stream = |(i, l): (usize, &Bulletin)| json!({"name": format!("s{i}"), "address": l.address.to_string(), "known": 1});
+        let hubs: Vec<Value> = (0..self.hubs).map(|h| hub(h, switch::advertised_address(n + h))).collect();
+        let stream = |(i, l): (usize, &DiscoveryServer)| json!({"name": format!("s{i}"), "address": l.address.to_string(), "known": 1});
         let streams: Vec<Value> = self.lists.iter().enumerate().map(stream).collect();
         let site = self.of.get(i).map_or("control".to_owned(), |s| format!("site{s}"));
         let keys: Vec<Value> =
             self.keys.iter().map(|id| json!({"id": id, "secret": format!("{id:02x}").repeat(32)})).collect();
         let mut file = json!({
-            "fleet": site, "gateway": self.name(i), "listen": switch::own(i).to_string(),
-            "advertise": switch::reached(i).to_string(), "keys": keys,
+            "fleet": site, "gateway": self.name(i), "listen": switch::bind_address(i).to_string(),
+            "advertise": switch::advertised_address(i).to_string(), "keys": keys,
             "feed": {"name": "rig", "site": site, "streams": streams, "hubs": hubs},
         });
         if i < n {
             let peers = (0..n).filter(|p| self.of[*p] == self.of[i]);
-            let seeds: Vec<String> = peers.clone().take(3).map(|p| switch::reached(p).to_string()).collect();
+            let seeds: Vec<String> =
+                peers.clone().take(3).map(|p| switch::advertised_address(p).to_string()).collect();
             file["seeds"] = json!(seeds);
             file["members"] =
                 json!({"expected": peers.count(), "probe_ms": 500, "answer_ms": 200, "suspect_ms": 1_500});
@@ -177,11 +178,11 @@
     }
 
     fn config(&self, i: usize) -> Value {
-        let (zone, bulletin, places) = ("hub", self.lists[0].address, self.places.as_slice());
+        let (zone, discovery, endpoints) = ("hub", self.lists[0].address, self.endpoints.as_slice());
         let name = self.name(i);
-        let node = Node { name: &name, zone, bulletin, places, memory_mb: 64, seed: i as u64 };
+        let node = Node { name: &name, zone, discovery, endpoints, memory_mb: 64, seed: i as u64 };
         let mut config = fleet::config(&node);
-        config["listen"] = json!(front(i).to_string());
+        config["listen"] = json!(client_address(i).to_string());
         config
     }
 
@@ -211,21 +212,22 @@
     /// All list services go, and go on elsewhere.
     pub fn move_lists(&mut self) {
         let lists = Arc::get_mut(&mut self.lists).expect("purges have ended");
-        lists.iter_mut().for_each(|list| *list = Bulletin::start(list.last()).unwrap());
+        lists.iter_mut().for_each(|list| *list = DiscoveryServer::start(list.last_event_no()).unwrap());
         self.reread();
     }
 
     /// A list of caches by one list service; they are at addresses at which nobody is.
     pub fn list(&self, stream: usize, whole: bool, names: &[String]) {
-        let nowhere = |n: &String| Place { name: n.clone(), kind: "box", address: switch::address(4, 0, 9) };
+        let nowhere =
+            |n: &String| CacheEndpoint { name: n.clone(), kind: "box", address: switch::address(4, 0, 9) };
         let all: Vec<Value> = names.iter().map(|n| endpoint(&nowhere(n), "hub", "draining")).collect();
-        self.lists[stream].roster(whole, &all);
+        self.lists[stream].push_roster(whole, &all);
     }
 
     /// As a crash would.
     pub fn kill(&mut self, i: usize) {
         if let Some(mut process) = self.processes[i].take() {
-            assert!(!process.has_ended() && !process.log().contains("panicked at"), "{}", process.log());
+            assert!(!process.has_exited() && !process.log().contains("panicked at"), "{}", process.log());
             process.kill();
         }
     }
@@ -334,7 +336,7 @@
     pub fn knows_all(&self, i: usize) -> bool {
         let c = self.counters(i);
         let at = |s: usize| c.get(&format!("fleet feed position {s}")).copied();
-        self.lists.iter().enumerate().all(|(s, list)| at(s) == Some(list.last() as f64))
+        self.lists.iter().enumerate().all(|(s, list)| at(s) == Some(list.last_event_no() as f64))
     }
 
     /// Every live gateway knows the last number of each list service.
@@ -346,7 +348,7 @@
 
     /// Every live gateway knows the numbers that there are now, while more may come.
     pub fn wait_for_all_known_so_far(&self) {
-        let last: Vec<f64> = self.lists.iter().map(|l| l.last() as f64).collect();
+        let last: Vec<f64> = self.lists.iter().map(|l| l.last_event_no() as f64).collect();
         self.wait_for("the numbers so far at all gateways", |all| {
             all.gateways().into_iter().all(|i| {
                 let c = all.counters(i);
@@ -363,7 +365,7 @@
             all.hubs().into_iter().all(|i| {
                 let c = all.counters(i);
                 let done = |s: usize| c.get(&format!("fleet feed done everywhere {s}")).copied();
-                all.lists.iter().enumerate().all(|(s, list)| done(s) == Some(list.last() as f64))
+                all.lists.iter().enumerate().all(|(s, list)| done(s) == Some(list.last_event_no() as f64))
             })
         });
     }
@@ -399,7 +401,7 @@
         self.purged();
         self.seen.ends.store(true, Ordering::SeqCst);
         self.processes.iter_mut().for_each(|p| *p = None);
-        self.site.end();
+        self.site.stop();
         self.clients.drain(..).for_each(|c| _ = c.join());
         if !thread::panicking() {
             _ = std::fs::remove_dir_all(&self.folder);
@@ -411,7 +413,7 @@
 fn ask(i: usize, seen: &Seen) {
     let mut n = i as u64;
     while !seen.ends.load(Ordering::SeqCst) {
-        if let Ok(stream) = TcpStream::connect(front(i)) {
+        if let Ok(stream) = TcpStream::connect(client_address(i)) {
             // It goes with its gateway, and comes again with it.
             _ = talk(i, seen, &stream, &mut n);
         }
@@ -429,10 +431,10 @@
         (id, *n) = (id + 1, *n + 11);
         let (object, sent) = (*n % OBJECTS, unix_ms());
         let trace = (i as u64) << 40 | *n;
-        let ask = Ask { id, rule: "media", trace, object, timeout_ms: 5_000, need_kb: 2.0, body: b"" };
-        stream.write_all(&client::request(&ask))?;
+        let ask = Request { id, rule: "media", trace, object, timeout_ms: 5_000, need_kb: 2.0, body: b"" };
+        stream.write_all(&client::encode_request(&ask))?;
         let answer = loop {
-            if let Some((answer, used)) = client::answer(&held).map_err(std::io::Error::other)? {
+            if let Some((answer, used)) = client::decode_response(&held).map_err(std::io::Error::other)? {
                 held.drain(..used);
                 break answer;
             }
@@ -447,11 +449,11 @@
                 return Ok(());
             }
         };
-        if answer.word != Word::Served {
+        if answer.status != Status::Served {
             continue;
         }
         seen.served[i].fetch_add(1, Ordering::SeqCst);
-        let born = born(object, &answer.body).expect("the object's own bytes");
+        let born = copy_created_ms(object, &answer.body).expect("the object's own bytes");
         let purged = seen.purges.lock().unwrap().get(&object).copied();
         if let Some(at) = purged.filter(|at| sent > *at && born < *at) {
             seen.stale.lock().unwrap().push((i, sent - at));
--- a/gateway/tests/common/mod.rs
+++ b/gateway/tests/common/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code, reason = "each test file uses its part")]
 
 use kelpcart_rig::caches::Site;
-use kelpcart_rig::client::{self, Answer, Ask, Word};
+use kelpcart_rig::client::{self, Request, Response, Status};
 use kelpcart_rig::fleet::Gateway;
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -52,19 +52,19 @@
         let trace = TRACES.fetch_add(1, Ordering::SeqCst);
         let body: &[u8] = if rule == "book" { b"two nights" } else { b"" };
         let (id, timeout_ms, need_kb) = (self.next, 20_000, 30.0);
-        let ask = Ask { id, rule, trace, object, timeout_ms, need_kb, body };
-        self.stream.write_all(&client::request(&ask)).unwrap();
+        let ask = Request { id, rule, trace, object, timeout_ms, need_kb, body };
+        self.stream.write_all(&client::encode_request(&ask)).unwrap();
         trace
     }
 
-    pub fn answer(&mut self) -> Answer {
+    pub fn answer(&mut self) -> Response {
         self.answer_within(PATIENCE).expect("an answer")
     }
 
-    pub fn answer_within(&mut self, most: Duration) -> Option<Answer> {
+    pub fn answer_within(&mut self, most: Duration) -> Option<Response> {
         self.stream.set_read_timeout(Some(most)).unwrap();
         loop {
-            if let Some((answer, n)) = client::answer(&self.held).unwrap() {
+            if let Some((answer, n)) = client::decode_response(&self.held).unwrap() {
                 self.held.drain(..n);
                 return Some(answer);
             }
@@ -84,14 +84,14 @@
     /// A book that runs at the central store and is held there; its id. On a busy machine the link may be suspected for a
     /// moment and the first tries rejected: those have not run.
     pub fn held_book(&mut self, site: &Site) -> u64 {
-        site.hold(true);
-        let (began, before) = (Instant::now(), site.writes());
+        site.block_writes(true);
+        let (began, before) = (Instant::now(), site.writes_started());
         loop {
             let trace = self.ask("book", 77);
             while !site.wait_for_writes(before + 1, Duration::from_millis(20)) {
                 assert!(began.elapsed() < PATIENCE);
                 if let Some(answer) = self.answer_within(Duration::from_millis(20)) {
-                    assert_eq!(answer.word, Word::Rejected);
+                    assert_eq!(answer.status, Status::Rejected);
                     break;
                 }
             }
@@ -102,15 +102,15 @@
     }
 
     /// A txn that is tried until it is served: the link may still have to prove itself.
-    pub fn served(&mut self, rule: &str, object: u64) -> (u64, Answer) {
+    pub fn served(&mut self, rule: &str, object: u64) -> (u64, Response) {
         let began = Instant::now();
         loop {
             let trace = self.ask(rule, object);
             let answer = self.answer();
-            if answer.word == Word::Served {
+            if answer.status == Status::Served {
                 return (trace, answer);
             }
-            assert!(answer.word == Word::Rejected && began.elapsed() < PATIENCE, "{answer:?}");
+            assert!(answer.status == Status::Rejected && began.elapsed() < PATIENCE, "{answer:?}");
             std::thread::sleep(Duration::from_millis(50));
         }
     }
--- a/gateway/tests/copies.rs
+++ b/gateway/tests/copies.rs
@@ -4,12 +4,12 @@
 mod common;
 
 use common::{Client, PATIENCE, held, len, program, wait_for};
-use kelpcart_rig::bulletin::Bulletin;
-use kelpcart_rig::caches::{Place, Site, Times};
-use kelpcart_rig::client::Word;
-use kelpcart_rig::fleet::{self, Gateway, Node, free_udp};
+use kelpcart_rig::caches::{CacheEndpoint, Latencies, Site};
+use kelpcart_rig::client::Status;
+use kelpcart_rig::discovery::DiscoveryServer;
+use kelpcart_rig::fleet::{self, Gateway, Node, free_udp_address};
 use kelpcart_rig::keys::Authority;
-use kelpcart_rig::lane::Weather;
+use kelpcart_rig::link_emulator::LinkConditions;
 use kelpcart_rig::relay::Relay;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -24,8 +24,8 @@
 struct World {
     folder: PathBuf,
     site: Arc<Site>,
-    places: Vec<Place>,
-    bulletins: [Bulletin; 2],
+    endpoints: Vec<CacheEndpoint>,
+    bulletins: [DiscoveryServer; 2],
     listens: Vec<SocketAddr>,
     holders: Vec<SocketAddr>,
     relays: Vec<Relay>,
@@ -34,7 +34,7 @@
 
 impl Drop for World {
     fn drop(&mut self) {
-        self.site.end();
+        self.site.stop();
         _ = std::fs::remove_dir_all(&self.folder);
     }
 }
@@ -44,23 +44,23 @@
         let folder = format!("{}/copies-{name}-{}", env!("CARGO_TARGET_TMPDIR"), std::process::id());
         let folder = PathBuf::from(folder);
         std::fs::create_dir_all(&folder).unwrap();
-        let times = Times { hit: Duration::ZERO, fill: Duration::ZERO, origin: Duration::ZERO };
+        let times = Latencies { hit: Duration::ZERO, fill: Duration::ZERO, origin: Duration::ZERO };
         let site = Site::new(times, len);
-        let place = |(name, kind)| site.place(name, kind).unwrap();
-        let places = [("e1", "box"), ("p1", "parent"), ("o", "origin")].map(place).to_vec();
+        let place = |(name, kind)| site.start_member(name, kind).unwrap();
+        let endpoints = [("e1", "box"), ("p1", "parent"), ("o", "origin")].map(place).to_vec();
         let authority = Authority::new().unwrap();
         ["near", "far"].iter().for_each(|site| authority.write(&folder, site).unwrap());
         // Addresses of this test's own: what others bind to port 0 never meets them.
         let (net, test) = (60 + (std::process::id() % 100) as u8, TESTS.fetch_add(1, Ordering::SeqCst));
         let own = |port| (0..fars as u8).map(|i| ([127, net, test, i + 1], port).into()).collect::<Vec<_>>();
         let (listens, holders): (Vec<SocketAddr>, Vec<SocketAddr>) = (own(7_601), own(7_602));
-        let relay = |at: &SocketAddr| Relay::start(*at, 7, Weather::default()).unwrap();
+        let relay = |at: &SocketAddr| Relay::start(*at, 7, LinkConditions::default()).unwrap();
         let relays = listens.iter().map(relay).collect();
         let mut world = World {
             folder,
             site,
-            places,
-            bulletins: [Bulletin::start(1).unwrap(), Bulletin::start(1).unwrap()],
+            endpoints,
+            bulletins: [DiscoveryServer::start(1).unwrap(), DiscoveryServer::start(1).unwrap()],
             listens,
             holders,
             relays,
@@ -70,8 +70,8 @@
         world
     }
 
-    fn config(&self, name: &str, bulletin: &Bulletin, places: &[Place]) -> Value {
-        let node = Node { name, zone: "z", bulletin: bulletin.address, places, memory_mb: 96, seed: 7 };
+    fn config(&self, name: &str, bulletin: &DiscoveryServer, endpoints: &[CacheEndpoint]) -> Value {
+        let node = Node { name, zone: "z", discovery: bulletin.address, endpoints, memory_mb: 96, seed: 7 };
         let mut all = fleet::config(&node);
         for class in all["settings"]["Classes"].as_array_mut().unwrap() {
             (class["SloUs"], class["DeadlineUs"]) = (json!(20_000_000), json!(24_000_000));
@@ -102,7 +102,7 @@
             "times": {"election_ms": 600, "wait_ms": 4_000, "lost_ms": 5_000, "absent_ms": 8_000},
         });
         let (config, sites) =
-            (self.config(&name, &self.bulletins[1], &self.places), self.sites("far", &name, rest));
+            (self.config(&name, &self.bulletins[1], &self.endpoints), self.sites("far", &name, rest));
         let far = Gateway::start_with(program(), &self.folder, &config, Some(&sites), Some(&copies));
         self.fars[i] = Some(far.unwrap());
     }
@@ -126,7 +126,7 @@
     }
 
     fn ran(&self, trace: u64) -> u32 {
-        self.site.ran.lock().unwrap().get(&trace).copied().unwrap_or(0)
+        self.site.executions.lock().unwrap().get(&trace).copied().unwrap_or(0)
     }
 
     fn count(&self, i: usize, what: &str) -> f64 {
@@ -171,14 +171,14 @@
     let trace = client.held_book(&world.site);
     let at = world.with("far txns running")[0];
     // It ends and is copied; its answer is on no link any more when its machine is lost with all it held.
-    world.relays[at].set(|w| w.dark = [true; 2]);
-    world.site.hold(false);
+    world.relays[at].set_conditions(|w| w.blocked = [true; 2]);
+    world.site.block_writes(false);
     let began = Instant::now();
     while world.count(at, "far txns running") > 0.0 {
         assert!(began.elapsed() < PATIENCE);
     }
     world.lose(at);
-    assert_eq!((client.answer().word, world.ran(trace)), (Word::Served, 1));
+    assert_eq!((client.answer().status, world.ran(trace)), (Status::Served, 1));
 }
 
 #[test]
@@ -192,8 +192,8 @@
         let trace = client.held_book(&world.site);
         let at = world.with("far txns running")[0];
         world.lose(at);
-        world.site.hold(false);
-        assert_eq!((client.answer().word, world.ran(trace)), (Word::Failed, 1));
+        world.site.block_writes(false);
+        assert_eq!((client.answer().status, world.ran(trace)), (Status::Failed, 1));
         // It comes back with nothing, and learns what the others hold.
         world.start(at);
         world.settle(3);
@@ -217,7 +217,7 @@
     }
     let trace = client.ask("book", 5);
     let answer = client.answer();
-    assert_eq!((answer.word, world.ran(trace)), (Word::Rejected, 0));
+    assert_eq!((answer.status, world.ran(trace)), (Status::Rejected, 0));
     client.served("media", 6);
     // The lost ones come back with nothing: a new ledger begins, and books are served again.
     lost.iter().for_each(|&i| world.start(i));
@@ -269,7 +269,7 @@
         assert!(began.elapsed() < PATIENCE);
     }
     far.signal("CONT").unwrap();
-    let mut words: Vec<Word> = traces.iter().map(|_| client.answer().word).collect();
+    let mut words: Vec<Status> = traces.iter().map(|_| client.answer().status).collect();
     words.dedup();
     for trace in &traces {
         assert!(world.ran(*trace) <= 1, "{words:?}");
@@ -285,7 +285,7 @@
     let on = held(world.fars[0].as_ref().unwrap().id());
     world.lose(0);
     let rest = json!({"listen": world.listens[0].to_string(), "accept": ["near"]});
-    let config = world.config("far-0", &world.bulletins[1], &world.places);
+    let config = world.config("far-0", &world.bulletins[1], &world.endpoints);
     let sites = world.sites("far", "far-0", rest);
     let far = Gateway::start(program(), &world.folder, &config, Some(&sites)).unwrap();
     // The links' own socket, and no other thread than it has with copies in memory.
@@ -299,8 +299,8 @@
 fn a_file_that_does_not_fit_is_told_and_ends_the_start() {
     let mut world = World::new("unfit", 3);
     let refused = |copies: Value, what: &str| {
-        let rest = json!({"listen": free_udp().unwrap().to_string(), "accept": ["near"]});
-        let config = world.config("far-9", &world.bulletins[1], &world.places);
+        let rest = json!({"listen": free_udp_address().unwrap().to_string(), "accept": ["near"]});
+        let config = world.config("far-9", &world.bulletins[1], &world.endpoints);
         let sites = world.sites("far", "far-9", rest);
         let start = Gateway::start_with(program(), &world.folder, &config, Some(&sites), Some(&copies));
         let why = start.err().unwrap().to_string();
--- a/gateway/tests/feed.rs
+++ b/gateway/tests/feed.rs
@@ -11,8 +11,8 @@
 use kelpcart::interface::MemberState;
 use kelpcart_gateway::config::{self, DiscoveryEvent, Names};
 use kelpcart_gateway::feed::CacheOwners;
-use kelpcart_rig::bulletin::Bulletin;
-use kelpcart_rig::fleet::{self, Node, Process, free_udp};
+use kelpcart_rig::discovery::DiscoveryServer;
+use kelpcart_rig::fleet::{self, Node, Process, free_udp_address};
 use serde_json::json;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -96,14 +96,14 @@
     let (order, n) = (all.order(0), all.of.len());
     all.purge(30);
     let of_hub = |i: usize| i >= n;
-    all.switch.cut(true, |a, b| a == order[0] && of_hub(b) || b == order[0] && of_hub(a));
+    all.switch.set_blocked(true, |a, b| a == order[0] && of_hub(b) || b == order[0] && of_hub(a));
     all.wait_for("another contact", |all| {
         order[1..].iter().any(|i| all.counter(*i, "fleet feed contacts") >= 1.0)
             || all.counter(order[0], "fleet feed provisional made") > 0.0
     });
     thread::sleep(WHILE);
     all.wait_for_all_known_so_far();
-    all.switch.cut(false, |_, _| true);
+    all.switch.set_blocked(false, |_, _| true);
     thread::sleep(WHILE);
     assert!(all.purged() > 20);
     all.wait_for_all_done();
@@ -116,7 +116,7 @@
     let (of, n) = (all.of.clone(), all.of.len());
     all.purge(30);
     let cut = |a: usize, b: usize| a < n && of[a] == 0 && b >= n;
-    all.switch.cut(true, |a, b| cut(a, b) || cut(b, a));
+    all.switch.set_blocked(true, |a, b| cut(a, b) || cut(b, a));
     all.wait_for("list services asked by the contact", |all| all.sum("fleet feed provisional") > 0.0);
     // The hubs go on without that site, name it, and tell nothing as done everywhere that it has not confirmed.
     let hub = all.hub(0);
@@ -127,7 +127,7 @@
         done("in touch") > done("everywhere") && named.iter().any(|who| who.starts_with("site0, "))
     });
     thread::sleep(WHILE);
-    all.switch.cut(false, |_, _| true);
+    all.switch.set_blocked(false, |_, _| true);
     thread::sleep(WHILE);
     assert!(all.purged() > 20);
     all.wait_for_all_done();
@@ -148,7 +148,7 @@
 #[test]
 fn datagrams_lost_doubled_and_out_of_order_cost_no_purge() {
     let mut all = Installation::start("feed-weather", &[5, 2], 2, 2);
-    all.switch.weather(|w| (w.loss, w.duplicate, w.reorder, w.jitter_ms) = (0.1, 0.1, 0.1, 20.0));
+    all.switch.set_conditions(|w| (w.loss, w.duplicate, w.reorder, w.jitter_ms) = (0.1, 0.1, 0.1, 20.0));
     all.purge(30);
     thread::sleep(WHILE * 2);
     assert!(all.purged() > 40);
@@ -277,14 +277,14 @@
     let _alone = alone();
     let folder = std::env::temp_dir().join(format!("kelpcart-feed-off-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let bulletin = Bulletin::start(1).unwrap();
+    let bulletin = DiscoveryServer::start(1).unwrap();
     let start = |name: &str, file: &serde_json::Value| {
         let node =
-            Node { name, zone: "hub", bulletin: bulletin.address, places: &[], memory_mb: 64, seed: 1 };
+            Node { name, zone: "hub", discovery: bulletin.address, endpoints: &[], memory_mb: 64, seed: 1 };
         Process::spawn(program(), &folder, name, &fleet::config(&node), Some(file)).unwrap()
     };
     let file = |name: &str| {
-        let listen = free_udp().unwrap().to_string();
+        let listen = free_udp_address().unwrap().to_string();
         json!({"fleet": "one", "gateway": name, "listen": listen, "seeds": [listen],
             "keys": [{"id": 1, "secret": "ab".repeat(32)}]})
     };
@@ -310,7 +310,7 @@
     assert!(!hub.log().contains(" listens on "));
     fleet::signal("TERM", &[hub.id()]).unwrap();
     let began = Instant::now();
-    while !hub.has_ended() {
+    while !hub.has_exited() {
         assert!(began.elapsed() < PATIENCE, "{}", hub.log());
         thread::sleep(Duration::from_millis(10));
     }
@@ -318,7 +318,7 @@
     hub_file["feed"]["control"]["secret"] = json!("02".repeat(32));
     let mut wrong = start("wrong", &hub_file);
     let began = Instant::now();
-    while !wrong.has_ended() {
+    while !wrong.has_exited() {
         assert!(began.elapsed() < PATIENCE, "{}", wrong.log());
         thread::sleep(Duration::from_millis(10));
     }
--- a/gateway/tests/fleet.rs
+++ b/gateway/tests/fleet.rs
@@ -8,10 +8,10 @@
 use kelpcart_fleet::settings::Fleet;
 use kelpcart_fleet::wire::{MemberRecord, MemberState, Payload, ipv4_and_port};
 use kelpcart_gateway::clock::Clock;
-use kelpcart_rig::bulletin::Bulletin;
+use kelpcart_rig::discovery::DiscoveryServer;
 use kelpcart_rig::fleet::{self, Node};
-use kelpcart_rig::fleet_day::{self, Installation, Options, Outcome};
-use kelpcart_rig::fleet_plan::{Event, What};
+use kelpcart_rig::fleet_plan::{Event, Fault};
+use kelpcart_rig::fleet_run::{self, Installation, Options, Outcome};
 use kelpcart_rig::switch;
 use serde_json::json;
 use std::net::UdpSocket;
@@ -27,7 +27,7 @@
     ONE.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-fn event(at: f64, lasts: f64, what: What) -> Event {
+fn event(at: f64, lasts: f64, what: Fault) -> Event {
     Event { at, lasts, what }
 }
 
@@ -43,8 +43,8 @@
         Options::small(n, seconds, PathBuf::from(env!("CARGO_BIN_EXE_kelpcart")), folder.clone());
     options.plan = plan;
     change(&mut options);
-    let outcome = fleet_day::run(&options).unwrap();
-    assert!(!fleet_day::broken(&outcome), "{}", fleet_day::table(&options, &outcome));
+    let outcome = fleet_run::run(&options).unwrap();
+    assert!(!fleet_run::failed(&outcome), "{}", fleet_run::table(&options, &outcome));
     _ = std::fs::remove_dir_all(folder);
     outcome
 }
@@ -60,19 +60,24 @@
 
 #[test]
 fn a_start_at_once_with_the_bulletin_down_does_not_storm_it() {
-    let plan = vec![event(0.0, 5.0, What::BulletinDown)];
+    let plan = vec![event(0.0, 5.0, Fault::BulletinDown)];
     let with = play(16, 11.0, plan.clone(), |_| ());
     // Ten tries a second of all together, and the first ones.
-    assert!(with.list.refused <= 60 && with.list.connections <= 12, "{:?}", with.list);
+    assert!(with.discovery.refused <= 60 && with.discovery.connections <= 12, "{:?}", with.discovery);
     assert!(served(&with, 8, 11) > 0.7, "{}", served(&with, 8, 11));
     // Without the remedy each asks for itself.
     let without = play(16, 6.0, plan, |o| o.fleet = false);
-    assert!(without.list.refused > 3 * with.list.refused, "{:?} against {:?}", without.list, with.list);
+    assert!(
+        without.discovery.refused > 3 * with.discovery.refused,
+        "{:?} against {:?}",
+        without.discovery,
+        with.discovery
+    );
 }
 
 #[test]
 fn a_bulletin_that_dies_with_the_list_half_out_is_asked_again() {
-    let plan = vec![event(0.0, 3.0, What::BulletinDies(700))];
+    let plan = vec![event(0.0, 3.0, Fault::BulletinDies(700))];
     let with = play(12, 10.0, plan, |_| ());
     assert!(served(&with, 7, 10) > 0.7, "{}", served(&with, 7, 10));
     assert!(told(&with, "fleet list number").iter().all(|no| *no == 1.0));
@@ -80,24 +85,24 @@
 
 #[test]
 fn askers_killed_twice_in_a_row_leave_no_purge_unheard() {
-    let mut plan = vec![event(4.0, 1.0, What::KillAskers), event(6.5, 1.0, What::KillAskers)];
-    plan.extend((0..20).map(|i| event(4.1 + f64::from(i) * 0.3, 0.0, What::Purge)));
+    let mut plan = vec![event(4.0, 1.0, Fault::KillAskers), event(6.5, 1.0, Fault::KillAskers)];
+    plan.extend((0..20).map(|i| event(4.1 + f64::from(i) * 0.3, 0.0, Fault::Purge)));
     // A break of all its connections counts as told 2 s later.
-    let with = play(16, 12.0, plan, |o| o.told_ms = 2_000);
+    let with = play(16, 12.0, plan, |o| o.propagation_ms = 2_000);
     assert!(
         told(&with, "fleet list number").iter().all(|no| *no == 21.0),
         "{:?}",
         told(&with, "fleet list number")
     );
-    assert!(with.list.connections <= 30, "{:?}", with.list);
+    assert!(with.discovery.connections <= 30, "{:?}", with.discovery);
 }
 
 #[test]
 fn askers_stopped_and_continued_with_an_old_list_pass_nothing_old_for_fresh() {
-    let mut plan = vec![event(4.0, 4.0, What::StopAskers)];
-    plan.extend((0..8).map(|i| event(4.5 + f64::from(i) * 0.4, 0.0, What::Purge)));
+    let mut plan = vec![event(4.0, 4.0, Fault::StopAskers)];
+    plan.extend((0..8).map(|i| event(4.5 + f64::from(i) * 0.4, 0.0, Fault::Purge)));
     // One that was stopped for 4 s can't know what was purged meanwhile.
-    let with = play(16, 11.0, plan, |o| o.told_ms = 4_000);
+    let with = play(16, 11.0, plan, |o| o.propagation_ms = 4_000);
     assert!(
         told(&with, "fleet list number").iter().all(|no| *no == 9.0),
         "{:?}",
@@ -108,10 +113,10 @@
 
 #[test]
 fn half_a_fleet_cut_off_comes_back_and_one_that_is_deaf_hurts_nobody() {
-    let mut plan = vec![event(4.0, 4.0, What::Cut(0.5)), event(9.0, 2.0, What::Deaf(3))];
-    plan.extend((0..3).map(|i| event(5.0 + f64::from(i) * 0.4, 0.0, What::Purge)));
+    let mut plan = vec![event(4.0, 4.0, Fault::Cut(0.5)), event(9.0, 2.0, Fault::Deaf(3))];
+    plan.extend((0..3).map(|i| event(5.0 + f64::from(i) * 0.4, 0.0, Fault::Purge)));
     // Those that are cut off can't know what was purged.
-    let with = play(14, 17.0, plan, |o| o.told_ms = 8_000);
+    let with = play(14, 17.0, plan, |o| o.propagation_ms = 8_000);
     assert!(
         told(&with, "fleet list number").iter().all(|no| *no == 4.0),
         "{:?}",
@@ -123,13 +128,13 @@
 #[test]
 fn seven_in_ten_killed_while_one_cache_in_eight_is_bad_and_a_purge_at_the_start() {
     let plan = vec![
-        event(0.0, 0.0, What::Purge),
-        event(4.0, 1.0, What::Kill(0.7)),
-        event(4.0, 4.0, What::Bad(8)),
-        event(4.5, 0.0, What::Purge),
+        event(0.0, 0.0, Fault::Purge),
+        event(4.0, 1.0, Fault::Kill(0.7)),
+        event(4.0, 4.0, Fault::Bad(8)),
+        event(4.5, 0.0, Fault::Purge),
     ];
     // Among those killed may be all that were connected to the bulletin.
-    let with = play(16, 12.0, plan, |o| o.told_ms = 2_000);
+    let with = play(16, 12.0, plan, |o| o.propagation_ms = 2_000);
     assert!(
         told(&with, "fleet members live").iter().all(|n| *n == 16.0),
         "{:?}",
@@ -141,7 +146,7 @@
 
 #[test]
 fn keys_change_in_the_middle_of_a_start_and_all_are_restarted_by_tenths() {
-    let plan = vec![event(0.2, 3.0, What::Rekey), event(4.0, 5.0, What::Roll)];
+    let plan = vec![event(0.2, 3.0, Fault::Rekey), event(4.0, 5.0, Fault::Roll)];
     let with = play(10, 15.0, plan, |_| ());
     let live = told(&with, "fleet members live");
     assert!(live.len() == 10 && live.iter().all(|n| *n >= 10.0), "{live:?}");
@@ -167,7 +172,7 @@
 
 #[test]
 fn most_of_a_fleet_gone_for_good_leaves_the_rest_serving() {
-    let plan = vec![event(5.0, 100.0, What::Kill(0.75))];
+    let plan = vec![event(5.0, 100.0, Fault::Kill(0.75))];
     let with = play(20, 13.0, plan, |_| ());
     assert!(served(&with, 0, 13) > 0.1);
     assert_eq!(with.counters.len(), 5);
@@ -183,15 +188,15 @@
     let _alone = alone();
     let folder = std::env::temp_dir().join(format!("kelpcart-fleet-off-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let bulletin = Bulletin::start(1).unwrap();
+    let bulletin = DiscoveryServer::start(1).unwrap();
     let config = |name| {
         let node =
-            Node { name, zone: "hub", bulletin: bulletin.address, places: &[], memory_mb: 64, seed: 1 };
+            Node { name, zone: "hub", discovery: bulletin.address, endpoints: &[], memory_mb: 64, seed: 1 };
         fleet::config(&node)
     };
     let program = PathBuf::from(env!("CARGO_BIN_EXE_kelpcart"));
     let off = fleet::Gateway::start(&program, &folder, &config("off"), None).unwrap();
-    let listen = fleet::free_udp().unwrap().to_string();
+    let listen = fleet::free_udp_address().unwrap().to_string();
     let file = json!({"fleet": "one", "gateway": "on", "listen": listen, "seeds": [listen],
         "keys": [{"id": 1, "secret": "ab".repeat(32)}]});
     let on = fleet::Process::spawn(&program, &folder, "on", &config("on"), Some(&file)).unwrap();
@@ -209,29 +214,29 @@
     bad["keys"] = json!([]);
     let mut wrong = fleet::Process::spawn(&program, &folder, "wrong", &config("wrong"), Some(&bad)).unwrap();
     let begun = Instant::now();
-    while !wrong.has_ended() && begun.elapsed() < Duration::from_secs(10) {
+    while !wrong.has_exited() && begun.elapsed() < Duration::from_secs(10) {
         thread::sleep(Duration::from_millis(10));
     }
-    assert!(wrong.has_ended() && wrong.log().contains("keys: 1 to 4 are wanted"), "{}", wrong.log());
+    assert!(wrong.has_exited() && wrong.log().contains("keys: 1 to 4 are wanted"), "{}", wrong.log());
     _ = std::fs::remove_dir_all(folder);
 }
 
 #[test]
 fn a_day_of_two_sites_by_the_feed_with_purges_at_a_rate_keeps_all_rules() {
     let size = Installation { sites: 2, hubs: 2, streams: 2 };
-    let outcome = play(12, 9.0, vec![event(2.0, 5.0, What::Purges(40.0))], |o| {
-        (o.installation, o.told_ms, o.objects) = (Some(size), fleet_day::FEED_MS, 20);
+    let outcome = play(12, 9.0, vec![event(2.0, 5.0, Fault::Purges(40.0))], |o| {
+        (o.installation, o.propagation_ms, o.objects) = (Some(size), fleet_run::FEED_PROPAGATION_MS, 20);
     });
     let after = outcome.after_purge;
     assert!(after.purges == 200 && after.reads > 50, "{after:?}");
     assert!(told(&outcome, "fleet members live").iter().all(|n| *n == 6.0));
-    let last: Vec<f64> = outcome.lists.iter().map(|l| l.0 as f64).collect();
+    let last: Vec<f64> = outcome.discovery_by_stream.iter().map(|l| l.0 as f64).collect();
     assert_eq!(last.iter().sum::<f64>(), 201.0);
     for (stream, last) in last.iter().enumerate() {
         let known = told(&outcome, &format!("fleet feed position {stream}"));
         assert!(known.len() == 12 && known.iter().all(|n| n == last), "{stream}: {known:?} of {last}");
         let name = format!("fleet feed done everywhere {stream}");
-        let done: Vec<f64> = outcome.hubs_counters.iter().filter_map(|c| c.get(&name).copied()).collect();
+        let done: Vec<f64> = outcome.hub_counters.iter().filter_map(|c| c.get(&name).copied()).collect();
         assert_eq!(done, [*last; 2]);
     }
 }
@@ -240,19 +245,25 @@
 #[test]
 fn a_member_that_lies_and_replays_does_no_harm() {
     let _alone = alone();
-    switch::next_net();
+    switch::next_subnet();
     let file = Fleet::read(
         &json!({"fleet": "rig", "gateway": "liar", "listen": "127.0.0.1:7699",
-            "seeds": [switch::reached(0).to_string()], "keys": [{"id": 1, "secret": "01".repeat(32)}]})
+            "seeds": [switch::advertised_address(0).to_string()], "keys": [{"id": 1, "secret": "01".repeat(32)}]})
         .to_string(),
     )
     .unwrap();
     let hostile = thread::spawn(move || {
         let clock = Clock::start();
-        let socket = UdpSocket::bind(switch::own(10)).unwrap();
-        let mut node =
-            Member::new(&Fleet { advertise: Some(switch::reached(10)), ..file }, 7, 7, clock.now(), 0, &[])
-                .unwrap();
+        let socket = UdpSocket::bind(switch::bind_address(10)).unwrap();
+        let mut node = Member::new(
+            &Fleet { advertise: Some(switch::advertised_address(10)), ..file },
+            7,
+            7,
+            clock.now(),
+            0,
+            &[],
+        )
+        .unwrap();
         let (begun, mut bytes, mut old, mut lied) = (Instant::now(), [0; 2_048], Vec::new(), Instant::now());
         let mut told = 0;
         while begun.elapsed() < Duration::from_secs(11) {
@@ -299,7 +310,7 @@
         }
         told
     });
-    let with = play_alone(10, 12.0, Vec::new(), |o| (o.guests, o.has_net) = (1, true));
+    let with = play_alone(10, 12.0, Vec::new(), |o| (o.extra_members, o.subnet_reserved) = (1, true));
     let told_lies = hostile.join().unwrap();
     assert!(told_lies > 0, "it never joined");
     assert!(told(&with, "fleet falsely gone").iter().all(|n| *n == 0.0));
--- a/gateway/tests/sites.rs
+++ b/gateway/tests/sites.rs
@@ -4,12 +4,12 @@
 mod common;
 
 use common::{Client, PATIENCE, len, program, wait_for};
-use kelpcart_rig::bulletin::Bulletin;
-use kelpcart_rig::caches::{Place, Site, Times, born};
-use kelpcart_rig::client::Word;
-use kelpcart_rig::fleet::{self, Gateway, Node, free_udp};
+use kelpcart_rig::caches::{CacheEndpoint, Latencies, Site, copy_created_ms};
+use kelpcart_rig::client::Status;
+use kelpcart_rig::discovery::DiscoveryServer;
+use kelpcart_rig::fleet::{self, Gateway, Node, free_udp_address};
 use kelpcart_rig::keys::Authority;
-use kelpcart_rig::lane::Weather;
+use kelpcart_rig::link_emulator::LinkConditions;
 use kelpcart_rig::relay::Relay;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -20,16 +20,16 @@
 struct World {
     folder: PathBuf,
     site: Arc<Site>,
-    places: Vec<Place>,
-    near_bulletin: Bulletin,
-    far_bulletin: Bulletin,
+    endpoints: Vec<CacheEndpoint>,
+    near_bulletin: DiscoveryServer,
+    far_bulletin: DiscoveryServer,
     authority: Authority,
     listen: SocketAddr,
 }
 
 impl Drop for World {
     fn drop(&mut self) {
-        self.site.end();
+        self.site.stop();
         _ = std::fs::remove_dir_all(&self.folder);
     }
 }
@@ -39,26 +39,26 @@
         let folder = format!("{}/sites-{name}-{}", env!("CARGO_TARGET_TMPDIR"), std::process::id());
         let folder = PathBuf::from(folder);
         std::fs::create_dir_all(&folder).unwrap();
-        let times = Times { hit: Duration::ZERO, fill: Duration::ZERO, origin: Duration::ZERO };
+        let times = Latencies { hit: Duration::ZERO, fill: Duration::ZERO, origin: Duration::ZERO };
         let site = Site::new(times, len);
-        let place = |(name, kind)| site.place(name, kind).unwrap();
-        let places = [("e1", "box"), ("p1", "parent"), ("o", "origin")].map(place).to_vec();
+        let place = |(name, kind)| site.start_member(name, kind).unwrap();
+        let endpoints = [("e1", "box"), ("p1", "parent"), ("o", "origin")].map(place).to_vec();
         let authority = Authority::new().unwrap();
         ["near", "far"].iter().for_each(|site| authority.write(&folder, site).unwrap());
         World {
             site,
-            places,
-            near_bulletin: Bulletin::start(1).unwrap(),
-            far_bulletin: Bulletin::start(1).unwrap(),
+            endpoints,
+            near_bulletin: DiscoveryServer::start(1).unwrap(),
+            far_bulletin: DiscoveryServer::start(1).unwrap(),
             authority,
-            listen: free_udp().unwrap(),
+            listen: free_udp_address().unwrap(),
             folder,
         }
     }
 
-    fn config(&self, name: &str, bulletin: &Bulletin, places: &[Place]) -> Value {
+    fn config(&self, name: &str, bulletin: &DiscoveryServer, endpoints: &[CacheEndpoint]) -> Value {
         let zone = "z";
-        let node = Node { name, zone, bulletin: bulletin.address, places, memory_mb: 96, seed: 7 };
+        let node = Node { name, zone, discovery: bulletin.address, endpoints, memory_mb: 96, seed: 7 };
         let mut all = fleet::config(&node);
         for class in all["settings"]["Classes"].as_array_mut().unwrap() {
             (class["SloUs"], class["DeadlineUs"]) = (json!(20_000_000), json!(24_000_000));
@@ -80,7 +80,7 @@
     fn far(&self, rest: Value) -> Gateway {
         let mut all = json!({"listen": self.listen.to_string(), "accept": ["near"]});
         all.as_object_mut().unwrap().extend(rest.as_object().unwrap().clone());
-        let config = self.config("far-1", &self.far_bulletin, &self.places);
+        let config = self.config("far-1", &self.far_bulletin, &self.endpoints);
         Gateway::start(program(), &self.folder, &config, Some(&self.sites("far", all))).unwrap()
     }
 
@@ -98,11 +98,11 @@
     }
 
     fn relay(&self) -> Relay {
-        Relay::start(self.listen, 7, Weather::default()).unwrap()
+        Relay::start(self.listen, 7, LinkConditions::default()).unwrap()
     }
 
     fn ran(&self, trace: u64) -> u32 {
-        self.site.ran.lock().unwrap().get(&trace).copied().unwrap_or(0)
+        self.site.executions.lock().unwrap().get(&trace).copied().unwrap_or(0)
     }
 }
 
@@ -114,12 +114,12 @@
     wait_for(&near, "stands", 1);
     let mut client = Client::of(&near);
     let (_, first) = client.served("media", 6);
-    let born_first = born(6, &first.body).unwrap();
+    let born_first = copy_created_ms(6, &first.body).unwrap();
     assert_eq!(first.body.len(), 30_000);
     let (trace, _) = client.served("book", 77);
     assert_eq!(world.ran(trace), 1);
     // Another read is served by the copy at the far cache.
-    assert_eq!(born(6, &client.served("media", 6).1.body), Some(born_first));
+    assert_eq!(copy_created_ms(6, &client.served("media", 6).1.body), Some(born_first));
     // Only the near gateway hears of the purge.
     std::thread::sleep(Duration::from_millis(3));
     let at = kelpcart_rig::caches::unix_ms();
@@ -128,7 +128,7 @@
     while near.counters().contains("purges kept 0") {
         assert!(began.elapsed() < PATIENCE);
     }
-    let after = born(6, &client.served("media", 6).1.body).unwrap();
+    let after = copy_created_ms(6, &client.served("media", 6).1.body).unwrap();
     assert!(after >= at, "{after} {at}");
     drop(far);
 }
@@ -142,16 +142,16 @@
     let mut client = Client::of(&near);
     client.served("book", 1);
     let trace = client.held_book(&world.site);
-    relay.set(|w| w.dark = [true; 2]);
+    relay.set_conditions(|w| w.blocked = [true; 2]);
     wait_for(&near, "is given up", 1);
     // It ends while nobody can be told.
-    world.site.hold(false);
-    relay.set(|w| w.dark = [false; 2]);
-    assert_eq!((client.answer().word, world.ran(trace)), (Word::Served, 1));
+    world.site.block_writes(false);
+    relay.set_conditions(|w| w.blocked = [false; 2]);
+    assert_eq!((client.answer().status, world.ran(trace)), (Status::Served, 1));
     wait_for(&near, "stands", 2);
     // Nothing more comes for it: the next answer is the next txn's.
     let (_, next) = client.served("media", 6);
-    assert!(born(6, &next.body).is_some());
+    assert!(copy_created_ms(6, &next.body).is_some());
 }
 
 #[test]
@@ -162,15 +162,15 @@
     wait_for(&near, "stands", 1);
     let mut client = Client::of(&near);
     client.served("book", 1);
-    relay.set(|w| w.dark = [true, false]);
+    relay.set_conditions(|w| w.blocked = [true, false]);
     let trace = client.ask("book", 77);
     wait_for(&near, "is given up", 1);
     assert_eq!(world.ran(trace), 0);
-    relay.set(|w| w.dark = [false; 2]);
+    relay.set_conditions(|w| w.blocked = [false; 2]);
     // Never taken, as the far end says: the module may try again, or reject.
     let answer = client.answer();
-    let ran = u32::from(answer.word == Word::Served);
-    assert!(answer.word != Word::Failed && world.ran(trace) == ran, "{answer:?}");
+    let ran = u32::from(answer.status == Status::Served);
+    assert!(answer.status != Status::Failed && world.ran(trace) == ran, "{answer:?}");
 }
 
 #[test]
@@ -185,10 +185,10 @@
         client.served("book", 1);
         let trace = client.held_book(&world.site);
         far.kill();
-        world.site.hold(false);
+        world.site.block_writes(false);
         let _far = start();
         let answer = client.answer();
-        assert_eq!((answer.word, world.ran(trace)), (Word::Failed, 1), "durable: {durable}");
+        assert_eq!((answer.status, world.ran(trace)), (Status::Failed, 1), "durable: {durable}");
     }
 }
 
@@ -202,8 +202,8 @@
     client.served("book", 1);
     // The answer can't cross; that it ended is on the disk when the process is killed.
     let trace = client.held_book(&world.site);
-    relay.set(|w| w.dark = [false, true]);
-    world.site.hold(false);
+    relay.set_conditions(|w| w.blocked = [false, true]);
+    world.site.block_writes(false);
     let began = Instant::now();
     while !far.counters().contains("txns completed 2") {
         assert!(began.elapsed() < PATIENCE);
@@ -212,8 +212,8 @@
     std::thread::sleep(Duration::from_millis(300));
     far.kill();
     let _far = world.durable_far();
-    relay.set(|w| w.dark = [false; 2]);
-    assert_eq!((client.answer().word, world.ran(trace)), (Word::Served, 1));
+    relay.set_conditions(|w| w.blocked = [false; 2]);
+    assert_eq!((client.answer().status, world.ran(trace)), (Status::Served, 1));
 }
 
 #[test]
@@ -228,11 +228,11 @@
     far.signal("TERM").unwrap();
     wait_for(&near, "takes no more", 1);
     let other = client.ask("book", 78);
-    assert_eq!(client.answer().word, Word::Rejected);
-    world.site.hold(false);
-    assert_eq!((client.answer().word, world.ran(trace), world.ran(other)), (Word::Served, 1, 0));
+    assert_eq!(client.answer().status, Status::Rejected);
+    world.site.block_writes(false);
+    assert_eq!((client.answer().status, world.ran(trace), world.ran(other)), (Status::Served, 1, 0));
     let began = Instant::now();
-    while !far.has_ended() {
+    while !far.has_exited() {
         assert!(began.elapsed() < PATIENCE);
         std::thread::sleep(Duration::from_millis(5));
     }
@@ -253,9 +253,9 @@
     near.signal("HUP").unwrap();
     wait_for(&near, "links made from now on", 1);
     client.served("media", 6);
-    relay.set(|w| w.dark = [true; 2]);
+    relay.set_conditions(|w| w.blocked = [true; 2]);
     wait_for(&near, "is given up", 1);
-    relay.set(|w| w.dark = [false; 2]);
+    relay.set_conditions(|w| w.blocked = [false; 2]);
     wait_for(&near, "no link to far-1", 1);
     // The right ones again, by a signal alone.
     world.authority.write(&world.folder, "near").unwrap();
@@ -291,7 +291,7 @@
 #[test]
 fn without_the_file_nothing_of_it_is_there() {
     let world = World::new("off");
-    let config = world.config("alone", &world.near_bulletin, &world.places);
+    let config = world.config("alone", &world.near_bulletin, &world.endpoints);
     let alone = Gateway::start(program(), &world.folder, &config, None).unwrap();
     let mut client = Client::of(&alone);
     client.served("media", 6);
@@ -308,13 +308,13 @@
     let mut client = Client::of(&near);
     client.served("book", 1);
     let trace = client.held_book(&world.site);
-    relay.set(|w| w.dark = [true; 2]);
+    relay.set_conditions(|w| w.blocked = [true; 2]);
     wait_for(&near, "is given up", 1);
     near.signal("TERM").unwrap();
     // It may have run, and more will not be known in time.
-    assert_eq!((client.answer().word, world.ran(trace)), (Word::Failed, 1));
+    assert_eq!((client.answer().status, world.ran(trace)), (Status::Failed, 1));
     let began = Instant::now();
-    while !near.has_ended() {
+    while !near.has_exited() {
         assert!(began.elapsed() < PATIENCE);
         std::thread::sleep(Duration::from_millis(5));
     }
--- a/rig/src/tier.rs
+++ b/rig/src/cache_tier.rs
@@ -2,7 +2,7 @@
 //! fills that they bear while they are cold. One that has fallen closes all, refuses for a while and is back empty.
 //! Times are slept, not worked; the store counts how often each object was fetched and each write ran.
 
-use crate::caches::{MOST_BODY, Place, body, unix_ms};
+use crate::caches::{CacheEndpoint, MAX_BODY_BYTES, body, unix_ms};
 use crate::switch;
 use async_executor::Executor;
 use async_io::{Async, Timer};
@@ -13,13 +13,13 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-const MARK: usize = 16;
+const HEADER_BYTES: usize = 16;
 /// A purge has come to all caches by then.
-pub const DROPPED_MS: u64 = 5_500;
+pub const PURGE_APPLIED_MS: u64 = 5_500;
 
 /// What one of them bears.
 #[derive(Clone, Copy, Debug)]
-pub struct Bears {
+pub struct Capacity {
     pub connections: usize,
     /// Fills under way at once while it is cold.
     pub cold_fills: usize,
@@ -28,7 +28,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Times {
+pub struct Latencies {
     pub hit: Duration,
     pub fill: Duration,
     pub origin: Duration,
@@ -49,82 +49,83 @@
     filling: usize,
     copies: BTreeMap<u64, u64>,
     /// Each fall ends the connections of the life before.
-    life: u64,
+    generation: u64,
     down_until: Option<Instant>,
     cold_since: Option<Instant>,
     slow: Duration,
-    bad: bool,
+    failing: bool,
 }
 
 struct State {
     caches: BTreeMap<String, Cache>,
     /// By object: how often the store was asked for it.
     fetched: BTreeMap<u64, u64>,
-    ran: BTreeMap<u64, u32>,
+    executions: BTreeMap<u64, u32>,
     /// By object: when it was purged, in order.
-    purged: BTreeMap<u64, Vec<u64>>,
+    purges: BTreeMap<u64, Vec<u64>>,
 }
 
-pub struct Tier {
+pub struct CacheTier {
     state: Mutex<State>,
-    times: Times,
-    bears: Bears,
+    times: Latencies,
+    capacity: Capacity,
     len: fn(u64) -> usize,
-    fell: event_listener::Event,
+    failed: event_listener::Event,
 }
 
 /// Counts back when it is dropped.
-struct In<'a>(&'a Tier, &'a str, fn(&mut Cache));
+struct CountGuard<'a>(&'a CacheTier, &'a str, fn(&mut Cache));
 
-impl Drop for In<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.0.with(self.1, self.2);
     }
 }
 
-struct Asked {
+struct CacheRequest {
     object: u64,
     trace: u64,
     write: bool,
-    oldest: u64,
+    max_age_ms: u64,
     source: Option<String>,
-    only: bool,
+    have_only: bool,
 }
 
 pub fn address(i: usize) -> SocketAddr {
     switch::address(4, i, 8_080)
 }
 
-impl Tier {
+impl CacheTier {
     /// Members by name and kind, each at an address of its own.
     pub fn start(
-        work: &Arc<Executor<'static>>,
+        executor: &Arc<Executor<'static>>,
         members: &[(String, &'static str)],
-        (times, bears): (Times, Bears),
+        (times, capacity): (Latencies, Capacity),
         len: fn(u64) -> usize,
-    ) -> io::Result<(Arc<Tier>, Vec<Place>)> {
+    ) -> io::Result<(Arc<CacheTier>, Vec<CacheEndpoint>)> {
         let cold = |_: &(String, &str)| Cache { cold_since: Some(Instant::now()), ..Cache::default() };
         let caches = members.iter().map(|m| (m.0.clone(), cold(m))).collect();
-        let (fetched, ran, purged) = Default::default();
-        let state = Mutex::new(State { caches, fetched, ran, purged });
-        let tier = Arc::new(Tier { state, times, bears, len, fell: event_listener::Event::new() });
-        let mut places = Vec::new();
+        let (fetched, executions, purges) = Default::default();
+        let state = Mutex::new(State { caches, fetched, executions, purges });
+        let tier = Arc::new(CacheTier { state, times, capacity, len, failed: event_listener::Event::new() });
+        let mut endpoints = Vec::new();
         for (i, (name, kind)) in members.iter().enumerate() {
             let listener = Async::<TcpListener>::bind(address(i))?;
-            let place = Place { name: name.clone(), kind, address: address(i) };
-            places.push(place.clone());
-            let (tier, on) = (Arc::clone(&tier), Arc::clone(work));
-            work.spawn(async move {
-                loop {
-                    let Ok((stream, _)) = listener.accept().await else { return };
-                    let (tier, place) = (Arc::clone(&tier), place.clone());
-                    // It ends with the connection.
-                    on.spawn(async move { _ = tier.serve(&place, stream).await }).detach();
-                }
-            })
-            .detach();
+            let endpoint = Endpoint { name: name.clone(), kind, address: address(i) };
+            endpoints.push(endpoint.clone());
+            let (tier, on) = (Arc::clone(&tier), Arc::clone(executor));
+            executor
+                .spawn(async move {
+                    loop {
+                        let Ok((stream, _)) = listener.accept().await else { return };
+                        let (tier, endpoint) = (Arc::clone(&tier), endpoint.clone());
+                        // It ends with the connection.
+                        on.spawn(async move { _ = tier.serve(&endpoint, stream).await }).detach();
+                    }
+                })
+                .detach();
         }
-        Ok((tier, places))
+        Ok((tier, endpoints))
     }
 
     fn with<T>(&self, name: &str, act: impl FnOnce(&mut Cache) -> T) -> T {
@@ -133,12 +134,12 @@
     }
 
     /// From here on it answers that much later, or with errors.
-    pub fn spoil(&self, name: &str, slow: Duration, bad: bool) {
-        self.with(name, |c| (c.slow, c.bad) = (slow, bad));
+    pub fn set_fault(&self, name: &str, slow: Duration, failing: bool) {
+        self.with(name, |c| (c.slow, c.failing) = (slow, failing));
     }
 
     pub fn purge(&self, object: u64, at_ms: u64) {
-        self.state.lock().unwrap().purged.entry(object).or_default().push(at_ms);
+        self.state.lock().unwrap().purges.entry(object).or_default().push(at_ms);
     }
 
     pub fn counts(&self) -> BTreeMap<String, Counts> {
@@ -152,99 +153,100 @@
         (sum as f64 / n.max(1) as f64, state.fetched.values().copied().max().unwrap_or(0), n)
     }
 
-    pub fn ran(&self) -> BTreeMap<u64, u32> {
-        self.state.lock().unwrap().ran.clone()
+    pub fn executions(&self) -> BTreeMap<u64, u32> {
+        self.state.lock().unwrap().executions.clone()
     }
 
-    fn fall(&self, c: &mut Cache) {
+    fn fail(&self, c: &mut Cache) {
         c.counts.fallen += 1;
-        c.life += 1;
+        c.generation += 1;
         c.copies.clear();
-        c.down_until = Some(Instant::now() + self.bears.down_for);
+        c.down_until = Some(Instant::now() + self.capacity.down_for);
         c.cold_since = c.down_until;
-        self.fell.notify(usize::MAX);
+        self.failed.notify(usize::MAX);
     }
 
-    async fn serve(&self, place: &Place, stream: Async<TcpStream>) -> io::Result<()> {
-        let most = if place.kind == "origin" { usize::MAX } else { self.bears.connections };
-        let life = self.with(&place.name, |c| {
+    async fn serve(&self, endpoint: &CacheEndpoint, stream: Async<TcpStream>) -> io::Result<()> {
+        let max_connections = if endpoint.kind == "origin" { usize::MAX } else { self.capacity.connections };
+        let generation = self.with(&endpoint.name, |c| {
             if c.down_until.is_some_and(|at| at > Instant::now()) {
                 return None;
             }
             c.open += 1;
             c.counts.connections += 1;
             c.counts.most_connections = c.counts.most_connections.max(c.open);
-            if c.open > most {
-                self.fall(c);
+            if c.open > max_connections {
+                self.fail(c);
             }
-            Some(c.life)
+            Some(c.generation)
         });
-        let Some(life) = life else { return Ok(()) };
-        let _in = In(self, &place.name, |c| c.open -= 1);
+        let Some(generation) = generation else { return Ok(()) };
+        let _guard = CountGuard(self, &endpoint.name, |c| c.open -= 1);
         let fallen = async {
             loop {
-                let fell = self.fell.listen();
-                if self.with(&place.name, |c| c.life != life) {
+                let failed = self.failed.listen();
+                if self.with(&endpoint.name, |c| c.generation != generation) {
                     return Ok(());
                 }
-                fell.await;
+                failed.await;
             }
         };
-        future::or(self.talk(place, stream), fallen).await
+        future::or(self.serve_requests(endpoint, stream), fallen).await
     }
 
-    async fn talk(&self, place: &Place, mut stream: Async<TcpStream>) -> io::Result<()> {
-        let mut held = Vec::new();
+    async fn serve_requests(&self, endpoint: &CacheEndpoint, mut stream: Async<TcpStream>) -> io::Result<()> {
+        let mut cached = Vec::new();
         loop {
             let end = loop {
-                if let Some(at) = held.windows(4).position(|w| w == b"\r\n\r\n") {
+                if let Some(at) = cached.windows(4).position(|w| w == b"\r\n\r\n") {
                     break at + 4;
                 }
                 let mut bytes = [0; 4_096];
                 let n = stream.read(&mut bytes).await?;
-                if n == 0 || held.len() > 64 * 1024 {
+                if n == 0 || cached.len() > 64 * 1024 {
                     return Ok(());
                 }
-                held.extend_from_slice(&bytes[..n]);
+                cached.extend_from_slice(&bytes[..n]);
             };
-            let head = String::from_utf8_lossy(&held[..end]).into_owned();
+            let head = String::from_utf8_lossy(&cached[..end]).into_owned();
             let field = |name: &str| head.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(": "));
             let length: usize = field("Content-Length").and_then(|n| n.parse().ok()).unwrap_or(0);
-            while held.len() < end + length {
+            while cached.len() < end + length {
                 let mut bytes = [0; 4_096];
                 let n = stream.read(&mut bytes).await?;
                 if n == 0 {
                     return Ok(());
                 }
-                held.extend_from_slice(&bytes[..n]);
+                cached.extend_from_slice(&bytes[..n]);
             }
             let path = head.split(' ').nth(1).unwrap_or_default();
             let object = path.split('/').nth(3).and_then(|o| u64::from_str_radix(o, 16).ok());
             let Some(object) = object else { return Ok(()) };
-            let asked = Asked {
+            let request = CacheRequest {
                 object,
                 trace: field("X-Trace").and_then(|t| u64::from_str_radix(t, 16).ok()).unwrap_or(0),
                 write: length > 0,
-                oldest: field("X-Max-Age-Ms")
+                max_age_ms: field("X-Max-Age-Ms")
                     .and_then(|t| t.parse().ok())
                     .filter(|ms| *ms > 0)
                     .unwrap_or(u64::MAX),
                 source: field("X-Fill-From").map(str::to_owned),
-                only: field("X-Flags").is_some_and(|f| f.split('+').any(|f| f == "have-only")),
+                have_only: field("X-Flags").is_some_and(|f| f.split('+').any(|f| f == "have-only")),
             };
-            held.drain(..end + length);
-            let (slow, bad) = self.with(&place.name, |c| (c.slow, c.bad));
+            cached.drain(..end + length);
+            let (slow, failing) = self.with(&endpoint.name, |c| (c.slow, c.failing));
             Timer::after(slow).await;
-            if bad {
+            if failing {
                 stream.write_all(b"HTTP/1.1 500 Bad\r\nContent-Length: 0\r\n\r\n").await?;
                 continue;
             }
-            match self.answer(place, &asked).await {
-                Some((bytes, note, waited)) => {
-                    let born = u64::from_be_bytes(bytes[8..MARK].try_into().unwrap_or_default());
+            match self.respond(endpoint, &request).await {
+                Some((bytes, result, waited_ms)) => {
+                    let created_ms =
+                        u64::from_be_bytes(bytes[8..HEADER_BYTES].try_into().unwrap_or_default());
                     let head = format!(
-                        "HTTP/1.1 200 OK\r\nETag: {object:016x}\r\nX-Born-Ms: {born}\r\nX-Result: {note}\r\n\
-                        X-Waited-Ms: {waited}\r\nContent-Length: {}\r\n\r\n",
+                        "HTTP/1.1 200 OK\r\nETag: {object:016x}\r\nX-Born-Ms: {created_ms}\r\nX-Result: {result}\r\n\
+                        X-Waited-Ms: {waited_ms}\r\nContent-Length: {}\r\n\r\n",
                         bytes.len()
                     );
                     stream.write_all(&[head.as_bytes(), &bytes].concat()).await?;
@@ -254,67 +256,71 @@
         }
     }
 
-    async fn answer(&self, place: &Place, asked: &Asked) -> Option<(Vec<u8>, &'static str, u64)> {
-        let object = asked.object;
-        if asked.write {
+    async fn respond(
+        &self,
+        endpoint: &CacheEndpoint,
+        request: &CacheRequest,
+    ) -> Option<(Vec<u8>, &'static str, u64)> {
+        let object = request.object;
+        if request.write {
             Timer::after(self.times.origin).await;
-            *self.state.lock().unwrap().ran.entry(asked.trace).or_default() += 1;
-            return Some((body(object, unix_ms(), MARK), "hit", 0));
+            *self.state.lock().unwrap().executions.entry(request.trace).or_default() += 1;
+            return Some((body(object, unix_ms(), HEADER_BYTES), "hit", 0));
         }
-        let len = (self.len)(object).min(MOST_BODY);
-        let held = |name: &str| {
+        let len = (self.len)(object).min(MAX_BODY_BYTES);
+        let cached = |name: &str| {
             let state = self.state.lock().unwrap();
-            let born = state.caches.get(name)?.copies.get(&object).copied()?;
-            let purges = state.purged.get(&object).map(Vec::as_slice).unwrap_or_default();
-            let first = purges.get(purges.partition_point(|at| *at <= born));
-            let purged = first.is_some_and(|at| unix_ms() >= at + DROPPED_MS);
-            (unix_ms().saturating_sub(born) <= asked.oldest && !purged).then_some(born)
+            let created_ms = state.caches.get(name)?.copies.get(&object).copied()?;
+            let purges = state.purges.get(&object).map(Vec::as_slice).unwrap_or_default();
+            let first = purges.get(purges.partition_point(|at| *at <= created_ms));
+            let is_purged = first.is_some_and(|at| unix_ms() >= at + PURGE_APPLIED_MS);
+            (unix_ms().saturating_sub(created_ms) <= request.max_age_ms && !is_purged).then_some(created_ms)
         };
-        let is_origin = place.kind == "origin";
-        if let Some(born) = held(&place.name).filter(|_| !is_origin) {
+        let is_origin = endpoint.kind == "origin";
+        if let Some(created_ms) = cached(&endpoint.name).filter(|_| !is_origin) {
             Timer::after(self.times.hit).await;
-            return Some((body(object, born, len), "hit", 0));
+            return Some((body(object, created_ms, len), "hit", 0));
         }
-        let source = asked.source.as_deref().filter(|s| *s != place.name);
+        let source = request.source.as_deref().filter(|s| *s != endpoint.name);
         if !is_origin && source.is_none() {
             return None;
         }
         // From here on it is a fill, and a cold cache bears only so many.
-        let bears = self.bears;
-        self.with(&place.name, |c| {
+        let capacity = self.capacity;
+        self.with(&endpoint.name, |c| {
             c.filling += 1;
-            let cold = c.cold_since.is_some_and(|at| at.elapsed() < bears.cold_for);
+            let cold = c.cold_since.is_some_and(|at| at.elapsed() < capacity.cold_for);
             if cold && !is_origin {
                 c.counts.most_cold_fills = c.counts.most_cold_fills.max(c.filling);
-                if c.filling > bears.cold_fills {
-                    self.fall(c);
+                if c.filling > capacity.cold_fills {
+                    self.fail(c);
                 }
             }
         });
-        let _in = In(self, &place.name, |c| c.filling -= 1);
-        let keep = |name: &str, born: u64| {
-            let life = self.with(name, |c| c.down_until.is_none_or(|at| at <= Instant::now()));
-            if life {
-                self.with(name, |c| _ = c.copies.insert(object, born));
+        let _guard = CountGuard(self, &endpoint.name, |c| c.filling -= 1);
+        let store = |name: &str, created_ms: u64| {
+            let generation = self.with(name, |c| c.down_until.is_none_or(|at| at <= Instant::now()));
+            if generation {
+                self.with(name, |c| _ = c.copies.insert(object, created_ms));
             }
         };
-        if let Some(born) = source.and_then(held) {
+        if let Some(created_ms) = source.and_then(cached) {
             Timer::after(self.times.fill).await;
-            keep(&place.name, born);
-            return Some((body(object, born, len), "filled", self.times.fill.as_millis() as u64));
+            store(&endpoint.name, created_ms);
+            return Some((body(object, created_ms, len), "filled", self.times.fill.as_millis() as u64));
         }
-        if asked.only {
+        if request.have_only {
             return None;
         }
         *self.state.lock().unwrap().fetched.entry(object).or_default() += 1;
         Timer::after(self.times.fill + self.times.origin).await;
-        let born = unix_ms();
-        keep(&place.name, born);
+        let created_ms = unix_ms();
+        store(&endpoint.name, created_ms);
         if let Some(source) = source {
-            keep(source, born);
+            store(source, created_ms);
         }
         Some((
-            body(object, born, len),
+            body(object, created_ms, len),
             "via_origin",
             (self.times.fill + self.times.origin).as_millis() as u64,
         ))
--- a/rig/src/caches.rs
+++ b/rig/src/caches.rs
@@ -11,10 +11,10 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// The largest body there is.
-pub const MOST_BODY: usize = 240_000;
-const MARK: usize = 16;
+pub const MAX_BODY_BYTES: usize = 240_000;
+const HEADER_BYTES: usize = 16;
 /// A purge has come to all caches by then: half a second before the settings say that it has.
-const DROPPED_MS: u64 = 5_500;
+const PURGE_APPLIED_MS: u64 = 5_500;
 
 pub fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
@@ -22,33 +22,33 @@
 
 /// The bytes of an object: its number, when the store gave this copy out, and a filling that tells it from others.
 pub fn body(object: u64, born_ms: u64, len: usize) -> Vec<u8> {
-    let mut bytes = vec![0; len.max(MARK)];
+    let mut bytes = vec![0; len.max(HEADER_BYTES)];
     bytes[..8].copy_from_slice(&object.to_be_bytes());
-    bytes[8..MARK].copy_from_slice(&born_ms.to_be_bytes());
-    for (i, b) in bytes.iter_mut().enumerate().skip(MARK) {
+    bytes[8..HEADER_BYTES].copy_from_slice(&born_ms.to_be_bytes());
+    for (i, b) in bytes.iter_mut().enumerate().skip(HEADER_BYTES) {
         *b = (object as usize + i) as u8;
     }
     bytes
 }
 
 /// When a copy was given out; `None` for bytes that are not this object's.
-pub fn born(object: u64, bytes: &[u8]) -> Option<u64> {
-    let (mark, born) = (bytes.get(..8)?, bytes.get(8..MARK)?);
-    let filled = bytes.iter().enumerate().skip(MARK).all(|(i, b)| *b == (object as usize + i) as u8);
-    let born = u64::from_be_bytes(born.try_into().ok()?);
-    (mark == object.to_be_bytes() && filled).then_some(born)
+pub fn copy_created_ms(object: u64, bytes: &[u8]) -> Option<u64> {
+    let (mark, created_ms) = (bytes.get(..8)?, bytes.get(8..HEADER_BYTES)?);
+    let filled = bytes.iter().enumerate().skip(HEADER_BYTES).all(|(i, b)| *b == (object as usize + i) as u8);
+    let created_ms = u64::from_be_bytes(created_ms.try_into().ok()?);
+    (mark == object.to_be_bytes() && filled).then_some(created_ms)
 }
 
 /// How long things take at the site.
 #[derive(Clone, Copy, Debug)]
-pub struct Times {
+pub struct Latencies {
     pub hit: Duration,
     pub fill: Duration,
     pub origin: Duration,
 }
 
 pub struct Site {
-    times: Times,
+    times: Latencies,
     /// Bytes of an object by its number.
     len: fn(u64) -> usize,
     /// By cache: when its copies were given out.
@@ -56,89 +56,89 @@
     /// Of objects: copies from before are dropped some time after.
     pub purges: Mutex<BTreeMap<u64, u64>>,
     /// How often each write ran, by the client's id for it.
-    pub ran: Mutex<BTreeMap<u64, u32>>,
+    pub executions: Mutex<BTreeMap<u64, u32>>,
     /// Whether writes wait before they are answered, and how many have come; changes are told.
-    held: Mutex<(bool, u64)>,
+    write_gate: Mutex<(bool, u64)>,
     changed: Condvar,
     pub requests: AtomicU64,
-    pub from_origin: AtomicU64,
-    ends: AtomicBool,
+    pub origin_fills: AtomicU64,
+    stopping: AtomicBool,
 }
 
 /// A member of the site, as the list names it.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct CacheEndpoint {
     pub name: String,
     pub kind: &'static str,
     pub address: SocketAddr,
 }
 
 impl Site {
-    pub fn new(times: Times, len: fn(u64) -> usize) -> Arc<Site> {
+    pub fn new(times: Latencies, len: fn(u64) -> usize) -> Arc<Site> {
         Arc::new(Site {
             times,
             len,
             copies: Mutex::default(),
             purges: Mutex::default(),
-            ran: Mutex::default(),
-            held: Mutex::default(),
+            executions: Mutex::default(),
+            write_gate: Mutex::default(),
             changed: Condvar::new(),
             requests: AtomicU64::new(0),
-            from_origin: AtomicU64::new(0),
-            ends: AtomicBool::new(false),
+            origin_fills: AtomicU64::new(0),
+            stopping: AtomicBool::new(false),
         })
     }
 
     /// Starts a member; it ends with the site.
-    pub fn place(self: &Arc<Site>, name: &str, kind: &'static str) -> io::Result<Place> {
+    pub fn start_member(self: &Arc<Site>, name: &str, kind: &'static str) -> io::Result<CacheEndpoint> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let place = Place { name: name.to_owned(), kind, address: listener.local_addr()? };
-        let (site, of) = (Arc::clone(self), place.clone());
+        let endpoint = Endpoint { name: name.to_owned(), kind, address: listener.local_addr()? };
+        let (site, of) = (Arc::clone(self), endpoint.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                if site.ends.load(Ordering::Relaxed) {
+                if site.stopping.load(Ordering::Relaxed) {
                     return;
                 }
                 let (site, of) = (Arc::clone(&site), of.clone());
                 // It ends with the connection.
-                thread::spawn(move || _ = site.talk(&of, stream));
+                thread::spawn(move || _ = site.serve(&of, stream));
             }
         });
-        Ok(place)
+        Ok(endpoint)
     }
 
     /// From now on writes run, and are not answered until `hold` is called with `false`.
-    pub fn hold(&self, is: bool) {
-        self.held.lock().unwrap().0 = is;
+    pub fn block_writes(&self, blocked: bool) {
+        self.write_gate.lock().unwrap().0 = blocked;
         self.changed.notify_all();
     }
 
-    fn wait_if_held(&self) {
-        let mut held = self.held.lock().unwrap();
-        held.1 += 1;
+    fn wait_while_blocked(&self) {
+        let mut write_gate = self.write_gate.lock().unwrap();
+        write_gate.1 += 1;
         self.changed.notify_all();
-        while held.0 && !self.ends.load(Ordering::Relaxed) {
-            held = self.changed.wait_timeout(held, Duration::from_millis(100)).unwrap().0;
+        while write_gate.0 && !self.stopping.load(Ordering::Relaxed) {
+            write_gate = self.changed.wait_timeout(write_gate, Duration::from_millis(100)).unwrap().0;
         }
     }
 
     /// How many writes have run.
-    pub fn writes(&self) -> u64 {
-        self.held.lock().unwrap().1
+    pub fn writes_started(&self) -> u64 {
+        self.write_gate.lock().unwrap().1
     }
 
     /// Waits until so many writes have run; `false` if they don't within the time.
-    pub fn wait_for_writes(&self, n: u64, most: Duration) -> bool {
-        let held = self.held.lock().unwrap();
-        let (held, _) = self.changed.wait_timeout_while(held, most, |h| h.1 < n).unwrap();
-        held.1 >= n
+    pub fn wait_for_writes(&self, n: u64, timeout: Duration) -> bool {
+        let write_gate = self.write_gate.lock().unwrap();
+        let (write_gate, _) = self.changed.wait_timeout_while(write_gate, timeout, |h| h.1 < n).unwrap();
+        write_gate.1 >= n
     }
 
-    pub fn end(&self) {
-        self.ends.store(true, Ordering::Relaxed);
+    pub fn stop(&self) {
+        self.stopping.store(true, Ordering::Relaxed);
     }
 
-    fn talk(&self, place: &Place, stream: TcpStream) -> io::Result<()> {
+    fn serve(&self, endpoint: &CacheEndpoint, stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let mut lines = BufReader::new(stream.try_clone()?);
         loop {
@@ -150,8 +150,8 @@
             }
             let field = |name: &str| head.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(": "));
             let length = field("Content-Length").and_then(|n| n.parse().ok()).unwrap_or(0);
-            let mut sent = vec![0; length];
-            lines.read_exact(&mut sent)?;
+            let mut body_sent = vec![0; length];
+            lines.read_exact(&mut body_sent)?;
             let path = head.split(' ').nth(1).unwrap_or_default();
             let object = path.split('/').nth(3).and_then(|o| u64::from_str_radix(o, 16).ok());
             let Some(object) = object else {
@@ -160,25 +160,26 @@
             };
             self.requests.fetch_add(1, Ordering::Relaxed);
             let trace = field("X-Trace").and_then(|t| u64::from_str_radix(t, 16).ok()).unwrap_or(0);
-            let oldest = field("X-Max-Age-Ms").and_then(|t| t.parse().ok()).filter(|ms| *ms > 0);
+            let max_age_ms = field("X-Max-Age-Ms").and_then(|t| t.parse().ok()).filter(|ms| *ms > 0);
             let source = field("X-Fill-From");
-            let only = field("X-Flags").is_some_and(|f| f.split('+').any(|f| f == "have-only"));
-            let answer = if !sent.is_empty()
-                || place.kind == "origin" && source.is_none() && path.contains("/book/")
+            let have_only = field("X-Flags").is_some_and(|f| f.split('+').any(|f| f == "have-only"));
+            let response = if !body_sent.is_empty()
+                || endpoint.kind == "origin" && source.is_none() && path.contains("/book/")
             {
                 thread::sleep(self.times.origin);
-                *self.ran.lock().unwrap().entry(trace).or_default() += 1;
-                self.wait_if_held();
-                Some((body(object, unix_ms(), MARK), "hit", 0))
+                *self.executions.lock().unwrap().entry(trace).or_default() += 1;
+                self.wait_while_blocked();
+                Some((body(object, unix_ms(), HEADER_BYTES), "hit", 0))
             } else {
-                self.read(place, object, oldest.unwrap_or(u64::MAX), source, only)
+                self.read(endpoint, object, max_age_ms.unwrap_or(u64::MAX), source, have_only)
             };
-            match answer {
-                Some((bytes, note, waited)) => {
-                    let born = u64::from_be_bytes(bytes[8..MARK].try_into().unwrap_or_default());
+            match response {
+                Some((bytes, result, waited_ms)) => {
+                    let created_ms =
+                        u64::from_be_bytes(bytes[8..HEADER_BYTES].try_into().unwrap_or_default());
                     let head = format!(
-                        "HTTP/1.1 200 OK\r\nETag: {object:016x}\r\nX-Born-Ms: {born}\r\nX-Result: {note}\r\n\
-                        X-Waited-Ms: {waited}\r\nContent-Length: {}\r\n\r\n",
+                        "HTTP/1.1 200 OK\r\nETag: {object:016x}\r\nX-Born-Ms: {created_ms}\r\nX-Result: {result}\r\n\
+                        X-Waited-Ms: {waited_ms}\r\nContent-Length: {}\r\n\r\n",
                         bytes.len()
                     );
                     let all = [head.as_bytes(), &bytes].concat();
@@ -192,48 +193,50 @@
     /// A copy that is young enough, from here or from the source.
     fn read(
         &self,
-        place: &Place,
+        endpoint: &CacheEndpoint,
         object: u64,
-        oldest: u64,
+        max_age_ms: u64,
         source: Option<&str>,
-        only: bool,
+        have_only: bool,
     ) -> Option<(Vec<u8>, &'static str, u64)> {
-        let len = (self.len)(object).min(MOST_BODY);
+        let len = (self.len)(object).min(MAX_BODY_BYTES);
         let purged = self.purges.lock().unwrap().get(&object).copied();
-        let dropped = |born: u64| purged.is_some_and(|at| born < at && unix_ms() >= at + DROPPED_MS);
-        let young = |born: u64| unix_ms().saturating_sub(born) <= oldest && !dropped(born);
-        let held = |name: &str| {
+        let purged_ms =
+            |created_ms: u64| purged.is_some_and(|at| created_ms < at && unix_ms() >= at + PURGE_APPLIED_MS);
+        let fresh =
+            |created_ms: u64| unix_ms().saturating_sub(created_ms) <= max_age_ms && !purged_ms(created_ms);
+        let write_gate = |name: &str| {
             let copies = self.copies.lock().unwrap();
-            copies.get(name)?.get(&object).copied().filter(|born| young(*born))
+            copies.get(name)?.get(&object).copied().filter(|created_ms| fresh(*created_ms))
         };
-        let keep = |name: &str, born: u64| {
-            _ = self.copies.lock().unwrap().entry(name.to_owned()).or_default().insert(object, born);
+        let store = |name: &str, created_ms: u64| {
+            _ = self.copies.lock().unwrap().entry(name.to_owned()).or_default().insert(object, created_ms);
         };
-        if let Some(born) = held(&place.name).filter(|_| place.kind != "origin") {
+        if let Some(created_ms) = write_gate(&endpoint.name).filter(|_| endpoint.kind != "origin") {
             thread::sleep(self.times.hit);
-            return Some((body(object, born, len), "hit", 0));
+            return Some((body(object, created_ms, len), "hit", 0));
         }
-        let is_origin = place.kind == "origin";
-        let source = source.filter(|s| *s != place.name);
+        let is_origin = endpoint.kind == "origin";
+        let source = source.filter(|s| *s != endpoint.name);
         if !is_origin && source.is_none() {
             return None;
         }
-        if let Some(born) = source.and_then(held) {
+        if let Some(created_ms) = source.and_then(write_gate) {
             thread::sleep(self.times.fill);
-            keep(&place.name, born);
-            return Some((body(object, born, len), "filled", self.times.fill.as_millis() as u64));
+            store(&endpoint.name, created_ms);
+            return Some((body(object, created_ms, len), "filled", self.times.fill.as_millis() as u64));
         }
-        if only {
+        if have_only {
             return None;
         }
         thread::sleep(self.times.fill + self.times.origin);
-        self.from_origin.fetch_add(1, Ordering::Relaxed);
-        let born = unix_ms();
-        keep(&place.name, born);
+        self.origin_fills.fetch_add(1, Ordering::Relaxed);
+        let created_ms = unix_ms();
+        store(&endpoint.name, created_ms);
         if let Some(source) = source {
-            keep(source, born);
+            store(source, created_ms);
         }
-        let waited = (self.times.fill + self.times.origin).as_millis() as u64;
-        Some((body(object, born, len), "via_origin", waited))
+        let waited_ms = (self.times.fill + self.times.origin).as_millis() as u64;
+        Some((body(object, created_ms, len), "via_origin", waited_ms))
     }
 }
--- a/rig/src/client.rs
+++ b/rig/src/client.rs
@@ -1,7 +1,7 @@
 //! A client of the platform's protocol (MessagePack-RPC): writes requests and reads answers, without I/O of its own.
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum Status {
     Served,
     Rejected,
     /// Any other error.
@@ -9,15 +9,15 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     pub id: u64,
-    pub word: Word,
+    pub status: Status,
     pub body: Vec<u8>,
     /// How long to stay away, in milliseconds.
-    pub holdoff: Option<u64>,
+    pub retry_after_ms: Option<u64>,
 }
 
-pub struct Ask<'a> {
+pub struct Request<'a> {
     pub id: u32,
     pub rule: &'a str,
     pub trace: u64,
@@ -27,38 +27,38 @@
     pub body: &'a [u8],
 }
 
-fn text(out: &mut Vec<u8>, text: &str) {
-    out.extend([0xd9, text.len() as u8]);
-    out.extend(text.as_bytes());
+fn write_str(out: &mut Vec<u8>, write_str: &str) {
+    out.extend([0xd9, write_str.len() as u8]);
+    out.extend(write_str.as_bytes());
 }
 
-pub fn request(ask: &Ask) -> Vec<u8> {
+pub fn encode_request(request: &Request) -> Vec<u8> {
     let mut out = vec![0x94, 0x00, 0xce];
-    out.extend(ask.id.to_be_bytes());
-    text(&mut out, ask.rule);
+    out.extend(request.id.to_be_bytes());
+    write_str(&mut out, request.rule);
     let fields = [
-        ("req", format!("{:016x}", ask.trace)),
-        ("timeout", ask.timeout_ms.to_string()),
-        ("subject", format!("{:016x}", ask.object)),
+        ("req", format!("{:016x}", request.trace)),
+        ("timeout", request.timeout_ms.to_string()),
+        ("subject", format!("{:016x}", request.object)),
         ("slice", "0".to_owned()),
-        ("set", (ask.object % 256).to_string()),
-        ("need", format!("{:.3}", ask.need_kb)),
+        ("set", (request.object % 256).to_string()),
+        ("need", format!("{:.3}", request.need_kb)),
     ];
     out.extend([0x92, 0x80 | fields.len() as u8]);
     for (name, value) in &fields {
-        text(&mut out, name);
-        text(&mut out, value);
+        write_str(&mut out, name);
+        write_str(&mut out, value);
     }
     out.push(0xc5);
-    out.extend((ask.body.len() as u16).to_be_bytes());
-    out.extend(ask.body);
+    out.extend((request.body.len() as u16).to_be_bytes());
+    out.extend(request.body);
     out
 }
 
-pub fn check(id: u32) -> Vec<u8> {
+pub fn encode_check(id: u32) -> Vec<u8> {
     let mut out = vec![0x94, 0x00, 0xce];
     out.extend(id.to_be_bytes());
-    text(&mut out, "check");
+    write_str(&mut out, "check");
     out.extend([0x91, 0x80]);
     out
 }
@@ -72,95 +72,95 @@
     Map(Vec<(Value<'a>, Value<'a>)>),
 }
 
-struct Reader<'a> {
+struct Decoder<'a> {
     bytes: &'a [u8],
     at: usize,
 }
 
 /// Not whole yet, or not what a gateway sends.
-enum Stop {
-    Short,
-    Damaged,
+enum DecodeError {
+    Incomplete,
+    Malformed,
 }
 
-impl<'a> Reader<'a> {
-    fn take(&mut self, n: usize) -> Result<&'a [u8], Stop> {
-        let taken = self.bytes.get(self.at..self.at + n).ok_or(Stop::Short)?;
+impl<'a> Decoder<'a> {
+    fn take(&mut self, n: usize) -> Result<&'a [u8], DecodeError> {
+        let taken = self.bytes.get(self.at..self.at + n).ok_or(DecodeError::Incomplete)?;
         self.at += n;
         Ok(taken)
     }
 
-    fn big(&mut self, n: usize) -> Result<u64, Stop> {
+    fn uint(&mut self, n: usize) -> Result<u64, DecodeError> {
         Ok(self.take(n)?.iter().fold(0, |all, b| all << 8 | u64::from(*b)))
     }
 
-    fn bytes(&mut self, n: usize) -> Result<Value<'a>, Stop> {
+    fn bytes(&mut self, n: usize) -> Result<Value<'a>, DecodeError> {
         Ok(Value::Bytes(self.take(n)?))
     }
 
-    fn value(&mut self) -> Result<Value<'a>, Stop> {
+    fn value(&mut self) -> Result<Value<'a>, DecodeError> {
         let tag = self.take(1)?[0];
         Ok(match tag {
             0x00..=0x7f => Value::Int(tag.into()),
             0x80..=0x8f => {
                 let pairs = (0..tag & 0x0f).map(|_| Ok((self.value()?, self.value()?)));
-                Value::Map(pairs.collect::<Result<_, Stop>>()?)
+                Value::Map(pairs.collect::<Result<_, DecodeError>>()?)
             }
             0x90..=0x9f => Value::List((0..tag & 0x0f).map(|_| self.value()).collect::<Result<_, _>>()?),
             0xa0..=0xbf => self.bytes((tag & 0x1f).into())?,
             0xc0 => Value::Nil,
             0xc2 | 0xc3 => Value::Bool,
             0xc4 | 0xd9 => {
-                let n = self.big(1)? as usize;
+                let n = self.uint(1)? as usize;
                 self.bytes(n)?
             }
             0xc5 | 0xda => {
-                let n = self.big(2)? as usize;
+                let n = self.uint(2)? as usize;
                 self.bytes(n)?
             }
             0xc6 | 0xdb => {
-                let n = self.big(4)? as usize;
+                let n = self.uint(4)? as usize;
                 self.bytes(n)?
             }
-            0xcc => Value::Int(self.big(1)?),
-            0xcd => Value::Int(self.big(2)?),
-            0xce => Value::Int(self.big(4)?),
-            0xcf => Value::Int(self.big(8)?),
-            _ => return Err(Stop::Damaged),
+            0xcc => Value::Int(self.uint(1)?),
+            0xcd => Value::Int(self.uint(2)?),
+            0xce => Value::Int(self.uint(4)?),
+            0xcf => Value::Int(self.uint(8)?),
+            _ => return Err(DecodeError::Malformed),
         })
     }
 }
 
 /// The answer at the start of `bytes` and its length; `None` while it is not whole, an error if it never will be.
-pub fn answer(bytes: &[u8]) -> Result<Option<(Answer, usize)>, &'static str> {
-    let mut reader = Reader { bytes, at: 0 };
-    let value = match reader.value() {
+pub fn decode_response(bytes: &[u8]) -> Result<Option<(Response, usize)>, &'static str> {
+    let mut decoder = Decoder { bytes, at: 0 };
+    let value = match decoder.value() {
         Ok(value) => value,
-        Err(Stop::Short) => return Ok(None),
-        Err(Stop::Damaged) => return Err("no MessagePack that a gateway sends"),
+        Err(DecodeError::Incomplete) => return Ok(None),
+        Err(DecodeError::Malformed) => return Err("no MessagePack that a gateway sends"),
     };
     let Value::List(parts) = value else { return Err("no message") };
     let [Value::Int(1), Value::Int(id), error, result] = parts.as_slice() else { return Err("no answer") };
-    let fields = |value: Option<&Value>| {
+    let retry_after = |value: Option<&Value>| {
         let Some(Value::Map(pairs)) = value else { return None };
         pairs.iter().find_map(|(name, value)| match (name, value) {
             (Value::Bytes(b"holdoff"), Value::Bytes(ms)) => std::str::from_utf8(ms).ok()?.parse().ok(),
             _ => None,
         })
     };
-    let (word, body, holdoff) = match (error, result) {
+    let (status, body, retry_after_ms) = match (error, result) {
         (Value::Nil, Value::List(all)) => match all.first() {
-            Some(Value::Bytes(body)) => (Word::Served, body.to_vec(), None),
-            Some(Value::Bool) => (Word::Served, Vec::new(), None),
+            Some(Value::Bytes(body)) => (Status::Served, body.to_vec(), None),
+            Some(Value::Bool) => (Status::Served, Vec::new(), None),
             _ => return Err("no body"),
         },
         (Value::List(all), Value::Nil) => match all.first() {
-            Some(Value::Bytes(b"Backoff")) => (Word::Rejected, Vec::new(), fields(all.get(1))),
-            _ => (Word::Failed, Vec::new(), None),
+            Some(Value::Bytes(b"Backoff")) => (Status::Rejected, Vec::new(), retry_after(all.get(1))),
+            _ => (Status::Failed, Vec::new(), None),
         },
         _ => return Err("no error and no result, or both"),
     };
-    Ok(Some((Answer { id: *id, word, body, holdoff }, reader.at)))
+    Ok(Some((Response { id: *id, status, body, retry_after_ms }, decoder.at)))
 }
 
 #[cfg(test)]
@@ -174,24 +174,24 @@
     #[test]
     fn answers_are_read_whole_or_not_at_all() {
         let all = [SERVED, REJECTED].concat();
-        for cut in 0..all.len() {
-            let first = answer(&all[..cut]).unwrap();
-            assert_eq!(first.is_some(), cut >= SERVED.len(), "{cut}");
+        for len in 0..all.len() {
+            let first = decode_response(&all[..len]).unwrap();
+            assert_eq!(first.is_some(), len >= SERVED.len(), "{len}");
         }
-        let (first, n) = answer(&all).unwrap().unwrap();
-        assert_eq!((first.id, first.word, &*first.body, n), (7, Word::Served, &b"ok"[..], SERVED.len()));
-        let (second, _) = answer(&all[n..]).unwrap().unwrap();
-        assert_eq!((second.id, second.word, second.holdoff), (8, Word::Rejected, Some(250)));
-        assert!(answer(&[0xc1]).is_err());
+        let (first, n) = decode_response(&all).unwrap().unwrap();
+        assert_eq!((first.id, first.status, &*first.body, n), (7, Status::Served, &b"ok"[..], SERVED.len()));
+        let (second, _) = decode_response(&all[n..]).unwrap().unwrap();
+        assert_eq!((second.id, second.status, second.retry_after_ms), (8, Status::Rejected, Some(250)));
+        assert!(decode_response(&[0xc1]).is_err());
     }
 
     quickcheck! {
         fn damaged_answers_never_panic(bytes: Vec<u8>, at: usize, with: u8) -> bool {
-            _ = answer(&bytes);
+            _ = decode_response(&bytes);
             let mut one = REJECTED.to_vec();
             let at = at % one.len();
             one[at] = with;
-            _ = answer(&one);
+            _ = decode_response(&one);
             true
         }
     }
--- a/rig/src/bulletin.rs
+++ b/rig/src/discovery.rs
@@ -8,59 +8,59 @@
 use std::thread;
 use std::time::Duration;
 
-struct Shared {
+struct State {
     events: Mutex<Vec<Value>>,
-    more: Condvar,
-    ends: AtomicBool,
+    changed: Condvar,
+    stopping: AtomicBool,
     /// The number of the last event of the start.
-    first: u64,
+    first_event_no: u64,
 }
 
-pub struct Bulletin {
+pub struct DiscoveryServer {
     pub address: SocketAddr,
-    shared: Arc<Shared>,
+    shared: Arc<State>,
 }
 
-impl Bulletin {
+impl DiscoveryServer {
     /// `first`: the number of the last event that gateways know from their start.
-    pub fn start(first: u64) -> io::Result<Bulletin> {
+    pub fn start(first_event_no: u64) -> io::Result<DiscoveryServer> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let shared = Arc::new(Shared {
+        let shared = Arc::new(State {
             events: Mutex::default(),
-            more: Condvar::new(),
-            ends: AtomicBool::new(false),
-            first,
+            changed: Condvar::new(),
+            stopping: AtomicBool::new(false),
+            first_event_no,
         });
-        let all = Arc::clone(&shared);
+        let accept_state = Arc::clone(&shared);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                if all.ends.load(Ordering::Relaxed) {
+                if accept_state.stopping.load(Ordering::Relaxed) {
                     return;
                 }
-                let shared = Arc::clone(&all);
+                let shared = Arc::clone(&accept_state);
                 // It ends with its gateway, or with the stand-in.
-                thread::spawn(move || _ = tell(&shared, stream));
+                thread::spawn(move || _ = serve(&shared, stream));
             }
         });
-        Ok(Bulletin { address, shared })
+        Ok(DiscoveryServer { address, shared })
     }
 
     fn push(&self, what: &str, value: Value) {
         let mut events = self.shared.events.lock().unwrap();
-        let no = self.shared.first + events.len() as u64 + 1;
+        let no = self.shared.first_event_no + events.len() as u64 + 1;
         events.push(json!({"no": no, what: value}));
-        self.shared.more.notify_all();
+        self.shared.changed.notify_all();
     }
 
     /// A list of caches, or what has changed of it.
-    pub fn roster(&self, snapshot: bool, endpoints: &[Value]) {
+    pub fn push_roster(&self, snapshot: bool, endpoints: &[Value]) {
         self.push("roster", json!({"index": 0, "snapshot": snapshot, "endpoints": endpoints}));
     }
 
     /// The number of the last event.
-    pub fn last(&self) -> u64 {
-        self.shared.first + self.shared.events.lock().unwrap().len() as u64
+    pub fn last_event_no(&self) -> u64 {
+        self.shared.first_event_no + self.shared.events.lock().unwrap().len() as u64
     }
 
     /// Purges an object as of a Unix millisecond.
@@ -69,30 +69,30 @@
     }
 }
 
-fn tell(shared: &Shared, stream: TcpStream) -> io::Result<()> {
+fn serve(shared: &State, stream: TcpStream) -> io::Result<()> {
     let mut line = String::new();
     BufReader::new(stream.try_clone()?).read_line(&mut line)?;
     let after: u64 = line.trim().strip_prefix("after ").and_then(|n| n.parse().ok()).unwrap_or(0);
-    let mut sent = after.saturating_sub(shared.first) as usize;
-    while !shared.ends.load(Ordering::Relaxed) {
+    let mut sent = after.saturating_sub(shared.first_event_no) as usize;
+    while !shared.stopping.load(Ordering::Relaxed) {
         let mut events = shared.events.lock().unwrap();
         if sent >= events.len() {
-            events = shared.more.wait_timeout(events, Duration::from_millis(500)).unwrap().0;
+            events = shared.changed.wait_timeout(events, Duration::from_millis(500)).unwrap().0;
         }
-        let last = shared.first + events.len() as u64;
+        let last_event_no = shared.first_event_no + events.len() as u64;
         let mut text: String = events.iter().skip(sent).map(|e| format!("{e}\n")).collect();
         sent = sent.max(events.len());
         drop(events);
-        text.push_str(&format!("{last}\n"));
+        text.push_str(&format!("{last_event_no}\n"));
         (&stream).write_all(text.as_bytes())?;
     }
     Ok(())
 }
 
-impl Drop for Bulletin {
+impl Drop for DiscoveryServer {
     fn drop(&mut self) {
-        self.shared.ends.store(true, Ordering::Relaxed);
-        self.shared.more.notify_all();
+        self.shared.stopping.store(true, Ordering::Relaxed);
+        self.shared.changed.notify_all();
         // Wakes the one that waits for connections.
         _ = TcpStream::connect(self.address);
     }
--- a/rig/src/fleet.rs
+++ b/rig/src/fleet.rs
@@ -1,6 +1,6 @@
 //! Real gateways as processes: their configurations, their start, their end, and what the machine says of them.
 
-use crate::caches::Place;
+use crate::caches::CacheEndpoint;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader, Write};
@@ -12,12 +12,12 @@
 use std::time::{Duration, Instant};
 
 /// Longer than a start may take.
-const STARTS: Duration = Duration::from_secs(10);
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 /// Lines of a log that are kept for its end.
-const MOST_LINES: usize = 20_000;
+const MAX_LOG_LINES: usize = 20_000;
 
 #[derive(Debug, thiserror::Error)]
-pub enum Failed {
+pub enum StartError {
     #[error("{0}")]
     Io(#[from] io::Error),
     #[error("the gateway {0} did not start: {1}")]
@@ -28,36 +28,36 @@
 pub struct Node<'a> {
     pub name: &'a str,
     pub zone: &'a str,
-    pub bulletin: SocketAddr,
-    pub places: &'a [Place],
+    pub discovery: SocketAddr,
+    pub endpoints: &'a [CacheEndpoint],
     pub memory_mb: u64,
     pub seed: u64,
 }
 
-pub fn endpoint(place: &Place, zone: &str, status: &str) -> Value {
-    json!({"name": place.name, "address": place.address.to_string(), "zone": zone, "type": place.kind, "group": 0,
+pub fn endpoint(endpoint: &CacheEndpoint, zone: &str, status: &str) -> Value {
+    json!({"name": endpoint.name, "address": endpoint.address.to_string(), "zone": zone, "type": endpoint.kind, "group": 0,
         "status": status, "weight": 64.0, "since_ms": 0})
 }
 
 /// The rules of the example deployment: media and rates may run again, book must not.
 pub fn config(node: &Node) -> Value {
-    let class = |name: &str, effect: &str, sla: u64, stretch: f64, limit: u64| {
-        json!({"Name": name, "Repeat": effect, "DedupScope": "all", "MemorySpanUs": 0, "SloUs": sla * 1_000,
-            "AimStretch": stretch, "DeadlineUs": limit * 1_000})
+    let rule = |name: &str, effect: &str, sla_ms: u64, stretch: f64, limit_ms: u64| {
+        json!({"Name": name, "Repeat": effect, "DedupScope": "all", "MemorySpanUs": 0, "SloUs": sla_ms * 1_000,
+            "AimStretch": stretch, "DeadlineUs": limit_ms * 1_000})
     };
-    let list: Vec<Value> = node.places.iter().map(|p| endpoint(p, node.zone, "up")).collect();
+    let list: Vec<Value> = node.endpoints.iter().map(|p| endpoint(p, node.zone, "up")).collect();
     json!({
         "name": node.name, "listen": "127.0.0.1:0", "seed": format!("{:x}", node.seed),
-        "bulletin": node.bulletin.to_string(),
+        "bulletin": node.discovery.to_string(),
         "limits": {"cores": 1.0, "memory_mb": node.memory_mb, "sockets": 1_024},
         "known": {"no": 1, "items": [{"no": 1, "roster": {"index": 0, "snapshot": true, "endpoints": list}}]},
         "settings": {
             "Instances": 1, "Locality": 0, "Weights": "nominal", "Discovery": "push", "TickUs": 1000,
             "Zones": [node.zone], "Shapes": ["box", "parent", "origin"],
             "Classes": [
-                class("media", "pure", 500, 1.6, 6_000),
-                class("rates", "pure", 400, 2.0, 2_500),
-                class("book", "side_effect", 800, 0.0, 3_000),
+                rule("media", "pure", 500, 1.6, 6_000),
+                rule("rates", "pure", 400, 2.0, 2_500),
+                rule("book", "side_effect", 800, 0.0, 3_000),
             ],
             "FamilyInfo": {"CrewByZone": [1], "ParentKind": 1, "OriginKind": 2, "BypassAllowed": true,
                 "CanJoin": false, "Neighbours": "off", "LifetimeByClassUs": [0, 0, 0],
@@ -79,17 +79,17 @@
     child: Child,
     log: Arc<Mutex<Vec<String>>>,
     /// When it said that it leads a group of those who keep copies.
-    led: Arc<Mutex<Vec<(Instant, u32)>>>,
+    leadership: Arc<Mutex<Vec<(Instant, u32)>>>,
 }
 
 /// The group that a line of the log says is led there from now on.
-fn led(line: &str) -> Option<u32> {
+fn parse_leader_group(line: &str) -> Option<u32> {
     line.split_once("group ")?.1.strip_suffix(": led here")?.parse().ok()
 }
 
 /// What the machine says of a process.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Used {
+pub struct ResourceUsage {
     pub cpu_s: f64,
     pub peak_mb: f64,
 }
@@ -100,7 +100,7 @@
         folder: &Path,
         config: &Value,
         sites: Option<&Value>,
-    ) -> Result<Gateway, Failed> {
+    ) -> Result<Gateway, StartError> {
         Gateway::start_with(program, folder, config, sites, None)
     }
 
@@ -111,7 +111,7 @@
         config: &Value,
         sites: Option<&Value>,
         copies: Option<&Value>,
-    ) -> Result<Gateway, Failed> {
+    ) -> Result<Gateway, StartError> {
         let name = config["name"].as_str().unwrap_or("gateway").to_owned();
         let file = |end: &str, value: &Value| -> io::Result<PathBuf> {
             let path = folder.join(format!("{name}.{end}.json"));
@@ -130,20 +130,23 @@
         }
         let mut child = command.spawn()?;
         let Some(stderr) = child.stderr.take() else {
-            return Err(Failed::Start(name, "it has no log".to_owned()));
+            return Err(StartError::Start(name, "it has no log".to_owned()));
         };
         let log: Arc<Mutex<Vec<String>>> = Arc::default();
-        let leads: Arc<Mutex<Vec<(Instant, u32)>>> = Arc::default();
-        let (lines, leading) = (Arc::clone(&log), Arc::clone(&leads));
+        let leadership: Arc<Mutex<Vec<(Instant, u32)>>> = Arc::default();
+        let (lines, leadership_writer) = (Arc::clone(&log), Arc::clone(&leadership));
         let path = folder.join(format!("{name}.log"));
         let mut file = std::fs::OpenOptions::new().create(true).append(true).open(path)?;
         let reader = thread::spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-                leading.lock().unwrap().extend(led(&line).map(|group| (Instant::now(), group)));
+                leadership_writer
+                    .lock()
+                    .unwrap()
+                    .extend(parse_leader_group(&line).map(|group| (Instant::now(), group)));
                 // Without it the last lines are still at hand.
                 _ = writeln!(file, "{line}");
                 let mut all = lines.lock().unwrap();
-                if all.len() >= MOST_LINES {
+                if all.len() >= MAX_LOG_LINES {
                     all.remove(0);
                 }
                 all.push(line);
@@ -154,15 +157,15 @@
             let listens = |l: &String| l.split_once(" listens on ")?.1.parse().ok();
             let found = log.lock().unwrap().iter().find_map(listens);
             if let Some(address) = found {
-                return Ok(Gateway { name, address, child, log, led: leads });
+                return Ok(Gateway { name, address, child, log, leadership });
             }
-            if child.try_wait()?.is_some() || began.elapsed() > STARTS {
+            if child.try_wait()?.is_some() || began.elapsed() > START_TIMEOUT {
                 _ = child.kill();
                 _ = child.wait();
                 // Its last words are there only once all was read.
                 _ = reader.join();
                 let last = log.lock().unwrap().last().cloned().unwrap_or_default();
-                return Err(Failed::Start(name, last));
+                return Err(StartError::Start(name, last));
             }
             thread::sleep(Duration::from_millis(5));
         }
@@ -184,7 +187,7 @@
     }
 
     /// It has ended by itself.
-    pub fn has_ended(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
@@ -193,8 +196,8 @@
     }
 
     /// When it began to lead which group.
-    pub fn led(&self) -> Vec<(Instant, u32)> {
-        self.led.lock().unwrap().clone()
+    pub fn leadership(&self) -> Vec<(Instant, u32)> {
+        self.leadership.lock().unwrap().clone()
     }
 
     /// The counters' line as it is now; empty if none comes.
@@ -216,8 +219,8 @@
         String::new()
     }
 
-    pub fn used(&self) -> Used {
-        used(self.child.id())
+    pub fn resource_usage(&self) -> ResourceUsage {
+        resource_usage(self.child.id())
     }
 }
 
@@ -263,7 +266,7 @@
         self.child.id()
     }
 
-    pub fn has_ended(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
@@ -277,8 +280,8 @@
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
-    pub fn used(&self) -> Used {
-        used(self.child.id())
+    pub fn resource_usage(&self) -> ResourceUsage {
+        resource_usage(self.child.id())
     }
 }
 
@@ -307,7 +310,7 @@
 }
 
 /// What the machine says of a process.
-pub fn used(id: u32) -> Used {
+pub fn resource_usage(id: u32) -> ResourceUsage {
     let read = |what: &str| std::fs::read_to_string(format!("/proc/{id}/{what}"));
     let stat = read("stat").unwrap_or_default();
     // Behind the name: the 14th and 15th fields are ticks of 10 ms.
@@ -316,10 +319,10 @@
     let status = read("status").unwrap_or_default();
     let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:")?.trim().strip_suffix(" kB"));
     let peak_kb = peak.and_then(|kb| kb.trim().parse::<f64>().ok()).unwrap_or(0.0);
-    Used { cpu_s: (ticks(11) + ticks(12)) / 100.0, peak_mb: peak_kb / 1024.0 }
+    ResourceUsage { cpu_s: (ticks(11) + ticks(12)) / 100.0, peak_mb: peak_kb / 1024.0 }
 }
 
 /// An address of UDP at which nobody listens now.
-pub fn free_udp() -> io::Result<SocketAddr> {
+pub fn free_udp_address() -> io::Result<SocketAddr> {
     std::net::UdpSocket::bind("127.0.0.1:0")?.local_addr()
 }
--- a/rig/src/list_service.rs
+++ b/rig/src/fleet_discovery.rs
@@ -18,7 +18,7 @@
 
 /// What it can do.
 #[derive(Clone, Copy, Debug)]
-pub struct Bears {
+pub struct Capacity {
     pub connections_per_s: f64,
     pub kb_per_s: f64,
 }
@@ -40,22 +40,22 @@
     events: Vec<Value>,
     counts: Counts,
     open: u64,
-    by: BTreeMap<usize, u64>,
-    second: (u64, u64),
+    connected_by: BTreeMap<usize, u64>,
+    current_second: (u64, u64),
     /// When it is free for another connection, and for more bytes.
-    free: f64,
-    free_bytes: f64,
-    cut: BTreeSet<usize>,
+    next_accept_at: f64,
+    next_write_at: f64,
+    unreachable: BTreeSet<usize>,
 }
 
-pub struct ListService {
+pub struct FleetDiscovery {
     state: Mutex<State>,
     start: Instant,
-    bears: Bears,
-    up: AtomicBool,
+    capacity: Capacity,
+    available: AtomicBool,
     /// Connections end after so many bytes; 0: they don't.
-    dies_after: AtomicU64,
-    more: event_listener::Event,
+    close_after_bytes: AtomicU64,
+    changed: event_listener::Event,
 }
 
 /// Where process `i` reaches one of several list services.
@@ -63,43 +63,44 @@
     switch::address(3, i, 7_070 + stream as u16)
 }
 
-impl ListService {
+impl FleetDiscovery {
     /// `stream`: which of several it is; `first`: the events of the start.
     pub fn start(
-        work: &Arc<Executor<'static>>,
+        executor: &Arc<Executor<'static>>,
         (stream, processes): (usize, usize),
-        bears: Bears,
+        capacity: Capacity,
         first: Vec<Value>,
-    ) -> io::Result<Arc<ListService>> {
-        let service = Arc::new(ListService {
+    ) -> io::Result<Arc<FleetDiscovery>> {
+        let service = Arc::new(FleetDiscovery {
             state: Mutex::new(State {
                 events: first,
                 counts: Counts::default(),
                 open: 0,
-                by: BTreeMap::new(),
-                second: (0, 0),
-                free: 0.0,
-                free_bytes: 0.0,
-                cut: BTreeSet::new(),
+                connected_by: BTreeMap::new(),
+                current_second: (0, 0),
+                next_accept_at: 0.0,
+                next_write_at: 0.0,
+                unreachable: BTreeSet::new(),
             }),
             start: Instant::now(),
-            bears,
-            up: AtomicBool::new(true),
-            dies_after: AtomicU64::new(0),
-            more: event_listener::Event::new(),
+            capacity,
+            available: AtomicBool::new(true),
+            close_after_bytes: AtomicU64::new(0),
+            changed: event_listener::Event::new(),
         });
         for i in 0..processes {
             let listener = Async::<TcpListener>::bind(address(stream, i))?;
-            let (service, on) = (Arc::clone(&service), Arc::clone(work));
-            work.spawn(async move {
-                loop {
-                    let Ok((stream, _)) = listener.accept().await else { return };
-                    let service = Arc::clone(&service);
-                    // It ends with its gateway.
-                    on.spawn(async move { _ = service.tell(i, stream).await }).detach();
-                }
-            })
-            .detach();
+            let (service, on) = (Arc::clone(&service), Arc::clone(executor));
+            executor
+                .spawn(async move {
+                    loop {
+                        let Ok((stream, _)) = listener.accept().await else { return };
+                        let service = Arc::clone(&service);
+                        // It ends with its gateway.
+                        on.spawn(async move { _ = service.serve(i, stream).await }).detach();
+                    }
+                })
+                .detach();
         }
         Ok(service)
     }
@@ -110,30 +111,30 @@
         let no = state.events.len() as u64 + 1;
         state.events.push(json!({"no": no, what: value}));
         drop(state);
-        self.more.notify(usize::MAX);
+        self.changed.notify(usize::MAX);
         no
     }
 
-    pub fn set_up(&self, is: bool) {
-        self.up.store(is, Ordering::SeqCst);
-        self.more.notify(usize::MAX);
+    pub fn set_available(&self, available: bool) {
+        self.available.store(available, Ordering::SeqCst);
+        self.changed.notify(usize::MAX);
     }
 
-    pub fn die_after(&self, bytes: u64) {
-        self.dies_after.store(bytes, Ordering::SeqCst);
+    pub fn set_close_after(&self, bytes: u64) {
+        self.close_after_bytes.store(bytes, Ordering::SeqCst);
     }
 
-    pub fn cut(&self, is: bool, of: impl Fn(usize) -> bool) {
+    pub fn set_unreachable(&self, unreachable: bool, matches: impl Fn(usize) -> bool) {
         let mut state = self.state.lock().unwrap();
-        for i in (0..4_000).filter(|&i| of(i)) {
-            if is {
-                state.cut.insert(i);
+        for i in (0..4_000).filter(|&i| matches(i)) {
+            if unreachable {
+                state.unreachable.insert(i);
             } else {
-                state.cut.remove(&i);
+                state.unreachable.remove(&i);
             }
         }
         drop(state);
-        self.more.notify(usize::MAX);
+        self.changed.notify(usize::MAX);
     }
 
     pub fn counts(&self) -> Counts {
@@ -141,21 +142,21 @@
     }
 
     /// The number of the last event.
-    pub fn last(&self) -> u64 {
+    pub fn last_event_no(&self) -> u64 {
         self.state.lock().unwrap().events.len() as u64
     }
 
     /// The processes that are connected now.
     pub fn connected(&self) -> Vec<usize> {
-        self.state.lock().unwrap().by.keys().copied().collect()
+        self.state.lock().unwrap().connected_by.keys().copied().collect()
     }
 
-    fn reached_by(&self, i: usize) -> bool {
-        self.up.load(Ordering::SeqCst) && !self.state.lock().unwrap().cut.contains(&i)
+    fn is_reachable_by(&self, i: usize) -> bool {
+        self.available.load(Ordering::SeqCst) && !self.state.lock().unwrap().unreachable.contains(&i)
     }
 
-    async fn tell(&self, i: usize, mut stream: Async<TcpStream>) -> io::Result<()> {
-        if !self.reached_by(i) {
+    async fn serve(&self, i: usize, mut stream: Async<TcpStream>) -> io::Result<()> {
+        if !self.is_reachable_by(i) {
             self.state.lock().unwrap().counts.refused += 1;
             return Ok(());
         }
@@ -163,78 +164,82 @@
             let now = self.start.elapsed().as_secs_f64();
             let mut state = self.state.lock().unwrap();
             state.open += 1;
-            *state.by.entry(i).or_default() += 1;
-            let begun = state.free.max(now);
-            state.free = begun + 1.0 / self.bears.connections_per_s;
-            let (second, open) = (now as u64, state.open);
-            state.second = if state.second.0 == second { (second, state.second.1 + 1) } else { (second, 1) };
-            let in_second = state.second.1;
+            *state.connected_by.entry(i).or_default() += 1;
+            let starts_at = state.next_accept_at.max(now);
+            state.next_accept_at = starts_at + 1.0 / self.capacity.connections_per_s;
+            let (current_second, open) = (now as u64, state.open);
+            state.current_second = if state.current_second.0 == current_second {
+                (current_second, state.current_second.1 + 1)
+            } else {
+                (current_second, 1)
+            };
+            let in_second = state.current_second.1;
             let counts = &mut state.counts;
             counts.connections += 1;
             counts.most_at_once = counts.most_at_once.max(open);
             counts.most_in_a_second = counts.most_in_a_second.max(in_second);
-            counts.longest_wait_ms = counts.longest_wait_ms.max(((begun - now) * 1e3) as u64);
-            begun - now
+            counts.longest_wait_ms = counts.longest_wait_ms.max(((starts_at - now) * 1e3) as u64);
+            starts_at - now
         };
         Timer::after(Duration::from_secs_f64(wait)).await;
-        let told = self.events(i, &mut stream).await;
+        let result = self.stream_events(i, &mut stream).await;
         let mut state = self.state.lock().unwrap();
         state.open -= 1;
-        let left = state.by.entry(i).or_default();
+        let left = state.connected_by.entry(i).or_default();
         *left -= 1;
         if *left == 0 {
-            state.by.remove(&i);
+            state.connected_by.remove(&i);
         }
-        told
+        result
     }
 
-    async fn events(&self, i: usize, stream: &mut Async<TcpStream>) -> io::Result<()> {
-        let mut asked = Vec::new();
+    async fn stream_events(&self, i: usize, stream: &mut Async<TcpStream>) -> io::Result<()> {
+        let mut request = Vec::new();
         let mut byte = [0];
-        while stream.read(&mut byte).await? == 1 && byte[0] != b'\n' && asked.len() < 64 {
-            asked.push(byte[0]);
+        while stream.read(&mut byte).await? == 1 && byte[0] != b'\n' && request.len() < 64 {
+            request.push(byte[0]);
         }
-        let asked = String::from_utf8_lossy(&asked).into_owned();
-        let mut sent: u64 = asked.trim().strip_prefix("after ").and_then(|n| n.parse().ok()).unwrap_or(0);
+        let request = String::from_utf8_lossy(&request).into_owned();
+        let mut sent: u64 = request.trim().strip_prefix("after ").and_then(|n| n.parse().ok()).unwrap_or(0);
         let mut bytes = 0u64;
-        while self.reached_by(i) {
-            let more = self.more.listen();
+        while self.is_reachable_by(i) {
+            let notified = self.changed.listen();
             let (text, wait) = {
                 let now = self.start.elapsed().as_secs_f64();
                 let mut state = self.state.lock().unwrap();
-                let last = state.events.len() as u64;
+                let last_event_no = state.events.len() as u64;
                 let mut text: String =
                     state.events.iter().skip(sent as usize).map(|e| format!("{e}\n")).collect();
-                let lines = last.saturating_sub(sent) + 1;
-                sent = sent.max(last);
-                text.push_str(&format!("{last}\n"));
+                let lines = last_event_no.saturating_sub(sent) + 1;
+                sent = sent.max(last_event_no);
+                text.push_str(&format!("{last_event_no}\n"));
                 state.counts.lines += lines;
                 state.counts.bytes += text.len() as u64;
-                let begun = state.free_bytes.max(now);
-                state.free_bytes = begun + text.len() as f64 / 1024.0 / self.bears.kb_per_s;
-                (text, state.free_bytes - now)
+                let starts_at = state.next_write_at.max(now);
+                state.next_write_at = starts_at + text.len() as f64 / 1024.0 / self.capacity.kb_per_s;
+                (text, state.next_write_at - now)
             };
             Timer::after(Duration::from_secs_f64(wait)).await;
-            let dies = self.dies_after.load(Ordering::SeqCst);
-            if dies > 0 && bytes + text.len() as u64 > dies {
-                let part = (dies.saturating_sub(bytes) as usize).min(text.len());
+            let close_after = self.close_after_bytes.load(Ordering::SeqCst);
+            if close_after > 0 && bytes + text.len() as u64 > close_after {
+                let part = (close_after.saturating_sub(bytes) as usize).min(text.len());
                 stream.write_all(&text.as_bytes()[..part]).await?;
                 return Ok(());
             }
             stream.write_all(text.as_bytes()).await?;
             bytes += text.len() as u64;
             let pause = async { _ = Timer::after(Duration::from_secs(1)).await };
-            let left = async {
+            let closed = async {
                 // A gateway that closes says nothing more.
                 let mut one = [0];
                 _ = stream.read(&mut one).await;
                 false
             };
-            let goes_on = async {
-                future::or(more, pause).await;
+            let continues = async {
+                future::or(notified, pause).await;
                 true
             };
-            if !future::or(goes_on, left).await {
+            if !future::or(continues, closed).await {
                 return Ok(());
             }
         }
@@ -243,9 +248,9 @@
 }
 
 /// Runs tasks on a few threads until the sender is dropped.
-pub fn drive(work: &Arc<Executor<'static>>, threads: usize, ends: &Receiver<()>) {
+pub fn run_executor(executor: &Arc<Executor<'static>>, threads: usize, stop: &Receiver<()>) {
     for _ in 0..threads {
-        let (work, ends) = (Arc::clone(work), ends.clone());
-        std::thread::spawn(move || async_io::block_on(work.run(async { _ = ends.recv().await })));
+        let (executor, stop) = (Arc::clone(executor), stop.clone());
+        std::thread::spawn(move || async_io::block_on(executor.run(async { _ = stop.recv().await })));
     }
 }
--- a/rig/src/fleet_plan.rs
+++ b/rig/src/fleet_plan.rs
@@ -2,12 +2,12 @@
 
 use serde::{Deserialize, Serialize};
 
-const MOST_PURGES: f64 = 10_000.0;
+const MAX_PURGES_PER_S: f64 = 10_000.0;
 
 /// What is cut, killed or stopped is undone at the event's end.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
+pub enum Fault {
     BulletinDown,
     /// Its connections end after so many bytes.
     BulletinDies(u64),
@@ -45,13 +45,13 @@
     pub at: f64,
     #[serde(default)]
     pub lasts: f64,
-    pub what: What,
+    pub what: Fault,
 }
 
 #[derive(Debug, thiserror::Error)]
-pub enum Unusable {
+pub enum PlanError {
     #[error("the plan: {0}")]
-    Form(#[from] serde_json::Error),
+    Json(#[from] serde_json::Error),
     #[error("event {0}: {1}")]
     Event(usize, &'static str),
 }
@@ -64,26 +64,26 @@
     pub event: Event,
 }
 
-pub fn read(text: &str) -> Result<Vec<Event>, Unusable> {
+pub fn parse(text: &str) -> Result<Vec<Event>, PlanError> {
     let events: Vec<Event> = serde_json::from_str(text)?;
     for (i, event) in events.iter().enumerate() {
-        let time = |t: f64| t.is_finite() && t >= 0.0;
-        if !time(event.at) || !time(event.lasts) {
-            return Err(Unusable::Event(i, "at and lasts are seconds"));
+        let valid = |t: f64| t.is_finite() && t >= 0.0;
+        if !valid(event.at) || !valid(event.lasts) {
+            return Err(PlanError::Event(i, "at and lasts are seconds"));
         }
         match event.what {
-            What::Kill(part) | What::Stop(part) | What::Cut(part) | What::Lossy(part)
+            Fault::Kill(part) | Fault::Stop(part) | Fault::Cut(part) | Fault::Lossy(part)
                 if !(0.0..=1.0).contains(&part) =>
             {
-                return Err(Unusable::Event(i, "a part lies between 0 and 1"));
+                return Err(PlanError::Event(i, "a part lies between 0 and 1"));
             }
-            What::Purges(rate) if !(rate > 0.0 && rate <= MOST_PURGES) => {
-                return Err(Unusable::Event(i, "purges a second are more than 0 and 10,000 at the most"));
+            Fault::Purges(rate) if !(rate > 0.0 && rate <= MAX_PURGES_PER_S) => {
+                return Err(PlanError::Event(i, "purges a second are more than 0 and 10,000 at the most"));
             }
-            What::Purges(_) if event.lasts == 0.0 => {
-                return Err(Unusable::Event(i, "purges a second want a time that they last"));
+            Fault::Purges(_) if event.lasts == 0.0 => {
+                return Err(PlanError::Event(i, "purges a second want a time that they last"));
             }
-            What::Bad(0) | What::Slow(0, _) => return Err(Unusable::Event(i, "one cache in 1 or more")),
+            Fault::Bad(0) | Fault::Slow(0, _) => return Err(PlanError::Event(i, "one cache in 1 or more")),
             _ => {}
         }
     }
@@ -92,11 +92,11 @@
 
 /// Beginnings and ends in order.
 pub fn moments(events: &[Event]) -> Vec<Moment> {
-    let both = |event: &Event| {
+    let bounds = |event: &Event| {
         let moment = |at, begins| Moment { at, begins, event: event.clone() };
         [moment(event.at, true), moment(event.at + event.lasts, false)]
     };
-    let mut all: Vec<Moment> = events.iter().flat_map(both).collect();
+    let mut all: Vec<Moment> = events.iter().flat_map(bounds).collect();
     all.sort_by(|a, b| a.at.total_cmp(&b.at));
     all
 }
@@ -108,10 +108,10 @@
     #[test]
     fn a_file_is_read_and_its_faults_are_told() {
         let plan =
-            read(r#"[{"at": 2, "lasts": 1, "what": {"kill": 0.7}}, {"at": 1, "what": "purge"}]"#).unwrap();
+            parse(r#"[{"at": 2, "lasts": 1, "what": {"kill": 0.7}}, {"at": 1, "what": "purge"}]"#).unwrap();
         let order: Vec<(f64, bool)> = moments(&plan).iter().map(|m| (m.at, m.begins)).collect();
         assert_eq!(order, [(1.0, true), (1.0, false), (2.0, true), (3.0, false)]);
-        for (text, told) in [
+        for (text, message) in [
             (r#"[{"at": -1, "what": "purge"}]"#, "event 0: at and lasts"),
             (r#"[{"at": 1, "what": {"kill": 2}}]"#, "event 0: a part"),
             (r#"[{"at": 1, "what": {"bad": 0}}]"#, "event 0: one cache"),
@@ -119,8 +119,8 @@
             (r#"[{"at": 1, "what": {"purges": 9}}]"#, "event 0: purges a second want"),
             (r#"[{"at": 1, "what": "fog"}]"#, "the plan: unknown variant"),
         ] {
-            let why = read(text).unwrap_err().to_string();
-            assert!(why.starts_with(told), "{why}");
+            let why = parse(text).unwrap_err().to_string();
+            assert!(why.starts_with(message), "{why}");
         }
     }
 }
--- a/rig/src/fleet_day.rs
+++ b/rig/src/fleet_run.rs
@@ -1,16 +1,19 @@
 //! A day of a whole fleet: hundreds of gateways as processes between a bulletin, caches and parents that can be swamped,
 //! a network that misbehaves by a plan, and clients at each gateway that time every answer. Each remedy can be left out.
 
-use crate::caches::{born, unix_ms};
-use crate::client::{self, Ask, Word};
-use crate::fleet::{self, Node, Process, Used};
-use crate::fleet_plan::{self, Event, Moment, What};
-use crate::lane::Weather;
-use crate::list_service::{self, ListService};
+use crate::cache_tier::{self, CacheTier};
+use crate::caches::{copy_created_ms, unix_ms};
+use crate::client::{self, Request, Status};
+use crate::fleet::{self, Node, Process, ResourceUsage};
+use crate::fleet_discovery::{self, FleetDiscovery};
+use crate::fleet_plan::{self, Event, Fault, Moment};
+use crate::link_emulator::LinkConditions;
 use crate::report::{End, Report};
-use crate::sites::{BOOK, COUNTED, GRACE, MEDIA, PACE, PURGE_GRACE_MS, RATES, RULES, len};
+use crate::sites::{
+    BOOK, CLIENT_GRACE_S, CLIENT_KB_PER_S, MEDIA, NEED_KB_PER_BODY_KB, PURGE_GRACE_MS, RATES, RULES,
+    object_len,
+};
 use crate::switch::{self, Switch};
-use crate::tier::{self, Tier};
 use async_channel::{Receiver, Sender};
 use async_executor::Executor;
 use async_io::{Async, Timer};
@@ -28,7 +31,7 @@
 use std::time::{Duration, Instant};
 
 /// The last gateway knows what a list service told by then, by the feed's periods and ways (docs/design/feed.md).
-pub const FEED_MS: u64 = 650;
+pub const FEED_PROPAGATION_MS: u64 = 650;
 
 /// Many sites that the feed makes one installation, and what it needs. No guests, and no foreign ones.
 #[derive(Clone, Copy, Debug, serde::Serialize)]
@@ -50,7 +53,7 @@
     pub rate: f64,
     pub objects: u64,
     pub plan: Vec<Event>,
-    pub weather: Weather,
+    pub conditions: LinkConditions,
     /// Remedies that are there.
     pub fleet: bool,
     pub relays: bool,
@@ -60,17 +63,17 @@
     /// So many of them, the last ones, have another key: a fleet of its own with the same seeds.
     pub foreign: usize,
     /// Addresses between gateways for members that the caller plays, behind those of the fleet.
-    pub guests: usize,
+    pub extra_members: usize,
     /// Without it all are one fleet, and the list is relayed.
     pub installation: Option<Installation>,
     /// What the bulletin has to tell counts as told so many milliseconds later: 0 while its connections stand, 2,000
     /// where the plan breaks all of them at once, `FEED_MS` where the feed tells it.
-    pub told_ms: u64,
+    pub propagation_ms: u64,
     /// The caller has taken the run's part of loopback already.
-    pub has_net: bool,
+    pub subnet_reserved: bool,
     /// What the stand-ins bear.
-    pub list: list_service::Bears,
-    pub cache: tier::Bears,
+    pub discovery_capacity: fleet_discovery::Capacity,
+    pub cache_capacity: cache_tier::Capacity,
     pub memory_mb: u64,
     pub program: PathBuf,
     pub folder: PathBuf,
@@ -108,19 +111,19 @@
             rate: 4.0 * gateways as f64,
             objects: 300,
             plan: Vec::new(),
-            weather: Weather { delay_ms: 0.3, ..Weather::default() },
+            conditions: LinkConditions { delay_ms: 0.3, ..LinkConditions::default() },
             fleet: true,
             relays: true,
             connections: Some(40),
             fills: Some(1),
             fills_at_cache: Some(8),
             foreign: 0,
-            guests: 0,
+            extra_members: 0,
             installation: None,
-            told_ms: 0,
-            has_net: false,
-            list: list_service::Bears { connections_per_s: 20.0, kb_per_s: 1_024.0 },
-            cache: tier::Bears {
+            propagation_ms: 0,
+            subnet_reserved: false,
+            discovery_capacity: fleet_discovery::Capacity { connections_per_s: 20.0, kb_per_s: 1_024.0 },
+            cache_capacity: cache_tier::Capacity {
                 connections: 60,
                 cold_fills: 32,
                 cold_for: Duration::from_secs(20),
@@ -134,22 +137,22 @@
 }
 
 /// Where clients reach gateway `i`.
-pub fn front(i: usize) -> SocketAddr {
+pub fn client_address(i: usize) -> SocketAddr {
     switch::address(2, i, 9_000)
 }
 
-struct Sent {
+struct PendingTxn {
     rule: usize,
     trace: u64,
     object: u64,
     at: f64,
     unix_ms: u64,
-    sla: f64,
+    sla_s: f64,
 }
 
 #[derive(Default)]
-struct Book {
-    open: BTreeMap<(usize, u64), Sent>,
+struct Pending {
+    open: BTreeMap<(usize, u64), PendingTxn>,
     answered: BTreeSet<(usize, u64)>,
     /// By object: when it was purged, in order, in Unix ms.
     purges: BTreeMap<u64, Vec<u64>>,
@@ -161,7 +164,7 @@
 
 struct Clients {
     start: Instant,
-    book: Mutex<Book>,
+    pending: Mutex<Pending>,
     report: Mutex<Report>,
     /// The first answer with a body of each gateway, in seconds from its start.
     first: Mutex<BTreeMap<usize, f64>>,
@@ -176,10 +179,10 @@
     }
 
     /// Writes what comes to one gateway's connection, and reads its answers, as long as it stands.
-    async fn talk(self: Arc<Self>, i: usize, asks: Receiver<(usize, u64, u64)>) {
+    async fn run_connection(self: Arc<Self>, i: usize, requests: Receiver<(usize, u64, u64)>) {
         let mut connection = 0u64;
         loop {
-            let Ok(mut stream) = Async::<TcpStream>::connect(front(i)).await else {
+            let Ok(mut stream) = Async::<TcpStream>::connect(client_address(i)).await else {
                 // Nobody is there: what is asked meanwhile finds no gateway.
                 let until = Instant::now() + Duration::from_millis(50);
                 while Instant::now() < until {
@@ -187,12 +190,12 @@
                         Timer::at(until).await;
                         None
                     };
-                    let Some(Ok(ask)) = future::or(async { Some(asks.recv().await) }, wait).await else {
+                    let Some(Ok(ask)) = future::or(async { Some(requests.recv().await) }, wait).await else {
                         break;
                     };
-                    self.refused(ask);
+                    self.record_refused(ask);
                 }
-                if asks.is_closed() && asks.is_empty() {
+                if requests.is_closed() && requests.is_empty() {
                     return;
                 }
                 continue;
@@ -201,25 +204,25 @@
             _ = stream.get_ref().set_nodelay(true);
             let Ok(copy) = stream.get_ref().try_clone() else { continue };
             let Ok(reads) = Async::new(copy) else { continue };
-            let base = connection << 32;
+            let id_base = connection << 32;
             let writes = async {
                 let mut id = 0u32;
-                while let Ok((rule, object, trace)) = asks.recv().await {
+                while let Ok((rule, object, trace)) = requests.recv().await {
                     id += 1;
-                    if !self.ask(i, base, id, &mut stream, rule, object, trace).await {
+                    if !self.send_request(i, id_base, id, &mut stream, rule, object, trace).await {
                         return true;
                     }
                 }
                 // The last answers have their time.
-                Timer::after(Duration::from_secs_f64(RULES[MEDIA].limit + 1.0)).await;
+                Timer::after(Duration::from_secs_f64(RULES[MEDIA].limit_s + 1.0)).await;
                 false
             };
             let read = async {
-                self.read(i, base, reads).await;
+                self.read_responses(i, id_base, reads).await;
                 true
             };
             let again = future::or(writes, read).await;
-            self.gone(i, base);
+            self.connection_lost(i, id_base);
             if !again {
                 return;
             }
@@ -227,25 +230,33 @@
     }
 
     /// No gateway was there: nothing was sent, and the client knows it.
-    fn refused(&self, (rule, _, trace): (usize, u64, u64)) {
-        self.book.lock().unwrap().lost += 1;
-        self.report.lock().unwrap().ended(rule, trace, self.now(), RULES[rule].sla, End::Rejected, 0.0);
+    fn record_refused(&self, (rule, _, trace): (usize, u64, u64)) {
+        self.pending.lock().unwrap().lost += 1;
+        self.report.lock().unwrap().record_end(
+            rule,
+            trace,
+            self.now(),
+            RULES[rule].sla_s,
+            End::Rejected,
+            0.0,
+        );
     }
 
     /// The connection has ended with its gateway: what was open on it is lost, which a kill excuses.
-    fn gone(&self, i: usize, base: u64) {
-        let mut book = self.book.lock().unwrap();
-        let keys: Vec<_> = book.open.range((i, base)..(i, base + (1 << 32))).map(|(k, _)| *k).collect();
+    fn connection_lost(&self, i: usize, id_base: u64) {
+        let mut pending = self.pending.lock().unwrap();
+        let keys: Vec<_> =
+            pending.open.range((i, id_base)..(i, id_base + (1 << 32))).map(|(k, _)| *k).collect();
         let now = self.now();
         for key in keys {
-            if let Some(sent) = book.open.remove(&key) {
-                book.lost += 1;
+            if let Some(sent) = pending.open.remove(&key) {
+                pending.lost += 1;
                 let end = End::Aborted;
-                self.report.lock().unwrap().ended(
+                self.report.lock().unwrap().record_end(
                     sent.rule,
                     sent.trace,
                     sent.at,
-                    sent.sla,
+                    sent.sla_s,
                     end,
                     now - sent.at,
                 );
@@ -254,10 +265,10 @@
     }
 
     #[allow(clippy::too_many_arguments, reason = "one call of one kind")]
-    async fn ask(
+    async fn send_request(
         &self,
         i: usize,
-        base: u64,
+        id_base: u64,
         id: u32,
         stream: &mut Async<TcpStream>,
         rule: usize,
@@ -265,74 +276,75 @@
         trace: u64,
     ) -> bool {
         let r = &RULES[rule];
-        let need_kb = if r.write { 1.0 } else { len(object) as f64 / 1024.0 * COUNTED };
+        let need_kb = if r.write { 1.0 } else { object_len(object) as f64 / 1024.0 * NEED_KB_PER_BODY_KB };
         let body: &[u8] = if r.write { b"two nights" } else { b"" };
-        let timeout_ms = (r.limit * 1e3) as u64;
-        let bytes = client::request(&Ask { id, rule: r.name, trace, object, timeout_ms, need_kb, body });
-        let sla = r.sla + r.stretch * need_kb / PACE;
-        let sent = Sent { rule, trace, object, at: self.now(), unix_ms: unix_ms(), sla };
-        self.book.lock().unwrap().open.insert((i, base + u64::from(id)), sent);
+        let timeout_ms = (r.limit_s * 1e3) as u64;
+        let bytes =
+            client::encode_request(&Request { id, rule: r.name, trace, object, timeout_ms, need_kb, body });
+        let sla_s = r.sla_s + r.stretch * need_kb / CLIENT_KB_PER_S;
+        let sent = PendingTxn { rule, trace, object, at: self.now(), unix_ms: unix_ms(), sla_s };
+        self.pending.lock().unwrap().open.insert((i, id_base + u64::from(id)), sent);
         stream.write_all(&bytes).await.is_ok()
     }
 
-    async fn read(&self, i: usize, base: u64, mut stream: Async<TcpStream>) {
-        let (mut held, mut bytes) = (Vec::new(), vec![0; 32 * 1024]);
+    async fn read_responses(&self, i: usize, id_base: u64, mut stream: Async<TcpStream>) {
+        let (mut buffer, mut bytes) = (Vec::new(), vec![0; 32 * 1024]);
         loop {
             let Ok(n @ 1..) = stream.read(&mut bytes).await else { return };
-            held.extend_from_slice(&bytes[..n]);
+            buffer.extend_from_slice(&bytes[..n]);
             let mut used = 0;
             loop {
-                match client::answer(&held[used..]) {
+                match client::decode_response(&buffer[used..]) {
                     Ok(Some((answer, n))) => {
                         used += n;
-                        self.answered(i, base, &answer);
+                        self.record_response(i, id_base, &answer);
                     }
                     Ok(None) => break,
                     Err(why) => {
-                        self.report.lock().unwrap().broken.damaged += 1;
+                        self.report.lock().unwrap().violations.damaged += 1;
                         eprintln!("an answer can't be read: {why}");
                         return;
                     }
                 }
             }
-            held.drain(..used);
+            buffer.drain(..used);
         }
     }
 
-    fn answered(&self, i: usize, base: u64, answer: &client::Answer) {
+    fn record_response(&self, i: usize, id_base: u64, answer: &client::Response) {
         let now = self.now();
-        let key = (i, base + answer.id);
-        let mut book = self.book.lock().unwrap();
+        let key = (i, id_base + answer.id);
+        let mut pending = self.pending.lock().unwrap();
         let mut report = self.report.lock().unwrap();
-        let Some(sent) = book.open.remove(&key) else {
-            report.broken.answered_twice += u64::from(book.answered.contains(&key));
+        let Some(sent) = pending.open.remove(&key) else {
+            report.violations.answered_twice += u64::from(pending.answered.contains(&key));
             return;
         };
-        book.answered.insert(key);
-        let (took, rule) = (now - sent.at, &RULES[sent.rule]);
-        if took > rule.limit + GRACE + LATE_MACHINE {
-            report.broken.answered_late += 1;
+        pending.answered.insert(key);
+        let (latency, rule) = (now - sent.at, &RULES[sent.rule]);
+        if latency > rule.limit_s + CLIENT_GRACE_S + SCHEDULING_GRACE_S {
+            report.violations.answered_late += 1;
         }
-        let end = match answer.word {
-            Word::Served => End::Served,
-            Word::Rejected => End::Rejected,
-            Word::Failed => End::Aborted,
+        let end = match answer.status {
+            Status::Served => End::Served,
+            Status::Rejected => End::Rejected,
+            Status::Failed => End::Aborted,
         };
-        report.ended(sent.rule, sent.trace, sent.at, sent.sla, end, took);
+        report.record_end(sent.rule, sent.trace, sent.at, sent.sla_s, end, latency);
         if end != End::Served || rule.write {
             return;
         }
         self.first.lock().unwrap().entry(i).or_insert(now);
         report.bytes += answer.body.len() as u64;
-        match born(sent.object, &answer.body) {
-            None => report.broken.damaged += 1,
-            Some(_) if answer.body.len() != len(sent.object) => report.broken.damaged += 1,
+        match copy_created_ms(sent.object, &answer.body) {
+            None => report.violations.damaged += 1,
+            Some(_) if answer.body.len() != object_len(sent.object) => report.violations.damaged += 1,
             Some(born) => {
-                let purges = book.purges.get(&sent.object).map(Vec::as_slice).unwrap_or_default();
+                let purges = pending.purges.get(&sent.object).map(Vec::as_slice).unwrap_or_default();
                 let before = purges.partition_point(|at| *at < sent.unix_ms);
-                let lately = before > 0 && sent.unix_ms - purges[before - 1] < tier::DROPPED_MS;
+                let lately = before > 0 && sent.unix_ms - purges[before - 1] < cache_tier::PURGE_APPLIED_MS;
                 let first = purges[..before].get(purges.partition_point(|at| *at <= born)).copied();
-                book.after_purge += u64::from(lately);
+                pending.after_purge += u64::from(lately);
                 if let Some(at) = first {
                     self.stale.lock().unwrap().push((i, sent.unix_ms - at));
                 }
@@ -340,22 +352,24 @@
         }
     }
 
-    fn sweep(&self, all: bool) {
+    fn expire(&self, all: bool) {
         let now = self.now();
-        let mut book = self.book.lock().unwrap();
+        let mut pending = self.pending.lock().unwrap();
         let mut report = self.report.lock().unwrap();
-        let late = |sent: &Sent| now > sent.at + RULES[sent.rule].limit + GRACE + LATE_MACHINE + 0.5 || all;
-        let over: Vec<_> = book.open.iter().filter(|(_, s)| late(s)).map(|(k, _)| *k).collect();
+        let late = |sent: &PendingTxn| {
+            now > sent.at + RULES[sent.rule].limit_s + CLIENT_GRACE_S + SCHEDULING_GRACE_S + 0.5 || all
+        };
+        let over: Vec<_> = pending.open.iter().filter(|(_, s)| late(s)).map(|(k, _)| *k).collect();
         for key in over {
-            if let Some(sent) = book.open.remove(&key) {
-                report.ended(sent.rule, sent.trace, sent.at, sent.sla, End::Unanswered, now - sent.at);
+            if let Some(sent) = pending.open.remove(&key) {
+                report.record_end(sent.rule, sent.trace, sent.at, sent.sla_s, End::Unanswered, now - sent.at);
             }
         }
     }
 }
 
 /// Hundreds of processes share a few cores: what the machine adds to a time limit is not the gateway's.
-const LATE_MACHINE: f64 = 0.5;
+const SCHEDULING_GRACE_S: f64 = 0.5;
 
 /// Copies that were served although older than a purge, and how long after the purge they were asked for.
 #[derive(Clone, Copy, Debug, Default, serde::Serialize, PartialEq)]
@@ -370,52 +384,52 @@
 
 pub struct Outcome {
     pub report: Report,
-    pub list: list_service::Counts,
-    pub caches: BTreeMap<String, tier::Counts>,
+    pub discovery: fleet_discovery::Counts,
+    pub caches: BTreeMap<String, cache_tier::Counts>,
     /// Mean and most fetches of an object by the store, and how many objects.
     pub fetches: (f64, u64, usize),
     /// By stream, where there are several; the first is `list`.
-    pub lists: Vec<(u64, list_service::Counts)>,
-    pub used: Vec<Used>,
+    pub discovery_by_stream: Vec<(u64, fleet_discovery::Counts)>,
+    pub usage: Vec<ResourceUsage>,
     pub counters: Vec<BTreeMap<String, f64>>,
     /// Seconds from the start to when these were told.
-    pub counted_s: f64,
-    pub hubs_used: Vec<Used>,
-    pub hubs_counters: Vec<BTreeMap<String, f64>>,
+    pub counters_at_s: f64,
+    pub hub_usage: Vec<ResourceUsage>,
+    pub hub_counters: Vec<BTreeMap<String, f64>>,
     /// Gateways that ended by themselves, or panicked in one of their tasks.
     pub crashed: usize,
     /// Second from the start at which 0.95 of the importance is served, over two seconds.
-    pub served_at: Option<usize>,
+    pub served_95_at_s: Option<usize>,
     /// From the start of a gateway to its first served txn: median and most.
-    pub first_served: (f64, f64),
+    pub first_served_s: (f64, f64),
     /// The same for those that were started again later.
-    pub first_again: (f64, f64),
-    pub started_over: f64,
+    pub first_served_again_s: (f64, f64),
+    pub spawn_s: f64,
     pub lost: u64,
     pub after_purge: AfterPurge,
     pub stopped: BTreeSet<usize>,
 }
 
 struct Run<'a> {
-    o: &'a Options,
+    options: &'a Options,
     /// The gateways, then the hubs.
     processes: Vec<Option<Process>>,
     configs: Vec<Value>,
     files: Vec<Value>,
-    lists: Vec<Arc<ListService>>,
-    tier: Arc<Tier>,
+    discovery: Vec<Arc<FleetDiscovery>>,
+    tier: Arc<CacheTier>,
     switch: Switch,
     clients: Arc<Clients>,
     rng: Pcg64Mcg,
     /// What an event has hit, so that its end undoes it.
-    hit: BTreeMap<String, Vec<usize>>,
+    targets: BTreeMap<String, Vec<usize>>,
     stopped: BTreeSet<usize>,
     /// Started a second time, into a fleet that serves.
-    again: BTreeSet<usize>,
+    restarted: BTreeSet<usize>,
     /// Told to stop as planned, and started again once they have ended.
     rolling: Vec<usize>,
     crashed: usize,
-    used: BTreeMap<usize, Used>,
+    usage: BTreeMap<usize, ResourceUsage>,
 }
 
 fn key(id: u32) -> Value {
@@ -424,13 +438,13 @@
 
 impl Run<'_> {
     fn spawn(&mut self, i: usize) {
-        let file = self.o.fleet.then_some(&self.files[i]);
-        let name = self.o.name(i);
-        match Process::spawn(&self.o.program, &self.o.folder, &name, &self.configs[i], file) {
+        let file = self.options.fleet.then_some(&self.files[i]);
+        let name = self.options.name(i);
+        match Process::spawn(&self.options.program, &self.options.folder, &name, &self.configs[i], file) {
             Ok(process) => {
                 self.processes[i] = Some(process);
                 if self.clients.started.lock().unwrap().contains_key(&i) {
-                    self.again.insert(i);
+                    self.restarted.insert(i);
                     self.clients.first.lock().unwrap().remove(&i);
                 }
                 self.clients.started.lock().unwrap().insert(i, self.clients.now());
@@ -442,18 +456,18 @@
     fn end(&mut self, i: usize) {
         if let Some(mut process) = self.processes[i].take() {
             // A panic in a task that nobody waits for ends that task only: the log alone tells of it.
-            self.crashed += usize::from(process.has_ended() || process.log().contains("panicked at"));
-            let used = process.used();
-            let all = self.used.entry(i).or_default();
+            self.crashed += usize::from(process.has_exited() || process.log().contains("panicked at"));
+            let used = process.resource_usage();
+            let all = self.usage.entry(i).or_default();
             (all.cpu_s, all.peak_mb) = (all.cpu_s + used.cpu_s, all.peak_mb.max(used.peak_mb));
             process.kill();
         }
     }
 
-    fn some(&mut self, part: f64) -> Vec<usize> {
-        let mut all: Vec<usize> = (0..self.o.gateways).collect();
+    fn pick_gateways(&mut self, part: f64) -> Vec<usize> {
+        let mut all: Vec<usize> = (0..self.options.gateways).collect();
         all.shuffle(&mut self.rng);
-        all.truncate((part * self.o.gateways as f64).round() as usize);
+        all.truncate((part * self.options.gateways as f64).round() as usize);
         all
     }
 
@@ -465,107 +479,109 @@
     }
 
     /// Processes that are connected to a list service.
-    fn askers(&self) -> Vec<usize> {
-        let all: BTreeSet<usize> = self.lists.iter().flat_map(|l| l.connected()).collect();
+    fn discovery_clients(&self) -> Vec<usize> {
+        let all: BTreeSet<usize> = self.discovery.iter().flat_map(|l| l.connected()).collect();
         all.into_iter().collect()
     }
 
-    fn play(&mut self, moment: &Moment) {
-        let (on, id) = (moment.begins, format!("{:?}", moment.event));
-        let hit = self.hit.remove(&id).unwrap_or_default();
-        let caches: Vec<String> = (0..self.o.caches).map(|c| format!("c{c}")).collect();
-        let spoil = |every: usize, slow: u64, bad: bool| {
-            let slow = Duration::from_millis(if on { slow } else { 0 });
-            caches.iter().step_by(every).for_each(|c| self.tier.spoil(c, slow, bad && on));
+    fn apply(&mut self, moment: &Moment) {
+        let (begins, id) = (moment.begins, format!("{:?}", moment.event));
+        let previous = self.targets.remove(&id).unwrap_or_default();
+        let caches: Vec<String> = (0..self.options.caches).map(|c| format!("c{c}")).collect();
+        let set_faults = |every: usize, slow: u64, bad: bool| {
+            let slow = Duration::from_millis(if begins { slow } else { 0 });
+            caches.iter().step_by(every).for_each(|c| self.tier.set_fault(c, slow, bad && begins));
         };
-        let mut hits = Vec::new();
+        let mut targets = Vec::new();
         match &moment.event.what {
-            What::BulletinDown => self.lists.iter().for_each(|l| l.set_up(!on)),
-            What::BulletinDies(bytes) => {
-                self.lists.iter().for_each(|l| l.die_after(if on { *bytes } else { 0 }))
+            Fault::BulletinDown => self.discovery.iter().for_each(|l| l.set_available(!begins)),
+            Fault::BulletinDies(bytes) => {
+                self.discovery.iter().for_each(|l| l.set_close_after(if begins { *bytes } else { 0 }))
             }
-            What::Kill(_) | What::KillAskers => {
-                if on {
-                    hits = match &moment.event.what {
-                        What::Kill(part) => self.some(*part),
-                        _ => self.askers(),
+            Fault::Kill(_) | Fault::KillAskers => {
+                if begins {
+                    targets = match &moment.event.what {
+                        Fault::Kill(part) => self.pick_gateways(*part),
+                        _ => self.discovery_clients(),
                     };
-                    hits.iter().for_each(|&i| self.end(i));
+                    targets.iter().for_each(|&i| self.end(i));
                 } else {
-                    hit.iter().for_each(|&i| self.spawn(i));
+                    previous.iter().for_each(|&i| self.spawn(i));
                 }
             }
-            What::Stop(_) | What::StopAskers => {
-                if on {
-                    hits = match &moment.event.what {
-                        What::Stop(part) => self.some(*part),
-                        _ => self.askers(),
+            Fault::Stop(_) | Fault::StopAskers => {
+                if begins {
+                    targets = match &moment.event.what {
+                        Fault::Stop(part) => self.pick_gateways(*part),
+                        _ => self.discovery_clients(),
                     };
-                    self.signal("STOP", &hits);
-                    self.stopped.extend(&hits);
+                    self.signal("STOP", &targets);
+                    self.stopped.extend(&targets);
                 } else {
-                    self.signal("CONT", &hit);
+                    self.signal("CONT", &previous);
                 }
             }
-            What::Cut(part) => {
-                hits = if on { self.some(*part) } else { hit };
-                let side: BTreeSet<usize> = hits.iter().copied().collect();
-                self.switch.cut(on, |a, b| side.contains(&a) != side.contains(&b));
-                self.lists.iter().for_each(|l| l.cut(on, |i| side.contains(&i)));
-            }
-            What::Deaf(i) => self.switch.cut(on, |_, to| to == *i),
-            What::Lossy(part) => {
-                self.switch.weather(|w| w.loss = if on { *part } else { self.o.weather.loss })
+            Fault::Cut(part) => {
+                targets = if begins { self.pick_gateways(*part) } else { previous };
+                let side: BTreeSet<usize> = targets.iter().copied().collect();
+                self.switch.set_blocked(begins, |a, b| side.contains(&a) != side.contains(&b));
+                self.discovery.iter().for_each(|l| l.set_unreachable(begins, |i| side.contains(&i)));
             }
-            What::Bad(every) => spoil(*every, 0, true),
-            What::Slow(every, ms) => spoil(*every, *ms, false),
-            What::Roll => {}
-            What::Purge => {
-                if on {
-                    let object = self.pick(true).1;
+            Fault::Deaf(i) => self.switch.set_blocked(begins, |_, to| to == *i),
+            Fault::Lossy(part) => self
+                .switch
+                .set_conditions(|w| w.loss = if begins { *part } else { self.options.conditions.loss }),
+            Fault::Bad(every) => set_faults(*every, 0, true),
+            Fault::Slow(every, ms) => set_faults(*every, *ms, false),
+            Fault::Roll => {}
+            Fault::Purge => {
+                if begins {
+                    let object = self.pick_txn(true).1;
                     self.purge(object);
                 }
             }
-            What::Purges(_) | What::Rekey => {}
+            Fault::Purges(_) | Fault::Rekey => {}
         }
-        if on {
-            self.hit.insert(id, hits);
+        if begins {
+            self.targets.insert(id, targets);
         }
     }
 
     fn purge(&mut self, object: u64) {
         let at = unix_ms();
         self.tier.purge(object, at);
-        self.clients.book.lock().unwrap().purges.entry(object).or_default().push(at);
-        let list = self.rng.random_range(0..self.lists.len());
-        self.lists[list].push("recall", json!({"item": format!("{object:016x}"), "issued": at}));
+        self.clients.pending.lock().unwrap().purges.entry(object).or_default().push(at);
+        let list = self.rng.random_range(0..self.discovery.len());
+        self.discovery[list].push("recall", json!({"item": format!("{object:016x}"), "issued": at}));
     }
 
     /// What goes on over an event's time: its step by the part that is over.
-    fn step(&mut self, event: &Event, from: f64, to: f64) {
-        let (n, all) = (self.o.gateways, self.processes.len());
+    fn advance(&mut self, event: &Event, from: f64, to: f64) {
+        let (n, all) = (self.options.gateways, self.processes.len());
         match event.what {
-            What::Roll => {
+            Fault::Roll => {
                 for tenth in (0..10).filter(|t| (from..to).contains(&(f64::from(*t) / 10.0))) {
                     let some: Vec<usize> = (0..n).filter(|i| i % 10 == tenth as usize).collect();
                     self.signal("TERM", &some);
                     self.rolling.extend(some);
                 }
             }
-            What::Purges(rate) => {
+            Fault::Purges(rate) => {
                 let told = |part: f64| (part.clamp(0.0, 1.0) * event.lasts * rate) as u64;
                 for _ in told(from)..told(to) {
-                    let object = self.rng.random_range(1..self.o.objects) * 2 + self.rng.random_range(0..2);
+                    let object =
+                        self.rng.random_range(1..self.options.objects) * 2 + self.rng.random_range(0..2);
                     self.purge(object);
                 }
             }
-            What::Rekey => {
+            Fault::Rekey => {
                 let steps = [vec![key(1), key(2)], vec![key(2), key(1)], vec![key(2)]];
                 for (s, keys) in steps.iter().enumerate() {
                     if (from..to).contains(&(s as f64 / 3.0)) {
                         for i in 0..all {
                             self.files[i]["keys"] = json!(keys);
-                            let path = self.o.folder.join(format!("{}.fleet.json", self.o.name(i)));
+                            let path =
+                                self.options.folder.join(format!("{}.fleet.json", self.options.name(i)));
                             // Replaced whole: a gateway may read it at any moment.
                             let part = path.with_extension("new");
                             let written = std::fs::write(&part, self.files[i].to_string());
@@ -581,10 +597,10 @@
         }
     }
 
-    fn roll(&mut self) {
-        let ended = |p: &mut Option<Process>| p.as_mut().is_none_or(Process::has_ended);
+    fn restart_exited(&mut self) {
+        let stopped = |p: &mut Option<Process>| p.as_mut().is_none_or(Process::has_exited);
         let (again, wait): (Vec<usize>, Vec<usize>) =
-            std::mem::take(&mut self.rolling).into_iter().partition(|&i| ended(&mut self.processes[i]));
+            std::mem::take(&mut self.rolling).into_iter().partition(|&i| stopped(&mut self.processes[i]));
         self.rolling = wait;
         for i in again {
             self.processes[i] = None;
@@ -593,10 +609,10 @@
     }
 
     /// A rule and an object: what is wanted often is wanted very often.
-    fn pick(&mut self, often: bool) -> (usize, u64) {
+    fn pick_txn(&mut self, often: bool) -> (usize, u64) {
         let kind: f64 = self.rng.random();
         let rank = if often { self.rng.random_range(0.0..0.3f64) } else { self.rng.random::<f64>() };
-        let object = (self.o.objects as f64).powf(rank) as u64 * 2;
+        let object = (self.options.objects as f64).powf(rank) as u64 * 2;
         match kind {
             k if k < 0.1 && !often => (BOOK, 1_000_000_000 + self.rng.random_range(0..1_000_000)),
             k if k < 0.6 => (MEDIA, object),
@@ -605,8 +621,8 @@
     }
 }
 
-fn roster(places: &[crate::caches::Place], since_ms: u64) -> Value {
-    let all: Vec<Value> = places
+fn roster_event(endpoints: &[crate::caches::CacheEndpoint], since_ms: u64) -> Value {
+    let all: Vec<Value> = endpoints
         .iter()
         .map(|p| {
             let mut one = fleet::endpoint(p, "hub", "up");
@@ -617,187 +633,189 @@
     json!({"no": 1, "roster": {"index": 0, "snapshot": true, "endpoints": all}})
 }
 
-fn config(o: &Options, i: usize, roster: &Value) -> Value {
+fn gateway_config(options: &Options, i: usize, roster: &Value) -> Value {
     let node = Node {
-        name: &o.name(i),
+        name: &options.name(i),
         zone: "hub",
-        bulletin: list_service::address(0, i),
-        places: &[],
-        memory_mb: o.memory_mb,
-        seed: o.seed * 1_000 + i as u64,
+        discovery: fleet_discovery::address(0, i),
+        endpoints: &[],
+        memory_mb: options.memory_mb,
+        seed: options.seed * 1_000 + i as u64,
     };
     let mut all = fleet::config(&node);
-    all["listen"] = json!(front(i).to_string());
+    all["listen"] = json!(client_address(i).to_string());
     // Nothing is known at the start: the list comes from the bulletin, or from others. The feed carries no whole lists.
-    all["known"] = match o.installation {
+    all["known"] = match options.installation {
         None => json!({"no": 0, "items": []}),
         Some(_) => json!({"no": 1, "items": [roster]}),
     };
-    all["settings"]["Instances"] = json!(o.gateways);
-    all["settings"]["FamilyInfo"]["CrewByZone"] = json!([o.gateways]);
+    all["settings"]["Instances"] = json!(options.gateways);
+    all["settings"]["FamilyInfo"]["CrewByZone"] = json!([options.gateways]);
     all
 }
 
-fn fleet_file(o: &Options, i: usize) -> Value {
-    let (site, peers) = o.site(i.min(o.gateways - 1));
-    let seeds: Vec<String> = peers.clone().take(3).map(|s| switch::reached(s).to_string()).collect();
+fn fleet_config(options: &Options, i: usize) -> Value {
+    let (site, peers) = options.site(i.min(options.gateways - 1));
+    let seeds: Vec<String> =
+        peers.clone().take(3).map(|s| switch::advertised_address(s).to_string()).collect();
     // What a cache bears is that of all sites: each lends its part.
-    let part = |all: Option<u32>| all.map(|all| (all as usize * peers.len() / o.gateways).max(1));
-    let foreign = (o.gateways - o.foreign..o.gateways).contains(&i);
+    let part = |all: Option<u32>| all.map(|all| (all as usize * peers.len() / options.gateways).max(1));
+    let foreign = (options.gateways - options.foreign..options.gateways).contains(&i);
     let mut file = json!({
-        "fleet": "rig", "gateway": o.name(i), "listen": switch::own(i).to_string(),
-        "advertise": switch::reached(i).to_string(), "seeds": seeds,
+        "fleet": "rig", "gateway": options.name(i), "listen": switch::bind_address(i).to_string(),
+        "advertise": switch::advertised_address(i).to_string(), "seeds": seeds,
         "keys": [key(if foreign { 9 } else { 1 })],
         "members": {"expected": peers.len()},
-        "relays": {"on": o.relays},
-        "budgets": {"connections": part(o.connections), "fills": o.fills,
-            "fills_at_cache": part(o.fills_at_cache)},
+        "relays": {"on": options.relays},
+        "budgets": {"connections": part(options.connections), "fills": options.fills,
+            "fills_at_cache": part(options.fills_at_cache)},
     });
-    let Some(all) = o.installation else { return file };
+    let Some(all) = options.installation else { return file };
     let site_name = |site: usize| format!("site{site}");
     let hub = |h: usize| {
-        let address = switch::reached(o.gateways + h).to_string();
-        json!({"name": o.name(o.gateways + h), "address": address, "public": digits(&signs(h).1)})
+        let address = switch::advertised_address(options.gateways + h).to_string();
+        json!({"name": options.name(options.gateways + h), "address": address, "public": hex(&hub_key_pair(h).1)})
     };
     let stream = |s: usize| {
-        let address = list_service::address(s, i).to_string();
+        let address = fleet_discovery::address(s, i).to_string();
         json!({"name": format!("list{s}"), "address": address, "known": usize::from(s == 0)})
     };
     let streams: Vec<Value> = (0..all.streams).map(stream).collect();
     let hubs: Vec<Value> = (0..all.hubs).map(hub).collect();
     file["fleet"] = json!(site_name(site));
     file["feed"] = json!({"name": "rig", "site": site_name(site), "streams": streams, "hubs": hubs});
-    if i >= o.gateways {
+    if i >= options.gateways {
         let sites: Vec<String> = (0..all.sites).map(site_name).collect();
         file["fleet"] = json!("control");
         file["seeds"] = json!([]);
         file["feed"]["site"] = json!("control");
-        file["feed"]["control"] =
-            json!({"name": o.name(i), "secret": digits(&signs(i - o.gateways).0), "sites": sites});
+        file["feed"]["control"] = json!({"name": options.name(i), "secret": hex(&hub_key_pair(i - options.gateways).0), "sites": sites});
     }
     file
 }
 
-fn digits(bytes: &[u8]) -> String {
+fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
 /// The seed of a hub's key and what is known of it.
-fn signs(hub: usize) -> ([u8; 32], Vec<u8>) {
+fn hub_key_pair(hub: usize) -> ([u8; 32], Vec<u8>) {
     let seed = [hub as u8 + 1; 32];
     let public = Ed25519KeyPair::from_seed_unchecked(&seed).map(|k| k.public_key().as_ref().to_vec());
     // Any 32 bytes are a seed.
     (seed, public.unwrap_or_default())
 }
 
-pub fn run(o: &Options) -> Result<Outcome, Box<dyn std::error::Error>> {
-    std::fs::create_dir_all(&o.folder)?;
-    if !o.has_net {
-        switch::next_net();
+pub fn run(options: &Options) -> Result<Outcome, Box<dyn std::error::Error>> {
+    std::fs::create_dir_all(&options.folder)?;
+    if !options.subnet_reserved {
+        switch::next_subnet();
     }
-    let work: Arc<Executor<'static>> = Arc::new(Executor::new());
-    let (ends, ended): (Sender<()>, Receiver<()>) = async_channel::bounded(1);
-    list_service::drive(&work, 3, &ended);
-    let mut members: Vec<(String, &'static str)> = (0..o.caches).map(|c| (format!("c{c}"), "box")).collect();
-    members.extend((0..o.parents).map(|p| (format!("p{p}"), "parent")));
+    let executor: Arc<Executor<'static>> = Arc::new(Executor::new());
+    let (stop, stopped): (Sender<()>, Receiver<()>) = async_channel::bounded(1);
+    fleet_discovery::run_executor(&executor, 3, &stopped);
+    let mut members: Vec<(String, &'static str)> =
+        (0..options.caches).map(|c| (format!("c{c}"), "box")).collect();
+    members.extend((0..options.parents).map(|p| (format!("p{p}"), "parent")));
     members.push(("o".to_owned(), "origin"));
     let ms = Duration::from_millis;
-    let times = tier::Times { hit: ms(3), fill: ms(8), origin: ms(60) };
-    let (tier, places) = Tier::start(&work, &members, (times, o.cache), len)?;
-    let (roster, all) = (roster(&places, unix_ms()), o.gateways + o.hubs());
+    let times = cache_tier::Latencies { hit: ms(3), fill: ms(8), origin: ms(60) };
+    let (tier, endpoints) =
+        CacheTier::start(&executor, &members, (times, options.cache_capacity), object_len)?;
+    let (roster, all) = (roster_event(&endpoints, unix_ms()), options.gateways + options.hubs());
     let list = |s: usize| {
         let first = if s == 0 { vec![roster.clone()] } else { Vec::new() };
-        ListService::start(&work, (s, all), o.list, first)
+        FleetDiscovery::start(&executor, (s, all), options.discovery_capacity, first)
     };
-    let lists = (0..o.streams()).map(list).collect::<std::io::Result<Vec<_>>>()?;
-    let switch = Switch::start(all + o.guests, o.seed, o.weather)?;
+    let discovery = (0..options.streams()).map(list).collect::<std::io::Result<Vec<_>>>()?;
+    let switch = Switch::start(all + options.extra_members, options.seed, options.conditions)?;
     let clients = Arc::new(Clients {
         start: Instant::now(),
-        book: Mutex::default(),
+        pending: Mutex::default(),
         report: Mutex::new(Report::new(&RULES)),
         first: Mutex::default(),
         started: Mutex::default(),
         stale: Mutex::default(),
     });
     let mut run = Run {
-        o,
+        options,
         processes: (0..all).map(|_| None).collect(),
-        configs: (0..all).map(|i| config(o, i, &roster)).collect(),
-        files: (0..all).map(|i| fleet_file(o, i)).collect(),
-        lists,
+        configs: (0..all).map(|i| gateway_config(options, i, &roster)).collect(),
+        files: (0..all).map(|i| fleet_config(options, i)).collect(),
+        discovery,
         tier,
         switch,
         clients: Arc::clone(&clients),
-        rng: Pcg64Mcg::seed_from_u64(o.seed),
-        hit: BTreeMap::new(),
+        rng: Pcg64Mcg::seed_from_u64(options.seed),
+        targets: BTreeMap::new(),
         stopped: BTreeSet::new(),
-        again: BTreeSet::new(),
+        restarted: BTreeSet::new(),
         rolling: Vec::new(),
         crashed: 0,
-        used: BTreeMap::new(),
+        usage: BTreeMap::new(),
     };
-    let mut asks = Vec::new();
-    for i in 0..o.gateways {
-        let (ask, asked) = async_channel::unbounded();
-        work.spawn(Arc::clone(&clients).talk(i, asked)).detach();
-        asks.push(ask);
+    let mut requests = Vec::new();
+    for i in 0..options.gateways {
+        let (ask, receiver) = async_channel::unbounded();
+        executor.spawn(Arc::clone(&clients).run_connection(i, receiver)).detach();
+        requests.push(ask);
     }
-    let mut order: Vec<usize> = (0..o.gateways).collect();
+    let mut order: Vec<usize> = (0..options.gateways).collect();
     order.shuffle(&mut run.rng);
     // What is to happen at the very start has happened before the first gateway asks.
-    let mut moments = fleet_plan::moments(&o.plan).into_iter().peekable();
+    let mut moments = fleet_plan::moments(&options.plan).into_iter().peekable();
     while let Some(moment) = moments.next_if(|m| m.at <= 0.0 && m.begins) {
-        run.play(&moment);
+        run.apply(&moment);
     }
     let began = clients.now();
-    (o.gateways..all).chain(order).for_each(|i| run.spawn(i));
-    let started_over = clients.now() - began;
+    (options.gateways..all).chain(order).for_each(|i| run.spawn(i));
+    let spawn_s = clients.now() - began;
     let (mut next, mut next_sweep, mut trace, mut last) = (clients.now(), 1.0, 0u64, 0.0);
-    while clients.now() < o.seconds {
+    while clients.now() < options.seconds {
         let now = clients.now();
         while let Some(moment) = moments.next_if(|m| m.at <= now) {
-            run.play(&moment);
+            run.apply(&moment);
         }
-        for event in o.plan.iter().filter(|e| e.lasts > 0.0) {
+        for event in options.plan.iter().filter(|e| e.lasts > 0.0) {
             let part = |t: f64| (t - event.at) / event.lasts;
             if part(now) >= 0.0 && part(last) < 1.0 {
-                run.step(event, part(last), part(now));
+                run.advance(event, part(last), part(now));
             }
         }
-        run.roll();
+        run.restart_exited();
         last = now;
         if now >= next_sweep {
             next_sweep += 1.0;
-            clients.sweep(false);
+            clients.expire(false);
         }
         while next <= clients.now() {
-            next += -run.rng.random_range(f64::MIN_POSITIVE..1.0).ln() / o.rate;
+            next += -run.rng.random_range(f64::MIN_POSITIVE..1.0).ln() / options.rate;
             trace += 1;
-            let (rule, object) = run.pick(false);
-            let i = run.rng.random_range(0..o.gateways);
+            let (rule, object) = run.pick_txn(false);
+            let i = run.rng.random_range(0..options.gateways);
             // The receiver lives as long as the run.
-            _ = asks[i].try_send((rule, object, o.seed << 40 | trace));
+            _ = requests[i].try_send((rule, object, options.seed << 40 | trace));
         }
         thread::sleep(Duration::from_secs_f64((next - clients.now()).clamp(0.0, 0.005)));
     }
-    drop(asks);
-    let last = clients.now() + RULES[MEDIA].limit + GRACE + LATE_MACHINE + 0.2;
-    while clients.now() < last && !clients.book.lock().unwrap().open.is_empty() {
+    drop(requests);
+    let last = clients.now() + RULES[MEDIA].limit_s + CLIENT_GRACE_S + SCHEDULING_GRACE_S + 0.2;
+    while clients.now() < last && !clients.pending.lock().unwrap().open.is_empty() {
         thread::sleep(Duration::from_millis(20));
-        clients.sweep(false);
+        clients.expire(false);
     }
-    clients.sweep(true);
+    clients.expire(true);
     let live: Vec<usize> = (0..all).filter(|&i| run.processes[i].is_some()).collect();
-    let counted_s = clients.now();
+    let counters_at_s = clients.now();
     run.signal("USR1", &live);
     let told = |p: &Process| {
         let log = p.log();
         log.lines().rfind(|l| l.contains("now: clients")).map(fleet::counters).unwrap_or_default()
     };
     let wait = Instant::now();
-    let (counters, hubs_counters) = loop {
+    let (counters, hub_counters) = loop {
         thread::sleep(Duration::from_millis(200));
-        let (gateways, hubs) = run.processes.split_at(o.gateways);
+        let (gateways, hubs) = run.processes.split_at(options.gateways);
         let of = |some: &[Option<Process>]| some.iter().flatten().map(told).collect::<Vec<_>>();
         let all = (of(gateways), of(hubs));
         if all.0.iter().chain(&all.1).all(|c| !c.is_empty()) || wait.elapsed() > Duration::from_secs(10) {
@@ -806,18 +824,18 @@
     };
     (0..all).for_each(|i| run.end(i));
     let mut report = std::mem::replace(&mut *clients.report.lock().unwrap(), Report::new(&RULES));
-    report.ran(&run.tier.ran());
+    report.record_executions(&run.tier.executions());
     let stale = clients.stale.lock().unwrap();
     // How late hundreds of processes on a few cores hear of it is the machine's as well: its part is told apart.
-    let late = o.told_ms + PURGE_GRACE_MS + (LATE_MACHINE * 1e3) as u64;
-    report.broken.stale = stale.iter().filter(|(_, after)| *after > late).count() as u64;
+    let late = options.propagation_ms + PURGE_GRACE_MS + (SCHEDULING_GRACE_S * 1e3) as u64;
+    report.violations.stale = stale.iter().filter(|(_, after)| *after > late).count() as u64;
     let mut after: Vec<u64> = stale.iter().map(|s| s.1).collect();
     after.sort_unstable();
     let after_purge = {
-        let book = clients.book.lock().unwrap();
+        let pending = clients.pending.lock().unwrap();
         AfterPurge {
-            purges: book.purges.values().map(Vec::len).sum(),
-            reads: book.after_purge,
+            purges: pending.purges.values().map(Vec::len).sum(),
+            reads: pending.after_purge,
             copies: after.len(),
             p99_ms: after.get(after.len() * 99 / 100).copied().unwrap_or(0),
             latest_ms: after.last().copied().unwrap_or(0),
@@ -825,31 +843,31 @@
     };
     let (first, started) = (clients.first.lock().unwrap(), clients.started.lock().unwrap());
     let to_first = |again: bool| {
-        let of = first.iter().filter(|(i, _)| run.again.contains(i) == again);
+        let of = first.iter().filter(|(i, _)| run.restarted.contains(i) == again);
         let mut all: Vec<f64> =
             of.filter_map(|(i, at)| Some(at - started.get(i)?)).filter(|s| *s >= 0.0).collect();
         all.sort_by(f64::total_cmp);
         (all.get(all.len() / 2).copied().unwrap_or(-1.0), all.last().copied().unwrap_or(-1.0))
     };
-    let (first_served, first_again) = (to_first(false), to_first(true));
-    let served_at = (0..o.seconds as usize).find(|&s| report.share(s, s + 2) >= 0.95);
-    drop(ends);
+    let (first_served_s, first_served_again_s) = (to_first(false), to_first(true));
+    let served_95_at_s = (0..options.seconds as usize).find(|&s| report.share(s, s + 2) >= 0.95);
+    drop(stop);
     Ok(Outcome {
-        served_at,
-        first_served,
-        first_again,
-        started_over,
-        lost: clients.book.lock().unwrap().lost,
+        served_95_at_s,
+        first_served_s,
+        first_served_again_s,
+        spawn_s,
+        lost: clients.pending.lock().unwrap().lost,
         after_purge,
-        list: run.lists[0].counts(),
-        lists: run.lists.iter().map(|l| (l.last(), l.counts())).collect(),
+        discovery: run.discovery[0].counts(),
+        discovery_by_stream: run.discovery.iter().map(|l| (l.last_event_no(), l.counts())).collect(),
         caches: run.tier.counts(),
         fetches: run.tier.fetches(),
-        used: run.used.range(..o.gateways).map(|u| *u.1).collect(),
+        usage: run.usage.range(..options.gateways).map(|u| *u.1).collect(),
         counters,
-        counted_s,
-        hubs_used: run.used.range(o.gateways..).map(|u| *u.1).collect(),
-        hubs_counters,
+        counters_at_s,
+        hub_usage: run.usage.range(options.gateways..).map(|u| *u.1).collect(),
+        hub_counters,
         crashed: run.crashed,
         stopped: run.stopped.clone(),
         report,
@@ -857,18 +875,18 @@
 }
 
 /// Mean and most of a counter over the gateways.
-fn over(all: &[BTreeMap<String, f64>], name: &str) -> (f64, f64) {
+fn mean_and_max(all: &[BTreeMap<String, f64>], name: &str) -> (f64, f64) {
     let values: Vec<f64> = all.iter().filter_map(|c| c.get(name).copied()).collect();
     let sum: f64 = values.iter().sum();
     (sum / values.len().max(1) as f64, values.iter().copied().fold(0.0, f64::max))
 }
 
 /// The run's figures as they are printed with `--json`.
-pub fn json(o: &Options, outcome: &Outcome) -> Value {
+pub fn json(options: &Options, outcome: &Outcome) -> Value {
     let kind = |c: char| {
-        let of: Vec<&tier::Counts> =
+        let of: Vec<&cache_tier::Counts> =
             outcome.caches.iter().filter(|(n, _)| n.starts_with(c)).map(|(_, c)| c).collect();
-        let most = |f: fn(&tier::Counts) -> usize| of.iter().map(|c| f(c)).max().unwrap_or(0);
+        let most = |f: fn(&cache_tier::Counts) -> usize| of.iter().map(|c| f(c)).max().unwrap_or(0);
         json!({
             "most_connections": most(|c| c.most_connections), "most_cold_fills": most(|c| c.most_cold_fills),
             "fallen": of.iter().map(|c| c.fallen).sum::<u64>(),
@@ -919,7 +937,7 @@
     let told = |of: &[BTreeMap<String, f64>]| -> serde_json::Map<String, Value> {
         let known = |n: &&&str| of.iter().any(|c| c.contains_key(**n));
         let one = |n: &&str| {
-            let (mean, most) = over(of, n);
+            let (mean, most) = mean_and_max(of, n);
             (n.to_string(), json!({"mean": mean, "most": most}))
         };
         names.iter().filter(known).map(one).collect()
@@ -927,58 +945,58 @@
     let a_second = |way: &str| {
         let all = |c: &BTreeMap<String, f64>| {
             let of = |what: &str| c.get(&format!("{what} {way}")).copied().unwrap_or(0.0);
-            (of("fleet bytes") + of("fleet feed bytes")) / outcome.counted_s
+            (of("fleet bytes") + of("fleet feed bytes")) / outcome.counters_at_s
         };
         let all = outcome.counters.iter().map(all);
         let (sum, most) = all.fold((0.0, 0.0f64), |(sum, most), n| (sum + n, most.max(n)));
         json!({"mean": sum / outcome.counters.len().max(1) as f64, "most": most})
     };
     let streams = || -> Vec<Value> {
-        let one = |(s, (last, counts)): (usize, &(u64, list_service::Counts))| {
+        let one = |(s, (last, counts)): (usize, &(u64, fleet_discovery::Counts))| {
             let done = |what: &str| {
-                let all = outcome.hubs_counters.iter();
+                let all = outcome.hub_counters.iter();
                 all.filter_map(|c| c.get(&format!("fleet feed done {what} {s}")).copied()).collect::<Vec<_>>()
             };
             json!({"last": last, "asked": counts, "done_in_touch": done("in touch"),
                 "done_everywhere": done("everywhere")})
         };
-        outcome.lists.iter().enumerate().map(one).collect()
+        outcome.discovery_by_stream.iter().enumerate().map(one).collect()
     };
-    let n = outcome.used.len().max(1) as f64;
+    let n = outcome.usage.len().max(1) as f64;
     json!({
-        "gateways": o.gateways, "seconds": o.seconds, "seed": o.seed, "rate": o.rate, "fleet": o.fleet,
-        "relays": o.relays, "connections": o.connections, "fills": o.fills, "fills_at_cache": o.fills_at_cache,
-        "plan": o.plan, "bulletin": outcome.list, "caches": kind('c'), "parents": kind('p'),
+        "gateways": options.gateways, "seconds": options.seconds, "seed": options.seed, "rate": options.rate, "fleet": options.fleet,
+        "relays": options.relays, "connections": options.connections, "fills": options.fills, "fills_at_cache": options.fills_at_cache,
+        "plan": options.plan, "bulletin": outcome.discovery, "caches": kind('c'), "parents": kind('p'),
         "fetches_of_an_object": {"mean": outcome.fetches.0, "most": outcome.fetches.1, "objects": outcome.fetches.2},
-        "served_0.95_at_s": outcome.served_at, "first_served_s": outcome.first_served,
-        "first_served_again_s": outcome.first_again, "started_over_s": outcome.started_over, "lost": outcome.lost, "crashed": outcome.crashed,
+        "served_0.95_at_s": outcome.served_95_at_s, "first_served_s": outcome.first_served_s,
+        "first_served_again_s": outcome.first_served_again_s, "started_over_s": outcome.spawn_s, "lost": outcome.lost, "crashed": outcome.crashed,
         "after_purge": outcome.after_purge,
-        "cpu_s": {"mean": outcome.used.iter().map(|u| u.cpu_s).sum::<f64>() / n,
-            "most": outcome.used.iter().map(|u| u.cpu_s).fold(0.0, f64::max)},
-        "peak_mb": outcome.used.iter().map(|u| u.peak_mb).fold(0.0, f64::max),
+        "cpu_s": {"mean": outcome.usage.iter().map(|u| u.cpu_s).sum::<f64>() / n,
+            "most": outcome.usage.iter().map(|u| u.cpu_s).fold(0.0, f64::max)},
+        "peak_mb": outcome.usage.iter().map(|u| u.peak_mb).fold(0.0, f64::max),
         "control_bytes_a_second": {"in": a_second("in"), "out": a_second("out")},
-        "installation": o.installation.map(|all| json!({"size": all, "streams": streams(),
-            "hubs": {"counters": told(&outcome.hubs_counters),
-                "cpu_s": outcome.hubs_used.iter().map(|u| u.cpu_s).collect::<Vec<_>>(),
-                "peak_mb": outcome.hubs_used.iter().map(|u| u.peak_mb).collect::<Vec<_>>()}})),
+        "installation": options.installation.map(|all| json!({"size": all, "streams": streams(),
+            "hubs": {"counters": told(&outcome.hub_counters),
+                "cpu_s": outcome.hub_usage.iter().map(|u| u.cpu_s).collect::<Vec<_>>(),
+                "peak_mb": outcome.hub_usage.iter().map(|u| u.peak_mb).collect::<Vec<_>>()}})),
         "counters": told(&outcome.counters), "report": outcome.report.json(),
     })
 }
 
-pub fn table(o: &Options, outcome: &Outcome) -> String {
-    let all = json(o, outcome);
+pub fn table(options: &Options, outcome: &Outcome) -> String {
+    let all = json(options, outcome);
     let mut out = outcome.report.table();
     let mut line = |what: &str, text: String| out.push_str(&format!("{what:44} {text}\n"));
-    line("gateways, spawned over s", format!("{}, {:.2}", o.gateways, outcome.started_over));
-    let served = outcome.served_at.map_or("not in this run".to_owned(), |s| format!("{s} s"));
+    line("gateways, spawned over s", format!("{}, {:.2}", options.gateways, outcome.spawn_s));
+    let served = outcome.served_95_at_s.map_or("not in this run".to_owned(), |s| format!("{s} s"));
     line("0.95 of importance served from", served);
-    let (median, most) = outcome.first_served;
+    let (median, most) = outcome.first_served_s;
     line("first served after a start, median, most s", format!("{median:.2}, {most:.2}"));
-    if outcome.first_again.1 >= 0.0 {
-        let (median, most) = outcome.first_again;
+    if outcome.first_served_again_s.1 >= 0.0 {
+        let (median, most) = outcome.first_served_again_s;
         line("the same for those started again", format!("{median:.2}, {most:.2}"));
     }
-    let b = &outcome.list;
+    let b = &outcome.discovery;
     line(
         "bulletin: connections, most at once, a second",
         format!("{}, {}, {}", b.connections, b.most_at_once, b.most_in_a_second),
@@ -1015,7 +1033,7 @@
     let mean_and_most = |of: &Value| {
         format!("{:.1}, {:.0}", of["mean"].as_f64().unwrap_or(0.0), of["most"].as_f64().unwrap_or(0.0))
     };
-    if o.fleet {
+    if options.fleet {
         for (way, of) in all["control_bytes_a_second"].as_object().into_iter().flatten() {
             line(&format!("control bytes {way} a second, mean, most"), mean_and_most(of));
         }
@@ -1027,21 +1045,21 @@
     for (s, stream) in all["installation"]["streams"].as_array().into_iter().flatten().enumerate() {
         let told = format!("{}, {}, {}", stream["last"], stream["done_in_touch"], stream["done_everywhere"]);
         line(&format!("stream {s}: last, hubs' done in touch, everywhere"), told);
-        let asked = &stream["asked"];
+        let receiver = &stream["asked"];
         line(
             &format!("stream {s}: connections, most at once, KB"),
             format!(
                 "{}, {}, {}",
-                asked["connections"],
-                asked["most_at_once"],
-                asked["bytes"].as_u64().unwrap_or(0) / 1024
+                receiver["connections"],
+                receiver["most_at_once"],
+                receiver["bytes"].as_u64().unwrap_or(0) / 1024
             ),
         );
     }
     for (name, of) in hubs["counters"].as_object().into_iter().flatten() {
         line(&format!("hubs: {name}, mean, most"), mean_and_most(of));
     }
-    if o.installation.is_some() {
+    if options.installation.is_some() {
         line("hubs: CPU s; memory MB", format!("{}; {}", hubs["cpu_s"], hubs["peak_mb"]));
     }
     if outcome.crashed > 0 {
@@ -1051,10 +1069,10 @@
 }
 
 /// Rules whose break fails the run. Txns whose gateway was stopped are not answered, and nobody is to blame.
-pub fn broken(outcome: &Outcome) -> bool {
-    let mut broken = outcome.report.broken.clone();
+pub fn failed(outcome: &Outcome) -> bool {
+    let mut violations = outcome.report.violations.clone();
     if !outcome.stopped.is_empty() {
-        (broken.unanswered, broken.answered_late) = (0, 0);
+        (violations.unanswered, violations.answered_late) = (0, 0);
     }
-    broken.any() || outcome.crashed > 0
+    violations.any() || outcome.crashed > 0
 }
--- a/rig/src/keys.rs
+++ b/rig/src/keys.rs
@@ -4,11 +4,11 @@
 use std::path::{Path, PathBuf};
 
 #[derive(Debug, thiserror::Error)]
-pub enum Failed {
+pub enum CertificateError {
     #[error("{0}")]
-    Made(#[from] rcgen::Error),
+    Generate(#[from] rcgen::Error),
     #[error("{path}: {why}")]
-    Written { path: PathBuf, why: std::io::Error },
+    Write { path: PathBuf, why: std::io::Error },
 }
 
 pub struct Authority {
@@ -16,22 +16,22 @@
 }
 
 impl Authority {
-    pub fn new() -> Result<Authority, Failed> {
+    pub fn new() -> Result<Authority, CertificateError> {
         let mut params = CertificateParams::new(Vec::new())?;
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
         Ok(Authority { issuer: CertifiedIssuer::self_signed(params, KeyPair::generate()?)? })
     }
 
     /// Writes SITE.pem, SITE.key and roots.pem into the folder.
-    pub fn write(&self, folder: &Path, site: &str) -> Result<(), Failed> {
+    pub fn write(&self, folder: &Path, site: &str) -> Result<(), CertificateError> {
         let key = KeyPair::generate()?;
         let certificate = CertificateParams::new(vec![site.to_owned()])?.signed_by(&key, &self.issuer)?;
-        let put = |name: String, text: String| {
+        let write_file = |name: String, text: String| {
             let path = folder.join(name);
-            std::fs::write(&path, text).map_err(|why| Failed::Written { path, why })
+            std::fs::write(&path, text).map_err(|why| CertificateError::Write { path, why })
         };
-        put(format!("{site}.pem"), certificate.pem())?;
-        put(format!("{site}.key"), key.serialize_pem())?;
-        put("roots.pem".to_owned(), self.issuer.pem())
+        write_file(format!("{site}.pem"), certificate.pem())?;
+        write_file(format!("{site}.key"), key.serialize_pem())?;
+        write_file("roots.pem".to_owned(), self.issuer.pem())
     }
 }
