--- a/rig/src/main.rs
+++ b/rig/src/main.rs
@@ -2,28 +2,28 @@
 
 use clap::{Parser, Subcommand, ValueEnum};
 use kelpcart_rig::keys::Authority;
-use kelpcart_rig::lane::Weather;
+use kelpcart_rig::link_emulator::LinkConditions;
 use kelpcart_rig::plan::Plan;
 use kelpcart_rig::sites::{self, Ledger, Options};
-use kelpcart_rig::{fleet_day, fleet_plan, list_service, tier};
+use kelpcart_rig::{cache_tier, fleet_discovery, fleet_plan, fleet_run};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 #[derive(Parser)]
 #[command(about = "Plays days on real gateways between stand-ins on loopback; all servers are simulated.")]
-struct Line {
+struct Cli {
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum What {
+enum Command {
     /// Two sites with a slow, lossy link between them.
-    Sites(Box<Day>),
+    Sites(Box<SitesArgs>),
     /// Two sites, the far one's gateways keeping copies of what they promise, and machines lost with their disks.
-    Copies(Box<CopiesDay>),
+    Copies(Box<CopiesArgs>),
     /// A whole fleet that starts at once between stand-ins that can be swamped.
-    Fleet(Box<FleetDay>),
+    Fleet(Box<FleetArgs>),
     /// Certificates for trying things out: an authority and one for each site named.
     Keys {
         /// The folder they are written to.
@@ -34,7 +34,7 @@
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum Kept {
+enum SitesLedger {
     /// What is in doubt is never asked about.
     None,
     Memory,
@@ -42,20 +42,20 @@
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum By {
+enum Carrier {
     Streams,
     OneStream,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum Control {
+enum Congestion {
     Delay,
     Bbr,
     Cubic,
 }
 
 #[derive(clap::Args)]
-struct Day {
+struct SitesArgs {
     #[arg(long, default_value_t = 20.0)]
     seconds: f64,
     #[arg(long, default_value_t = 1)]
@@ -105,11 +105,11 @@
     #[arg(long, default_value_t = 5_000)]
     objects: u64,
     #[arg(long, value_enum, default_value = "memory")]
-    ledger: Kept,
+    ledger: SitesLedger,
     #[arg(long, value_enum, default_value = "streams")]
-    carrier: By,
+    carrier: Carrier,
     #[arg(long, value_enum, default_value = "delay")]
-    congestion: Control,
+    congestion: Congestion,
     /// A purge each so many seconds; 0: none.
     #[arg(long, default_value_t = 3.0)]
     purge_every: f64,
@@ -134,7 +134,7 @@
 }
 
 #[derive(Clone, Copy, ValueEnum, PartialEq)]
-enum KeptBy {
+enum CopiesLedger {
     /// What is in doubt is never asked about.
     None,
     Memory,
@@ -143,7 +143,7 @@
 }
 
 #[derive(clap::Args)]
-struct CopiesDay {
+struct CopiesArgs {
     /// Gateways at both sites together; a third of them are near ones, where the clients are.
     #[arg(long, default_value_t = 9)]
     gateways: usize,
@@ -153,7 +153,7 @@
     seed: u64,
     /// Who keeps what was promised: several gateways, or each for itself.
     #[arg(long, value_enum, default_value = "copies")]
-    ledger: KeptBy,
+    ledger: CopiesLedger,
     #[arg(long, default_value_t = 3)]
     copies: usize,
     #[arg(long, default_value_t = 2)]
@@ -198,15 +198,18 @@
     counters: bool,
 }
 
-fn plan_of(path: &std::path::Path) -> Result<Plan, Box<dyn std::error::Error>> {
+fn read_plan(path: &std::path::Path) -> Result<Plan, Box<dyn std::error::Error>> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    Ok(Plan::read(&text)?)
+    Ok(Plan::parse(&text)?)
 }
 
 /// Plays a day between two sites and prints what became of each rule; a folder of the run's own is removed.
-fn between(options: &Options, keeps: bool) -> Result<sites::Outcome, Box<dyn std::error::Error>> {
+fn run_and_report(
+    options: &Options,
+    keep_folder: bool,
+) -> Result<sites::Outcome, Box<dyn std::error::Error>> {
     let outcome = sites::run(options);
-    if !keeps {
+    if !keep_folder {
         // It is gone already where the run never came so far.
         _ = std::fs::remove_dir_all(&options.folder);
     }
@@ -215,80 +218,89 @@
     Ok(outcome)
 }
 
-fn play_copies(day: &CopiesDay) -> Outcome {
-    let nears = (day.gateways / 3).max(1);
-    let fars = day.gateways.saturating_sub(nears);
-    if !matches!(day.copies, 3 | 5) || !(day.copies..=64).contains(&fars) {
+fn run_copies(args: &CopiesArgs) -> RunResult {
+    let local_gateways = (args.gateways / 3).max(1);
+    let remote_gateways = args.gateways.saturating_sub(local_gateways);
+    if !matches!(args.copies, 3 | 5) || !(args.copies..=64).contains(&remote_gateways) {
         return Err(
             "--copies is 3 or 5; two thirds of --gateways are far ones, as many as copies and 64 at most"
                 .into(),
         );
     }
-    if !(day.seconds >= 1.0 && day.rate > 0.0 && (0.0..=0.9).contains(&day.book)) {
+    if !(args.seconds >= 1.0 && args.rate > 0.0 && (0.0..=0.9).contains(&args.book)) {
         return Err("--seconds is at least 1, --rate above 0, --book 0 to 0.9".into());
     }
-    let plan = match &day.plan {
-        Some(path) => plan_of(path)?,
-        None => Plan::losses(day.seed, day.seconds, day.lose_every, day.lose_for, fars),
+    let plan = match &args.plan {
+        Some(path) => read_plan(path)?,
+        None => {
+            Plan::machine_losses(args.seed, args.seconds, args.lose_every, args.lose_for, remote_gateways)
+        }
     };
-    let own = std::env::temp_dir().join(format!("kelpcart-rig-{}", std::process::id()));
-    let ledger = match day.ledger {
-        KeptBy::None => Ledger::None,
-        KeptBy::Memory => Ledger::Memory,
-        KeptBy::Disk => Ledger::Disk,
-        KeptBy::Copies => {
-            Ledger::Copies { copies: day.copies, groups: day.groups, zones: day.zones, disk: day.disk }
+    let temp_folder = std::env::temp_dir().join(format!("kelpcart-rig-{}", std::process::id()));
+    let ledger = match args.ledger {
+        CopiesLedger::None => Ledger::None,
+        CopiesLedger::Memory => Ledger::Memory,
+        CopiesLedger::Disk => Ledger::Disk,
+        CopiesLedger::Copies => {
+            Ledger::Copies { copies: args.copies, groups: args.groups, zones: args.zones, disk: args.disk }
         }
     };
     let options = Options {
-        nears,
-        fars,
+        local_gateways,
+        remote_gateways,
         links: 1,
-        seconds: day.seconds,
-        seed: day.seed,
-        weather: Weather { delay_ms: day.delay_ms, loss: day.loss, ..Weather::default() },
-        between: Weather { delay_ms: day.between_ms, loss: day.between_loss, ..Weather::default() },
+        seconds: args.seconds,
+        seed: args.seed,
+        conditions: LinkConditions { delay_ms: args.delay_ms, loss: args.loss, ..LinkConditions::default() },
+        replica_link: LinkConditions {
+            delay_ms: args.between_ms,
+            loss: args.between_loss,
+            ..LinkConditions::default()
+        },
         plan,
-        rate: day.rate,
-        media: (1.0 - day.book) / 4.0,
-        book: day.book,
+        rate: args.rate,
+        media_share: (1.0 - args.book) / 4.0,
+        book_share: args.book,
         objects: 2_000,
         ledger,
         carrier: "streams",
         congestion: "delay",
-        purge_every: 5.0,
-        purge_late: 1.0,
-        program: day.program.clone().unwrap_or_else(sites::program),
-        folder: day.folder.clone().unwrap_or(own),
-        memory_mb: day.memory_mb,
+        purge_every_s: 5.0,
+        purge_delay_s: 1.0,
+        program: args.program.clone().unwrap_or_else(sites::default_program),
+        folder: args.folder.clone().unwrap_or(temp_folder),
+        memory_mb: args.memory_mb,
     };
-    let outcome = between(&options, day.folder.is_some())?;
-    println!("{nears} near and {fars} far gateways, {} lost with their disks", outcome.wiped);
-    if let Some(most) = outcome.leaderless.last() {
-        let median = outcome.leaderless[outcome.leaderless.len() / 2];
-        let n = outcome.leaderless.len();
+    let outcome = run_and_report(&options, args.folder.is_some())?;
+    println!(
+        "{local_gateways} near and {remote_gateways} far gateways, {} lost with their disks",
+        outcome.wiped
+    );
+    if let Some(most) = outcome.leaderless_s.last() {
+        let median = outcome.leaderless_s[outcome.leaderless_s.len() / 2];
+        let n = outcome.leaderless_s.len();
         println!(
             "{n} times a group lost its leader: the next one after {median:.3} s at the median, {most:.3} s at most"
         );
     }
-    for (i, far) in outcome.far.iter().enumerate() {
-        println!("far gateway {i}: {:.2} s of CPU, {:.1} MB at most", far.cpu_s, far.peak_mb);
+    for (i, usage) in outcome.remote_usage.iter().enumerate() {
+        println!("far gateway {i}: {:.2} s of CPU, {:.1} MB at most", usage.cpu_s, usage.peak_mb);
     }
-    if day.counters {
+    if args.counters {
         outcome.counters.iter().for_each(|(name, line)| println!("{name}: {line}"));
     }
     if outcome.crashed {
         println!("a gateway ended by itself  BROKEN");
     }
-    if let Some(path) = &day.json {
+    if let Some(path) = &args.json {
         std::fs::write(path, serde_json::to_string_pretty(&sites::json(&options, &outcome))?)?;
     }
-    Ok(!outcome.report.broken.any() && !outcome.crashed)
+    Ok(!outcome.report.violations.any() && !outcome.crashed)
 }
 
 /// Remedies that can be left out.
 #[derive(Clone, Copy, ValueEnum, PartialEq)]
-enum Without {
+enum Feature {
     /// Each gateway for itself, as without the feature.
     Fleet,
     /// Each asks the bulletin.
@@ -299,7 +311,7 @@
 }
 
 #[derive(clap::Args)]
-struct FleetDay {
+struct FleetArgs {
     #[arg(long, default_value_t = 50)]
     gateways: usize,
     #[arg(long, default_value_t = 20.0)]
@@ -324,7 +336,7 @@
     #[arg(long, default_value_t = 0.0)]
     loss: f64,
     #[arg(long, value_enum)]
-    without: Vec<Without>,
+    without: Vec<Feature>,
     /// Sites of one installation, made one by the feed, each with its own fleet; else all are one fleet.
     #[arg(long)]
     sites: Option<usize>,
@@ -366,89 +378,96 @@
     json: Option<PathBuf>,
 }
 
-fn play_fleet(day: &FleetDay) -> Outcome {
-    if !(2..=400).contains(&day.gateways)
-        || !(1..=200).contains(&day.caches)
-        || day.parents + day.caches > 250
+fn run_fleet(args: &FleetArgs) -> RunResult {
+    if !(2..=400).contains(&args.gateways)
+        || !(1..=200).contains(&args.caches)
+        || args.parents + args.caches > 250
     {
         return Err("--gateways is 2 to 400, --caches 1 to 200, with --parents 250 at the most".into());
     }
-    if day.seconds.is_nan() || day.seconds < 1.0 || day.rate.is_nan() || day.rate <= 0.0 {
+    if args.seconds.is_nan() || args.seconds < 1.0 || args.rate.is_nan() || args.rate <= 0.0 {
         return Err("--seconds is at least 1, --rate above 0".into());
     }
     let fits = |sites: usize| {
-        (1..=day.gateways).contains(&sites)
-            && (1..=16).contains(&day.hubs)
-            && (1..=32).contains(&day.streams)
-            && day.foreign == 0
-            && !day.without.contains(&Without::Fleet)
+        (1..=args.gateways).contains(&sites)
+            && (1..=16).contains(&args.hubs)
+            && (1..=32).contains(&args.streams)
+            && args.foreign == 0
+            && !args.without.contains(&Feature::Fleet)
     };
-    if !day.sites.is_none_or(fits) {
+    if !args.sites.is_none_or(fits) {
         return Err(
             "--sites is 1 to the gateways, --hubs 1 to 16, --streams 1 to 32, none foreign, with fleet"
                 .into(),
         );
     }
-    let (hubs, streams) = (day.hubs, day.streams);
-    let installation = day.sites.map(|sites| fleet_day::Installation { sites, hubs, streams });
-    let plan = match &day.plan {
-        Some(path) => {
-            fleet_plan::read(&std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?)?
-        }
+    let (hubs, streams) = (args.hubs, args.streams);
+    let installation = args.sites.map(|sites| fleet_run::Installation { sites, hubs, streams });
+    let plan = match &args.plan {
+        Some(path) => fleet_plan::parse(
+            &std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?,
+        )?,
         None => Vec::new(),
     };
-    let has = |w: Without| !day.without.contains(&w);
-    let own = std::env::temp_dir().join(format!("kelpcart-rig-{}", std::process::id()));
-    let options = fleet_day::Options {
-        gateways: day.gateways,
-        caches: day.caches,
-        parents: day.parents,
-        seconds: day.seconds,
-        seed: day.seed,
-        rate: day.rate * day.gateways as f64,
-        objects: day.objects.max(2),
+    let enabled = |w: Feature| !args.without.contains(&w);
+    let temp_folder = std::env::temp_dir().join(format!("kelpcart-rig-{}", std::process::id()));
+    let options = fleet_run::Options {
+        gateways: args.gateways,
+        caches: args.caches,
+        parents: args.parents,
+        seconds: args.seconds,
+        seed: args.seed,
+        rate: args.rate * args.gateways as f64,
+        objects: args.objects.max(2),
         plan,
-        weather: Weather { delay_ms: day.delay_ms, loss: day.loss, ..Weather::default() },
-        fleet: has(Without::Fleet),
-        relays: has(Without::Relays),
-        connections: has(Without::Connections).then_some(day.connections),
-        fills: has(Without::Fills).then_some(1),
-        fills_at_cache: has(Without::FillsAtCache).then_some(day.fills_at_cache),
-        foreign: day.foreign,
-        guests: 0,
+        conditions: LinkConditions { delay_ms: args.delay_ms, loss: args.loss, ..LinkConditions::default() },
+        fleet: enabled(Feature::Fleet),
+        relays: enabled(Feature::Relays),
+        connections: enabled(Feature::Connections).then_some(args.connections),
+        fills: enabled(Feature::Fills).then_some(1),
+        fills_at_cache: enabled(Feature::FillsAtCache).then_some(args.fills_at_cache),
+        foreign: args.foreign,
+        extra_members: 0,
         installation,
-        told_ms: day.told_ms.unwrap_or(if installation.is_some() { fleet_day::FEED_MS } else { 0 }),
-        has_net: false,
-        list: list_service::Bears { connections_per_s: day.bulletin_connections, kb_per_s: day.bulletin_kb },
-        cache: tier::Bears {
-            connections: day.bears_connections,
-            cold_fills: day.bears_fills,
+        propagation_ms: args.told_ms.unwrap_or(if installation.is_some() {
+            fleet_run::FEED_PROPAGATION_MS
+        } else {
+            0
+        }),
+        subnet_reserved: false,
+        discovery_capacity: fleet_discovery::Capacity {
+            connections_per_s: args.bulletin_connections,
+            kb_per_s: args.bulletin_kb,
+        },
+        cache_capacity: cache_tier::Capacity {
+            connections: args.bears_connections,
+            cold_fills: args.bears_fills,
             cold_for: std::time::Duration::from_secs(20),
             down_for: std::time::Duration::from_secs(3),
         },
-        memory_mb: day.memory_mb,
-        program: day.program.clone().unwrap_or_else(sites::program),
-        folder: day.folder.clone().unwrap_or_else(|| own.clone()),
+        memory_mb: args.memory_mb,
+        program: args.program.clone().unwrap_or_else(sites::default_program),
+        folder: args.folder.clone().unwrap_or_else(|| temp_folder.clone()),
     };
-    let outcome = fleet_day::run(&options);
-    if day.folder.is_none() {
+    let outcome = fleet_run::run(&options);
+    if args.folder.is_none() {
         // It is gone already where the run never came so far.
-        _ = std::fs::remove_dir_all(&own);
+        _ = std::fs::remove_dir_all(&temp_folder);
     }
     let outcome = outcome?;
-    print!("{}", fleet_day::table(&options, &outcome));
-    if let Some(path) = &day.json {
-        std::fs::write(path, serde_json::to_string_pretty(&fleet_day::json(&options, &outcome))?)?;
+    print!("{}", fleet_run::table(&options, &outcome));
+    if let Some(path) = &args.json {
+        std::fs::write(path, serde_json::to_string_pretty(&fleet_run::json(&options, &outcome))?)?;
     }
-    Ok(!fleet_day::broken(&outcome))
+    Ok(!fleet_run::failed(&outcome))
 }
 
 fn main() -> ExitCode {
-    let result = match Line::parse().what {
-        What::Sites(day) => play(&day),
-        What::Copies(day) => play_copies(&day),
-        What::Fleet(day) => play_fleet(&day),
-        What::Keys { folder, sites } => keys(&folder, &sites),
+    let result = match Cli::parse().command {
+        Command::Sites(args) => run_sites(&args),
+        Command::Copies(args) => run_copies(&args),
+        Command::Fleet(args) => run_fleet(&args),
+        Command::Keys { folder, sites } => write_keys(&folder, &sites),
     };
     match result {
         Ok(true) => ExitCode::SUCCESS,
@@ -460,9 +479,9 @@
     }
 }
 
-type Outcome = Result<bool, Box<dyn std::error::Error>>;
+type RunResult = Result<bool, Box<dyn std::error::Error>>;
 
-fn keys(folder: &std::path::Path, sites: &[String]) -> Outcome {
+fn write_keys(folder: &std::path::Path, sites: &[String]) -> RunResult {
     std::fs::create_dir_all(folder)?;
     let authority = Authority::new()?;
     for site in sites {
@@ -471,85 +490,85 @@
     Ok(true)
 }
 
-fn play(day: &Day) -> Outcome {
-    for (name, part) in [("loss", day.loss), ("duplicate", day.duplicate), ("reorder", day.reorder)] {
+fn run_sites(args: &SitesArgs) -> RunResult {
+    for (name, part) in [("loss", args.loss), ("duplicate", args.duplicate), ("reorder", args.reorder)] {
         if !(0.0..=1.0).contains(&part) {
             return Err(format!("--{name} is not between 0 and 1").into());
         }
     }
-    if day.seconds.is_nan() || day.seconds < 1.0 || day.rate <= 0.0 || day.fars == 0 || day.links == 0 {
+    if args.seconds.is_nan() || args.seconds < 1.0 || args.rate <= 0.0 || args.fars == 0 || args.links == 0 {
         return Err("--seconds, --rate, --fars and --links are at least 1".into());
     }
-    let plan = match &day.plan {
-        Some(path) => plan_of(path)?,
+    let plan = match &args.plan {
+        Some(path) => read_plan(path)?,
         None => {
-            let dark = day.dark_at.map(|at| (at, day.dark_for));
-            Plan::cuts(day.seed, day.seconds, day.cut_every, day.cut_for, dark)
+            let dark = args.dark_at.map(|at| (at, args.dark_for));
+            Plan::link_cuts(args.seed, args.seconds, args.cut_every, args.cut_for, dark)
         }
     };
-    let own = std::env::temp_dir().join(format!("kelpcart-rig-{}", std::process::id()));
+    let temp_folder = std::env::temp_dir().join(format!("kelpcart-rig-{}", std::process::id()));
     let options = Options {
-        seconds: day.seconds,
-        seed: day.seed,
-        weather: Weather {
-            delay_ms: day.delay_ms,
-            jitter_ms: day.jitter_ms,
-            loss: day.loss,
-            duplicate: day.duplicate,
-            reorder: day.reorder,
-            rate_kb: day.rate_kb,
-            queue_kb: day.queue_kb,
-            dark: [false; 2],
+        seconds: args.seconds,
+        seed: args.seed,
+        conditions: LinkConditions {
+            delay_ms: args.delay_ms,
+            jitter_ms: args.jitter_ms,
+            loss: args.loss,
+            duplicate: args.duplicate,
+            reorder: args.reorder,
+            rate_kb: args.rate_kb,
+            queue_kb: args.queue_kb,
+            blocked: [false; 2],
         },
         plan,
-        nears: 1,
-        between: Weather::default(),
-        fars: day.fars,
-        links: day.links,
-        rate: day.rate,
-        media: day.media,
-        book: day.book,
-        objects: day.objects.max(2),
-        ledger: match day.ledger {
-            Kept::None => Ledger::None,
-            Kept::Memory => Ledger::Memory,
-            Kept::Disk => Ledger::Disk,
+        local_gateways: 1,
+        replica_link: LinkConditions::default(),
+        remote_gateways: args.fars,
+        links: args.links,
+        rate: args.rate,
+        media_share: args.media,
+        book_share: args.book,
+        objects: args.objects.max(2),
+        ledger: match args.ledger {
+            SitesLedger::None => Ledger::None,
+            SitesLedger::Memory => Ledger::Memory,
+            SitesLedger::Disk => Ledger::Disk,
         },
-        carrier: if matches!(day.carrier, By::Streams) { "streams" } else { "one-stream" },
-        congestion: match day.congestion {
-            Control::Delay => "delay",
-            Control::Bbr => "bbr",
-            Control::Cubic => "cubic",
+        carrier: if matches!(args.carrier, Carrier::Streams) { "streams" } else { "one-stream" },
+        congestion: match args.congestion {
+            Congestion::Delay => "delay",
+            Congestion::Bbr => "bbr",
+            Congestion::Cubic => "cubic",
         },
-        purge_every: day.purge_every,
-        purge_late: day.purge_late,
-        program: day.program.clone().unwrap_or_else(sites::program),
-        folder: day.folder.clone().unwrap_or(own),
-        memory_mb: day.memory_mb,
+        purge_every_s: args.purge_every,
+        purge_delay_s: args.purge_late,
+        program: args.program.clone().unwrap_or_else(sites::default_program),
+        folder: args.folder.clone().unwrap_or(temp_folder),
+        memory_mb: args.memory_mb,
     };
-    let outcome = between(&options, day.folder.is_some())?;
+    let outcome = run_and_report(&options, args.folder.is_some())?;
     println!("{} purges, {} fills by the central store", outcome.purges, outcome.origin_fills);
-    for near in &outcome.near {
-        println!("near gateway: {:.2} s of CPU, {:.1} MB at most", near.cpu_s, near.peak_mb);
+    for usage in &outcome.local_usage {
+        println!("near gateway: {:.2} s of CPU, {:.1} MB at most", usage.cpu_s, usage.peak_mb);
     }
-    for (i, far) in outcome.far.iter().enumerate() {
-        println!("far gateway {i}: {:.2} s of CPU, {:.1} MB at most", far.cpu_s, far.peak_mb);
+    for (i, usage) in outcome.remote_usage.iter().enumerate() {
+        println!("far gateway {i}: {:.2} s of CPU, {:.1} MB at most", usage.cpu_s, usage.peak_mb);
     }
-    if let Some(at) = day.dark_at {
-        let (from, to) = (at as usize, (at + day.dark_for) as usize);
+    if let Some(at) = args.dark_at {
+        let (from, to) = (at as usize, (at + args.dark_for) as usize);
         let before = outcome.report.share(5, from);
-        let back = outcome.report.back_after(to, before, 0.95);
-        let back = back.map_or("not in this run".to_owned(), |s| format!("{s} s after"));
-        println!("before the dark time {before:.3}; 0.95 of that again: {back}");
+        let recovery = outcome.report.recovery_s(to, before, 0.95);
+        let recovery = recovery.map_or("not in this run".to_owned(), |s| format!("{s} s after"));
+        println!("before the dark time {before:.3}; 0.95 of that again: {recovery}");
     }
-    if day.counters {
+    if args.counters {
         outcome.counters.iter().for_each(|(name, line)| println!("{name}: {line}"));
     }
     if outcome.crashed {
         println!("a gateway ended by itself  BROKEN");
     }
-    if let Some(path) = &day.json {
+    if let Some(path) = &args.json {
         std::fs::write(path, serde_json::to_string_pretty(&sites::json(&options, &outcome))?)?;
     }
-    Ok(!outcome.report.broken.any() && !outcome.crashed)
+    Ok(!outcome.report.violations.any() && !outcome.crashed)
 }
--- a/rig/src/plan.rs
+++ b/rig/src/plan.rs
@@ -6,7 +6,7 @@
 
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
+pub enum Fault {
     /// Nothing passes a link, both ways or one.
     Dark,
     DarkThere,
@@ -42,13 +42,13 @@
     /// By number; absent: all.
     #[serde(default)]
     pub link: Option<usize>,
-    pub what: What,
+    pub what: Fault,
 }
 
 #[derive(Debug, thiserror::Error)]
-pub enum Unusable {
+pub enum PlanError {
     #[error("the plan: {0}")]
-    Form(#[from] serde_json::Error),
+    Json(#[from] serde_json::Error),
     #[error("event {0}: {1}")]
     Event(usize, &'static str),
 }
@@ -67,21 +67,21 @@
 }
 
 impl Plan {
-    pub fn read(text: &str) -> Result<Plan, Unusable> {
+    pub fn parse(text: &str) -> Result<Plan, PlanError> {
         let events: Vec<Event> = serde_json::from_str(text)?;
         for (i, event) in events.iter().enumerate() {
-            let times =
+            let valid =
                 event.at.is_finite() && event.lasts.is_finite() && event.at >= 0.0 && event.lasts > 0.0;
-            if !times {
-                return Err(Unusable::Event(i, "at and lasts have to be seconds above 0"));
+            if !valid {
+                return Err(PlanError::Event(i, "at and lasts have to be seconds above 0"));
             }
             match event.what {
-                What::Lossy(part) | What::LossyCopies(part) if !(0.0..=1.0).contains(&part) => {
-                    return Err(Unusable::Event(i, "a part lies between 0 and 1"));
+                Fault::Lossy(part) | Fault::LossyCopies(part) if !(0.0..=1.0).contains(&part) => {
+                    return Err(PlanError::Event(i, "a part lies between 0 and 1"));
                 }
-                What::WipeLeader(0) => return Err(Unusable::Event(i, "one gateway at the least")),
-                What::Narrow(rate) if rate.is_nan() || rate <= 0.0 => {
-                    return Err(Unusable::Event(i, "a rate is above 0"));
+                Fault::WipeLeader(0) => return Err(PlanError::Event(i, "one gateway at the least")),
+                Fault::Narrow(rate) if rate.is_nan() || rate <= 0.0 => {
+                    return Err(PlanError::Event(i, "a rate is above 0"));
                 }
                 _ => {}
             }
@@ -90,11 +90,11 @@
     }
 
     /// A cut about each so many seconds, and one long dark time; cuts keep clear of that.
-    pub fn cuts(seed: u64, seconds: f64, every: f64, lasts: f64, dark: Option<(f64, f64)>) -> Plan {
+    pub fn link_cuts(seed: u64, seconds: f64, every: f64, lasts: f64, dark: Option<(f64, f64)>) -> Plan {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut events = Vec::new();
         if let Some((at, lasts)) = dark {
-            events.push(Event { at, lasts, link: None, what: What::Dark });
+            events.push(Event { at, lasts, link: None, what: Fault::Dark });
         }
         let mut at = every;
         while every > 0.0 && at + lasts < seconds {
@@ -103,9 +103,9 @@
             if clear {
                 // One direction fails alone now and then.
                 let what = match rng.random_range(0..4) {
-                    0 => What::DarkThere,
-                    1 => What::DarkBack,
-                    _ => What::Dark,
+                    0 => Fault::DarkThere,
+                    1 => Fault::DarkBack,
+                    _ => Fault::Dark,
                 };
                 events.push(Event { at: moved, lasts, link: None, what });
             }
@@ -116,24 +116,30 @@
 
     /// A far gateway is lost with its disk about each so many seconds, every second time the one that leads; in between
     /// leaders are stopped or cut off, and links and copies lose datagrams.
-    pub fn losses(seed: u64, seconds: f64, every: f64, gone: f64, fars: usize) -> Plan {
+    pub fn machine_losses(
+        seed: u64,
+        seconds: f64,
+        every: f64,
+        down_for: f64,
+        remote_gateways: usize,
+    ) -> Plan {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let (mut events, mut at, mut round) = (Vec::new(), every / 2.0, 0);
-        while every > 0.0 && at + gone < seconds {
-            let link = rng.random_range(0..fars);
-            let what = if round % 2 == 0 { What::WipeLeader(1) } else { What::WipeFar };
-            let link = (what == What::WipeFar).then_some(link);
-            events.push(Event { at, lasts: gone, link, what });
+        while every > 0.0 && at + down_for < seconds {
+            let link = rng.random_range(0..remote_gateways);
+            let what = if round % 2 == 0 { Fault::WipeLeader(1) } else { Fault::WipeFar };
+            let link = (what == Fault::WipeFar).then_some(link);
+            events.push(Event { at, lasts: down_for, link, what });
             let between = at + every * rng.random_range(0.4..0.6);
             let (what, lasts) = match round % 6 {
-                0 => (What::Dark, 2.0),
-                1 => (What::StopLeader, 5.0),
-                2 => (What::CutLeader, 3.0),
-                3 => (What::LossyCopies(0.1), 3.0),
-                4 => (What::MuteLeader, 3.0),
-                _ => (What::DeafLeader, 3.0),
+                0 => (Fault::Dark, 2.0),
+                1 => (Fault::StopLeader, 5.0),
+                2 => (Fault::CutLeader, 3.0),
+                3 => (Fault::LossyCopies(0.1), 3.0),
+                4 => (Fault::MuteLeader, 3.0),
+                _ => (Fault::DeafLeader, 3.0),
             };
-            let link = (what == What::Dark).then(|| rng.random_range(0..fars));
+            let link = (what == Fault::Dark).then(|| rng.random_range(0..remote_gateways));
             if between + lasts < at + every {
                 events.push(Event { at: between, lasts, link, what });
             }
@@ -145,11 +151,11 @@
 
     /// Beginnings and ends in order.
     pub fn moments(&self) -> Vec<Moment> {
-        let both = |event: &Event| {
+        let bounds = |event: &Event| {
             let moment = |at, begins| Moment { at, begins, event: event.clone() };
             [moment(event.at, true), moment(event.at + event.lasts, false)]
         };
-        let mut all: Vec<Moment> = self.events.iter().flat_map(both).collect();
+        let mut all: Vec<Moment> = self.events.iter().flat_map(bounds).collect();
         all.sort_by(|a, b| a.at.total_cmp(&b.at));
         all
     }
@@ -162,7 +168,7 @@
 
     #[test]
     fn a_file_is_read_and_its_faults_are_told() {
-        let plan = Plan::read(
+        let plan = Plan::parse(
             r#"[{"at": 1, "lasts": 2, "what": "dark"}, {"at": 2, "lasts": 1, "what": {"lossy": 0.5}}]"#,
         );
         let moments = plan.unwrap().moments();
@@ -170,23 +176,23 @@
             moments.iter().map(|m| (m.at, m.begins)).collect::<Vec<_>>(),
             [(1.0, true), (2.0, true), (3.0, false), (3.0, false)]
         );
-        for (text, told) in [
+        for (text, message) in [
             (r#"[{"at": 1, "lasts": 0, "what": "dark"}]"#, "event 0: at and lasts"),
             (r#"[{"at": 1, "lasts": 1, "what": {"lossy": 2}}]"#, "event 0: a part"),
             (r#"[{"at": 1, "lasts": 1, "what": {"narrow": 0}}]"#, "event 0: a rate"),
             (r#"[{"at": 1, "lasts": 1, "what": "fog"}]"#, "the plan: unknown variant"),
         ] {
-            let why = Plan::read(text).unwrap_err().to_string();
-            assert!(why.starts_with(told), "{why}");
+            let why = Plan::parse(text).unwrap_err().to_string();
+            assert!(why.starts_with(message), "{why}");
         }
     }
 
     quickcheck! {
         fn cuts_lie_inside_the_run_and_clear_of_the_dark_time(seed: u64) -> bool {
-            let plan = Plan::cuts(seed, 600.0, 20.0, 2.5, Some((300.0, 60.0)));
-            let cuts: Vec<&Event> = plan.events.iter().filter(|e| e.lasts < 60.0).collect();
+            let plan = Plan::link_cuts(seed, 600.0, 20.0, 2.5, Some((300.0, 60.0)));
+            let link_cuts: Vec<&Event> = plan.events.iter().filter(|e| e.lasts < 60.0).collect();
             let clear = |e: &Event| e.at > 0.0 && e.at + e.lasts < 605.0 && !(297.5..=360.0).contains(&e.at);
-            cuts.len() > 20 && cuts.into_iter().all(clear) && plan == Plan::cuts(seed, 600.0, 20.0, 2.5, Some((300.0, 60.0)))
+            link_cuts.len() > 20 && link_cuts.into_iter().all(clear) && plan == Plan::link_cuts(seed, 600.0, 20.0, 2.5, Some((300.0, 60.0)))
         }
     }
 }
--- a/rig/src/relay.rs
+++ b/rig/src/relay.rs
@@ -1,7 +1,7 @@
 //! A link between sites as a stand-in: passes datagrams both ways and does to them what its weather says. Must never
 //! send anywhere but on loopback, nor hold more than its bound.
 
-use crate::lane::{Lane, Weather};
+use crate::link_emulator::{LinkConditions, LinkDirection};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
@@ -14,82 +14,89 @@
 use std::time::{Duration, Instant};
 
 /// Datagrams under way; beyond that, new ones are lost.
-const MOST: usize = 65_536;
+const MAX_IN_FLIGHT: usize = 65_536;
 /// Sockets towards the far end, one for each sender.
-const MOST_SENDERS: usize = 64;
+const MAX_SENDERS: usize = 64;
 /// How often a thread looks whether it is to end.
-const LOOKS: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-struct Due {
+struct Scheduled {
     at: f64,
     no: u64,
     bytes: Vec<u8>,
-    by: Arc<UdpSocket>,
+    socket: Arc<UdpSocket>,
     to: SocketAddr,
 }
 
-impl PartialEq for Due {
-    fn eq(&self, other: &Due) -> bool {
+impl PartialEq for Scheduled {
+    fn eq(&self, other: &Scheduled) -> bool {
         self.no == other.no
     }
 }
 
-impl Eq for Due {}
+impl Eq for Scheduled {}
 
-impl PartialOrd for Due {
-    fn partial_cmp(&self, other: &Due) -> Option<std::cmp::Ordering> {
+impl PartialOrd for Scheduled {
+    fn partial_cmp(&self, other: &Scheduled) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Due {
-    fn cmp(&self, other: &Due) -> std::cmp::Ordering {
+impl Ord for Scheduled {
+    fn cmp(&self, other: &Scheduled) -> std::cmp::Ordering {
         self.at.total_cmp(&other.at).then(self.no.cmp(&other.no))
     }
 }
 
 struct Shared {
     start: Instant,
-    weather: Mutex<Weather>,
-    lanes: Mutex<([Lane; 2], Pcg64Mcg)>,
-    due: Mutex<(BinaryHeap<Reverse<Due>>, u64)>,
+    conditions: Mutex<LinkConditions>,
+    directions: Mutex<([LinkDirection; 2], Pcg64Mcg)>,
+    queue: Mutex<(BinaryHeap<Reverse<Scheduled>>, u64)>,
     changed: Condvar,
-    ends: AtomicBool,
+    stopping: AtomicBool,
 }
 
 impl Shared {
-    fn pass(&self, way: usize, bytes: &[u8], by: &Arc<UdpSocket>, to: SocketAddr) {
+    fn schedule(&self, direction: usize, bytes: &[u8], socket: &Arc<UdpSocket>, to: SocketAddr) {
         let now = self.start.elapsed().as_secs_f64();
-        let weather = *self.weather.lock().unwrap();
+        let conditions = *self.conditions.lock().unwrap();
         let times = {
-            let mut lanes = self.lanes.lock().unwrap();
-            let (lanes, rng) = &mut *lanes;
-            lanes[way].pass(now, bytes.len(), way, &weather, rng)
+            let mut directions = self.directions.lock().unwrap();
+            let (directions, rng) = &mut *directions;
+            directions[direction].arrivals(now, bytes.len(), direction, &conditions, rng)
         };
-        let mut due = self.due.lock().unwrap();
-        for at in times.into_iter().take(MOST.saturating_sub(due.0.len())) {
-            due.1 += 1;
-            let no = due.1;
-            due.0.push(Reverse(Due { at, no, bytes: bytes.to_vec(), by: Arc::clone(by), to }));
+        let mut queue = self.queue.lock().unwrap();
+        for at in times.into_iter().take(MAX_IN_FLIGHT.saturating_sub(queue.0.len())) {
+            queue.1 += 1;
+            let no = queue.1;
+            queue.0.push(Reverse(Scheduled {
+                at,
+                no,
+                bytes: bytes.to_vec(),
+                socket: Arc::clone(socket),
+                to,
+            }));
         }
         self.changed.notify_one();
     }
 
     /// Sends each when it is due.
     fn send(&self) {
-        let mut due = self.due.lock().unwrap();
-        while !self.ends.load(Ordering::Relaxed) {
+        let mut queue = self.queue.lock().unwrap();
+        while !self.stopping.load(Ordering::Relaxed) {
             let now = self.start.elapsed().as_secs_f64();
-            let next = due.0.peek().map(|d| d.0.at);
+            let next = queue.0.peek().map(|d| d.0.at);
             match next {
                 Some(at) if at <= now => {
-                    let Some(Reverse(one)) = due.0.pop() else { continue };
+                    let Some(Reverse(one)) = queue.0.pop() else { continue };
                     // A gateway that is not there is a link into nowhere.
-                    _ = one.by.send_to(&one.bytes, one.to);
+                    _ = one.socket.send_to(&one.bytes, one.to);
                 }
                 next => {
-                    let wait = next.map_or(LOOKS, |at| Duration::from_secs_f64(at - now).min(LOOKS));
-                    due = self.changed.wait_timeout(due, wait).unwrap().0;
+                    let wait =
+                        next.map_or(POLL_INTERVAL, |at| Duration::from_secs_f64(at - now).min(POLL_INTERVAL));
+                    queue = self.changed.wait_timeout(queue, wait).unwrap().0;
                 }
             }
         }
@@ -102,13 +109,13 @@
     shared: Arc<Shared>,
 }
 
-fn socket() -> io::Result<UdpSocket> {
+fn bind_socket() -> io::Result<UdpSocket> {
     let socket = UdpSocket::bind("127.0.0.1:0")?;
-    socket.set_read_timeout(Some(LOOKS))?;
+    socket.set_read_timeout(Some(POLL_INTERVAL))?;
     Ok(socket)
 }
 
-fn over(e: &io::Error) -> bool {
+fn is_fatal(e: &io::Error) -> bool {
     use io::ErrorKind::{ConnectionRefused, Interrupted, TimedOut, WouldBlock};
     // A closed port at the other end is told as a refusal on the next call; a process that was stopped and goes on has its
     // reads interrupted.
@@ -116,66 +123,67 @@
 }
 
 impl Relay {
-    pub fn start(to: SocketAddr, seed: u64, weather: Weather) -> io::Result<Relay> {
-        let front = Arc::new(socket()?);
-        let address = front.local_addr()?;
+    pub fn start(to: SocketAddr, seed: u64, conditions: LinkConditions) -> io::Result<Relay> {
+        let listener = Arc::new(bind_socket()?);
+        let address = listener.local_addr()?;
         let shared = Arc::new(Shared {
             start: Instant::now(),
-            weather: Mutex::new(weather),
-            lanes: Mutex::new((Default::default(), Pcg64Mcg::seed_from_u64(seed))),
-            due: Mutex::default(),
+            conditions: Mutex::new(conditions),
+            directions: Mutex::new((Default::default(), Pcg64Mcg::seed_from_u64(seed))),
+            queue: Mutex::default(),
             changed: Condvar::new(),
-            ends: AtomicBool::new(false),
+            stopping: AtomicBool::new(false),
         });
-        let sends = Arc::clone(&shared);
-        thread::spawn(move || sends.send());
-        let reads = Arc::clone(&shared);
+        let sender = Arc::clone(&shared);
+        thread::spawn(move || sender.send());
+        let receiver = Arc::clone(&shared);
         thread::spawn(move || {
-            let (mut bytes, mut backs) = (vec![0; 65_536], BTreeMap::<SocketAddr, Arc<UdpSocket>>::new());
-            while !reads.ends.load(Ordering::Relaxed) {
-                let (n, from) = match front.recv_from(&mut bytes) {
+            let (mut bytes, mut return_sockets) =
+                (vec![0; 65_536], BTreeMap::<SocketAddr, Arc<UdpSocket>>::new());
+            while !receiver.stopping.load(Ordering::Relaxed) {
+                let (n, from) = match listener.recv_from(&mut bytes) {
                     Ok(got) => got,
-                    Err(e) if over(&e) => return,
+                    Err(e) if is_fatal(&e) => return,
                     Err(_) => continue,
                 };
-                if !backs.contains_key(&from) {
-                    let Ok(back) = socket() else { continue };
-                    if backs.len() >= MOST_SENDERS {
-                        backs.pop_first();
+                if !return_sockets.contains_key(&from) {
+                    let Ok(return_socket) = bind_socket() else { continue };
+                    if return_sockets.len() >= MAX_SENDERS {
+                        return_sockets.pop_first();
                     }
-                    let back = Arc::new(back);
-                    backs.insert(from, Arc::clone(&back));
-                    let (shared, front) = (Arc::clone(&reads), Arc::clone(&front));
+                    let return_socket = Arc::new(return_socket);
+                    return_sockets.insert(from, Arc::clone(&return_socket));
+                    let (shared, listener) = (Arc::clone(&receiver), Arc::clone(&listener));
                     thread::spawn(move || {
                         let mut bytes = vec![0; 65_536];
-                        while !shared.ends.load(Ordering::Relaxed) {
-                            match back.recv_from(&mut bytes) {
-                                Ok((n, _)) => shared.pass(1, &bytes[..n], &front, from),
-                                Err(e) if over(&e) => return,
+                        while !shared.stopping.load(Ordering::Relaxed) {
+                            match return_socket.recv_from(&mut bytes) {
+                                Ok((n, _)) => shared.schedule(1, &bytes[..n], &listener, from),
+                                Err(e) if is_fatal(&e) => return,
                                 Err(_) => {}
                             }
                         }
                     });
                 }
-                reads.pass(0, &bytes[..n], &backs[&from], to);
+                receiver.schedule(0, &bytes[..n], &return_sockets[&from], to);
             }
         });
         Ok(Relay { address, shared })
     }
 
-    pub fn set(&self, change: impl FnOnce(&mut Weather)) {
-        change(&mut self.shared.weather.lock().unwrap());
+    pub fn set_conditions(&self, change: impl FnOnce(&mut LinkConditions)) {
+        change(&mut self.shared.conditions.lock().unwrap());
     }
 
     /// Datagrams that were passed and lost, there and back.
     pub fn counts(&self) -> [(u64, u64); 2] {
-        let lanes = self.shared.lanes.lock().unwrap();
-        [0, 1].map(|way| (lanes.0[way].passed, lanes.0[way].lost))
+        let directions = self.shared.directions.lock().unwrap();
+        [0, 1].map(|direction| (directions.0[direction].passed, directions.0[direction].lost))
     }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.shared.ends.store(true, Ordering::Relaxed);
+        self.shared.stopping.store(true, Ordering::Relaxed);
     }
 }
--- a/rig/src/report.rs
+++ b/rig/src/report.rs
@@ -11,9 +11,9 @@
     pub name: &'static str,
     pub importance: f64,
     /// Seconds; the first grows by the second for each second of the txn's own sending time.
-    pub sla: f64,
+    pub sla_s: f64,
     pub stretch: f64,
-    pub limit: f64,
+    pub limit_s: f64,
     pub write: bool,
 }
 
@@ -26,15 +26,15 @@
     Unanswered,
 }
 
-struct Count {
+struct RuleCounts {
     asked: u64,
     in_time: u64,
     late: u64,
     rejected: u64,
     aborted: u64,
     unanswered: u64,
-    took: Histogram<u64>,
-    told_off: Histogram<u64>,
+    latency: Histogram<u64>,
+    refusal_time: Histogram<u64>,
 }
 
 /// Microseconds; the longest is well above any time limit.
@@ -43,14 +43,14 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, Serialize, PartialEq)]
-pub struct Second {
+pub struct SecondTotals {
     pub asked: f64,
     pub served: f64,
 }
 
 /// Each has to stay 0.
 #[derive(Clone, Debug, Default, Serialize, PartialEq)]
-pub struct Broken {
+pub struct Violations {
     pub ran_twice: u64,
     pub ran_though_rejected: u64,
     pub served_though_never_run: u64,
@@ -61,12 +61,12 @@
     pub damaged: u64,
 }
 
-impl Broken {
+impl Violations {
     pub fn any(&self) -> bool {
-        *self != Broken::default()
+        *self != Violations::default()
     }
 
-    fn all(&self) -> [(&'static str, u64); 8] {
+    fn rows(&self) -> [(&'static str, u64); 8] {
         [
             ("book run twice", self.ran_twice),
             ("book run though rejected", self.ran_though_rejected),
@@ -82,51 +82,51 @@
 
 pub struct Report {
     rules: Vec<Rule>,
-    counts: Vec<Count>,
-    seconds: Vec<Second>,
+    counts: Vec<RuleCounts>,
+    seconds: Vec<SecondTotals>,
     /// Ends of writes, by the client's id.
     writes: BTreeMap<u64, End>,
-    pub broken: Broken,
+    pub violations: Violations,
     pub bytes: u64,
     /// The first txns without an answer at their limit: when they were asked, their rule, and how long that took.
-    over: Vec<(f64, &'static str, f64)>,
+    over_limit: Vec<(f64, &'static str, f64)>,
 }
 
 /// So many of those are named.
-const MOST_NAMED: usize = 200;
+const MAX_OVER_LIMIT: usize = 200;
 
 impl Report {
     pub fn new(rules: &[Rule]) -> Report {
-        let count = |_: &Rule| Count {
+        let count = |_: &Rule| RuleCounts {
             asked: 0,
             in_time: 0,
             late: 0,
             rejected: 0,
             aborted: 0,
             unanswered: 0,
-            took: histogram(),
-            told_off: histogram(),
+            latency: histogram(),
+            refusal_time: histogram(),
         };
         Report {
             rules: rules.to_vec(),
             counts: rules.iter().map(count).collect(),
             seconds: Vec::new(),
             writes: BTreeMap::new(),
-            broken: Broken::default(),
+            violations: Violations::default(),
             bytes: 0,
-            over: Vec::new(),
+            over_limit: Vec::new(),
         }
     }
 
     /// A txn asked at a second of the run, its end, and how long that took from its last byte. `sla` in seconds.
-    pub fn ended(&mut self, rule: usize, trace: u64, at: f64, sla: f64, end: End, took: f64) {
+    pub fn record_end(&mut self, rule: usize, trace: u64, at: f64, sla_s: f64, end: End, latency: f64) {
         let (r, count) = (self.rules[rule], &mut self.counts[rule]);
-        if took > r.limit && self.over.len() < MOST_NAMED {
-            self.over.push((at, r.name, took));
+        if latency > r.limit_s && self.over_limit.len() < MAX_OVER_LIMIT {
+            self.over_limit.push((at, r.name, latency));
         }
         count.asked += 1;
-        let micros = ((took * 1e6) as u64).clamp(1, 120_000_000);
-        let in_time = end == End::Served && took <= sla;
+        let micros = ((latency * 1e6) as u64).clamp(1, 120_000_000);
+        let in_time = end == End::Served && latency <= sla_s;
         match end {
             End::Served if in_time => count.in_time += 1,
             End::Served => count.late += 1,
@@ -134,13 +134,13 @@
             End::Aborted => count.aborted += 1,
             End::Unanswered => {
                 count.unanswered += 1;
-                self.broken.unanswered += 1;
+                self.violations.unanswered += 1;
             }
         }
         // Both lie within the bounds.
         match end {
-            End::Served => count.took.saturating_record(micros),
-            End::Rejected | End::Aborted => count.told_off.saturating_record(micros),
+            End::Served => count.latency.saturating_record(micros),
+            End::Rejected | End::Aborted => count.refusal_time.saturating_record(micros),
             End::Unanswered => {}
         }
         if r.write {
@@ -148,31 +148,31 @@
         }
         let second = at.max(0.0) as usize;
         if self.seconds.len() <= second {
-            self.seconds.resize(second + 1, Second::default());
+            self.seconds.resize(second + 1, SecondTotals::default());
         }
         self.seconds[second].asked += r.importance;
         self.seconds[second].served += if in_time { r.importance } else { 0.0 };
     }
 
     /// How often each write ran, as the central store counted it.
-    pub fn ran(&mut self, counted: &BTreeMap<u64, u32>) {
-        self.broken.ran_twice = counted.values().filter(|n| **n > 1).count() as u64;
-        let ran = |trace: &u64| counted.contains_key(trace);
+    pub fn record_executions(&mut self, counted: &BTreeMap<u64, u32>) {
+        self.violations.ran_twice = counted.values().filter(|n| **n > 1).count() as u64;
+        let executed = |trace: &u64| counted.contains_key(trace);
         for (trace, end) in &self.writes {
-            self.broken.ran_though_rejected += u64::from(*end == End::Rejected && ran(trace));
-            self.broken.served_though_never_run += u64::from(*end == End::Served && !ran(trace));
+            self.violations.ran_though_rejected += u64::from(*end == End::Rejected && executed(trace));
+            self.violations.served_though_never_run += u64::from(*end == End::Served && !executed(trace));
         }
     }
 
     /// The share of importance served in time, of what was asked from one second to another.
     pub fn share(&self, from: usize, to: usize) -> f64 {
         let part = &self.seconds[from.min(self.seconds.len())..to.min(self.seconds.len())];
-        let sum = |of: fn(&Second) -> f64| part.iter().map(of).sum::<f64>();
+        let sum = |of: fn(&SecondTotals) -> f64| part.iter().map(of).sum::<f64>();
         sum(|s| s.served) / sum(|s| s.asked).max(1e-9)
     }
 
     /// Seconds after `from` until the share over three of them is `part` of `before`; `None` if it never is.
-    pub fn back_after(&self, from: usize, before: f64, part: f64) -> Option<usize> {
+    pub fn recovery_s(&self, from: usize, before: f64, part: f64) -> Option<usize> {
         (from..self.seconds.len().saturating_sub(3))
             .find(|&s| self.share(s, s + 3) >= before * part)
             .map(|s| s - from)
@@ -186,17 +186,17 @@
         json!({
             "rule": r.name, "asked": c.asked, "in_time": c.in_time, "late": c.late, "rejected": c.rejected,
             "aborted": c.aborted, "unanswered": c.unanswered,
-            "p50_ms": ms(&c.took, 0.5), "p90_ms": ms(&c.took, 0.9), "p99_ms": ms(&c.took, 0.99),
-            "told_off_p50_ms": ms(&c.told_off, 0.5), "told_off_p99_ms": ms(&c.told_off, 0.99),
+            "p50_ms": ms(&c.latency, 0.5), "p90_ms": ms(&c.latency, 0.9), "p99_ms": ms(&c.latency, 0.99),
+            "told_off_p50_ms": ms(&c.refusal_time, 0.5), "told_off_p99_ms": ms(&c.refusal_time, 0.99),
         })
     }
 
     pub fn json(&self) -> Value {
         let rules: Vec<Value> = (0..self.rules.len()).map(|i| self.row(i)).collect();
         json!({
-            "rules": rules, "broken": self.broken, "served_in_time": self.share(0, self.seconds.len()),
+            "rules": rules, "broken": self.violations, "served_in_time": self.share(0, self.seconds.len()),
             "goodput_kb_per_s": self.bytes as f64 / 1024.0 / (self.seconds.len().max(1) as f64),
-            "seconds": self.seconds, "over_their_limit": self.over,
+            "seconds": self.seconds, "over_their_limit": self.over_limit,
         })
     }
 
@@ -227,7 +227,7 @@
         let (share, rate) = (self.share(0, self.seconds.len()), self.bytes as f64 / 1024.0);
         let rate = rate / self.seconds.len().max(1) as f64;
         out.push_str(&format!("importance served in time {share:.3}, {rate:.0} KB/s\n"));
-        for (what, n) in self.broken.all() {
+        for (what, n) in self.violations.rows() {
             out.push_str(&format!("{:30} {n}{}\n", what, if n > 0 { "  BROKEN" } else { "" }));
         }
         out
@@ -239,23 +239,23 @@
     use super::*;
 
     const RULES: [Rule; 2] = [
-        Rule { name: "media", importance: 2.0, sla: 0.5, stretch: 1.0, limit: 6.0, write: false },
-        Rule { name: "book", importance: 3.0, sla: 0.8, stretch: 0.0, limit: 3.0, write: true },
+        Rule { name: "media", importance: 2.0, sla_s: 0.5, stretch: 1.0, limit_s: 6.0, write: false },
+        Rule { name: "book", importance: 3.0, sla_s: 0.8, stretch: 0.0, limit_s: 3.0, write: true },
     ];
 
     #[test]
     fn each_rule_that_is_broken_is_seen() {
         let mut report = Report::new(&RULES);
         for (trace, end) in [(1, End::Served), (2, End::Rejected), (3, End::Aborted), (4, End::Served)] {
-            report.ended(1, trace, 0.5, 0.8, end, 0.1);
+            report.record_end(1, trace, 0.5, 0.8, end, 0.1);
         }
-        report.ran(&BTreeMap::from([(1, 1), (3, 1), (4, 1)]));
-        assert!(!report.broken.any());
-        report.ran(&BTreeMap::from([(1, 2), (2, 1)]));
-        let b = &report.broken;
+        report.record_executions(&BTreeMap::from([(1, 1), (3, 1), (4, 1)]));
+        assert!(!report.violations.any());
+        report.record_executions(&BTreeMap::from([(1, 2), (2, 1)]));
+        let b = &report.violations;
         assert_eq!((b.ran_twice, b.ran_though_rejected, b.served_though_never_run), (1, 1, 1));
-        report.ended(0, 5, 0.5, 0.5, End::Unanswered, 6.1);
-        assert_eq!(report.broken.unanswered, 1);
+        report.record_end(0, 5, 0.5, 0.5, End::Unanswered, 6.1);
+        assert_eq!(report.violations.unanswered, 1);
         assert_eq!(report.table().matches("BROKEN").count(), 4);
     }
 
@@ -265,12 +265,12 @@
         for second in 0..10 {
             let at = f64::from(second);
             let gone = (3..6).contains(&second);
-            report.ended(0, 0, at, 0.5, if gone { End::Rejected } else { End::Served }, 0.4);
-            report.ended(1, second as u64, at, 0.8, End::Served, if second == 9 { 0.9 } else { 0.2 });
+            report.record_end(0, 0, at, 0.5, if gone { End::Rejected } else { End::Served }, 0.4);
+            report.record_end(1, second as u64, at, 0.8, End::Served, if second == 9 { 0.9 } else { 0.2 });
         }
         assert!((report.share(0, 3) - 1.0).abs() < 1e-9 && (report.share(3, 6) - 0.6).abs() < 1e-9);
         assert!((report.share(9, 10) - 0.4).abs() < 1e-9);
-        assert_eq!(report.back_after(3, 1.0, 0.95), Some(3));
+        assert_eq!(report.recovery_s(3, 1.0, 0.95), Some(3));
         let rows = report.json();
         assert_eq!(
             (rows["rules"][0]["rejected"].as_u64(), rows["rules"][1]["late"].as_u64()),
--- a/rig/src/switch.rs
+++ b/rig/src/switch.rs
@@ -2,7 +2,7 @@
 //! comes to it goes on to the gateway itself after what the weather and the cuts do to it. Must never send anywhere but
 //! on loopback, nor hold more than its bound.
 
-use crate::lane::{Lane, Weather};
+use crate::link_emulator::{LinkConditions, LinkDirection};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
@@ -15,56 +15,56 @@
 use std::time::{Duration, Instant};
 
 /// Datagrams under way; beyond that, new ones are lost.
-const MOST: usize = 262_144;
-const LOOKS: Duration = Duration::from_millis(200);
+const MAX_IN_FLIGHT: usize = 262_144;
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The part of loopback that a run uses, 0 to 30: the next one for each run of a process, from `KELPCART_RIG_NET` on, so
 /// that runs side by side can be set apart and one that still ends does not stand in the way of the next.
-static NET: AtomicU8 = AtomicU8::new(u8::MAX);
+static SUBNET: AtomicU8 = AtomicU8::new(u8::MAX);
 
-pub fn next_net() {
+pub fn next_subnet() {
     let first = || std::env::var("KELPCART_RIG_NET").ok().and_then(|n| n.parse::<u8>().ok()).unwrap_or(0);
     let next = |n: u8| if n == u8::MAX { first() } else { n + 1 };
     // Runs of one process follow one another.
-    NET.store(next(NET.load(Ordering::SeqCst)) % 31, Ordering::SeqCst);
+    SUBNET.store(next(SUBNET.load(Ordering::SeqCst)) % 31, Ordering::SeqCst);
 }
 
-fn net(part: u8) -> u8 {
-    NET.load(Ordering::SeqCst).min(30) * 7 + 20 + part
+fn subnet(part: u8) -> u8 {
+    SUBNET.load(Ordering::SeqCst).min(30) * 7 + 20 + part
 }
 
 /// Address `i` of one of the parts of a run.
 pub fn address(part: u8, i: usize, port: u16) -> SocketAddr {
-    SocketAddr::from(([127, net(part), (i / 200) as u8, (i % 200) as u8 + 1], port))
+    SocketAddr::from(([127, subnet(part), (i / 200) as u8, (i % 200) as u8 + 1], port))
 }
 
 /// Where gateway `i` of a fleet binds, and where the others believe it to be.
-pub fn own(i: usize) -> SocketAddr {
+pub fn bind_address(i: usize) -> SocketAddr {
     address(0, i, 7_600)
 }
 
-pub fn reached(i: usize) -> SocketAddr {
+pub fn advertised_address(i: usize) -> SocketAddr {
     address(1, i, 7_600)
 }
 
 #[derive(Default)]
 struct State {
-    lanes: BTreeMap<(usize, usize), Lane>,
+    links: BTreeMap<(usize, usize), LinkDirection>,
     /// From one to another, one way.
-    cuts: BTreeSet<(usize, usize)>,
-    weather: Weather,
+    blocked: BTreeSet<(usize, usize)>,
+    conditions: LinkConditions,
 }
 
 /// When, its number, from, to, and what.
-type Under = Reverse<(u64, u64, usize, usize, Vec<u8>)>;
+type InFlight = Reverse<(u64, u64, usize, usize, Vec<u8>)>;
 
 struct Shared {
     start: Instant,
     sockets: Vec<UdpSocket>,
     state: Mutex<(State, Pcg64Mcg)>,
-    due: Mutex<(BinaryHeap<Under>, u64)>,
+    queue: Mutex<(BinaryHeap<InFlight>, u64)>,
     changed: Condvar,
-    ends: AtomicBool,
+    stopping: AtomicBool,
     passed: AtomicU64,
     bytes: AtomicU64,
 }
@@ -74,48 +74,48 @@
 }
 
 impl Switch {
-    pub fn start(n: usize, seed: u64, weather: Weather) -> io::Result<Switch> {
+    pub fn start(n: usize, seed: u64, conditions: LinkConditions) -> io::Result<Switch> {
         let sockets = (0..n)
             .map(|i| {
-                let socket = UdpSocket::bind(reached(i))?;
-                socket.set_read_timeout(Some(LOOKS))?;
+                let socket = UdpSocket::bind(advertised_address(i))?;
+                socket.set_read_timeout(Some(POLL_INTERVAL))?;
                 Ok(socket)
             })
             .collect::<io::Result<Vec<_>>>()?;
-        let state = State { weather, ..State::default() };
+        let state = State { conditions, ..State::default() };
         let shared = Arc::new(Shared {
             start: Instant::now(),
             sockets,
             state: Mutex::new((state, Pcg64Mcg::seed_from_u64(seed))),
-            due: Mutex::default(),
+            queue: Mutex::default(),
             changed: Condvar::new(),
-            ends: AtomicBool::new(false),
+            stopping: AtomicBool::new(false),
             passed: AtomicU64::new(0),
             bytes: AtomicU64::new(0),
         });
-        let sends = Arc::clone(&shared);
-        thread::spawn(move || sends.send());
+        let sender = Arc::clone(&shared);
+        thread::spawn(move || sender.send());
         for i in 0..n {
-            let reads = Arc::clone(&shared);
-            thread::Builder::new().stack_size(128 * 1024).spawn(move || reads.read(i))?;
+            let receiver = Arc::clone(&shared);
+            thread::Builder::new().stack_size(128 * 1024).spawn(move || receiver.read(i))?;
         }
         Ok(Switch { shared })
     }
 
-    pub fn weather(&self, change: impl FnOnce(&mut Weather)) {
-        change(&mut self.shared.state.lock().unwrap().0.weather);
+    pub fn set_conditions(&self, change: impl FnOnce(&mut LinkConditions)) {
+        change(&mut self.shared.state.lock().unwrap().0.conditions);
     }
 
     /// Cuts, or mends, what goes from one to another for which `of` says so.
-    pub fn cut(&self, is: bool, of: impl Fn(usize, usize) -> bool) {
+    pub fn set_blocked(&self, blocked: bool, matches: impl Fn(usize, usize) -> bool) {
         let n = self.shared.sockets.len();
         let mut state = self.shared.state.lock().unwrap();
         for from in 0..n {
-            for to in (0..n).filter(|&to| to != from && of(from, to)) {
-                if is {
-                    state.0.cuts.insert((from, to));
+            for to in (0..n).filter(|&to| to != from && matches(from, to)) {
+                if blocked {
+                    state.0.blocked.insert((from, to));
                 } else {
-                    state.0.cuts.remove(&(from, to));
+                    state.0.blocked.remove(&(from, to));
                 }
             }
         }
@@ -131,51 +131,52 @@
     /// What came to the address of `to`.
     fn read(&self, to: usize) {
         let mut bytes = vec![0; 2_048];
-        while !self.ends.load(Ordering::Relaxed) {
+        while !self.stopping.load(Ordering::Relaxed) {
             let Ok((n, from)) = self.sockets[to].recv_from(&mut bytes) else { continue };
             let SocketAddr::V4(from) = from else { continue };
             let [_, b, c, d] = from.ip().octets();
             let from = usize::from(c) * 200 + usize::from(d).wrapping_sub(1);
-            if b != net(0) || from >= self.sockets.len() {
+            if b != subnet(0) || from >= self.sockets.len() {
                 continue;
             }
             let now = self.start.elapsed().as_secs_f64();
             let times = {
                 let mut state = self.state.lock().unwrap();
                 let (state, rng) = &mut *state;
-                if state.cuts.contains(&(from, to)) {
+                if state.blocked.contains(&(from, to)) {
                     continue;
                 }
-                let weather = state.weather;
-                state.lanes.entry((from, to)).or_default().pass(now, n, 0, &weather, rng)
+                let conditions = state.conditions;
+                state.links.entry((from, to)).or_default().arrivals(now, n, 0, &conditions, rng)
             };
-            let mut due = self.due.lock().unwrap();
-            for at in times.into_iter().take(MOST.saturating_sub(due.0.len())) {
-                due.1 += 1;
-                let no = due.1;
-                due.0.push(Reverse(((at * 1e6) as u64, no, from, to, bytes[..n].to_vec())));
+            let mut queue = self.queue.lock().unwrap();
+            for at in times.into_iter().take(MAX_IN_FLIGHT.saturating_sub(queue.0.len())) {
+                queue.1 += 1;
+                let no = queue.1;
+                queue.0.push(Reverse(((at * 1e6) as u64, no, from, to, bytes[..n].to_vec())));
             }
             self.changed.notify_one();
         }
     }
 
     fn send(&self) {
-        let mut due = self.due.lock().unwrap();
-        while !self.ends.load(Ordering::Relaxed) {
+        let mut queue = self.queue.lock().unwrap();
+        while !self.stopping.load(Ordering::Relaxed) {
             let now = self.start.elapsed().as_micros() as u64;
-            match due.0.peek().map(|Reverse(d)| d.0) {
+            match queue.0.peek().map(|Reverse(d)| d.0) {
                 Some(at) if at <= now => {
-                    let Some(Reverse((_, _, from, to, bytes))) = due.0.pop() else { continue };
-                    drop(due);
+                    let Some(Reverse((_, _, from, to, bytes))) = queue.0.pop() else { continue };
+                    drop(queue);
                     // A gateway that is not there is an address at which nobody subscriber.
-                    _ = self.sockets[from].send_to(&bytes, own(to));
+                    _ = self.sockets[from].send_to(&bytes, bind_address(to));
                     self.passed.fetch_add(1, Ordering::Relaxed);
                     self.bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
-                    due = self.due.lock().unwrap();
+                    queue = self.queue.lock().unwrap();
                 }
                 next => {
-                    let wait = next.map_or(LOOKS, |at| Duration::from_micros(at - now).min(LOOKS));
-                    due = self.changed.wait_timeout(due, wait).unwrap().0;
+                    let wait =
+                        next.map_or(POLL_INTERVAL, |at| Duration::from_micros(at - now).min(POLL_INTERVAL));
+                    queue = self.changed.wait_timeout(queue, wait).unwrap().0;
                 }
             }
         }
@@ -184,7 +185,7 @@
 
 impl Drop for Switch {
     fn drop(&mut self) {
-        self.shared.ends.store(true, Ordering::Relaxed);
+        self.shared.stopping.store(true, Ordering::Relaxed);
         self.shared.changed.notify_all();
     }
 }
--- a/rig/tests/relay.rs
+++ b/rig/tests/relay.rs
@@ -1,6 +1,6 @@
 //! The stand-in for a link outlives what happens to its own process. Alone in its file, since it stops that process.
 
-use kelpcart_rig::lane::Weather;
+use kelpcart_rig::link_emulator::LinkConditions;
 use kelpcart_rig::relay::Relay;
 use std::net::UdpSocket;
 use std::process::Command;
@@ -10,7 +10,7 @@
 #[test]
 fn a_link_goes_on_after_its_process_was_stopped() {
     let far = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let relay = Relay::start(far.local_addr().unwrap(), 1, Weather::default()).unwrap();
+    let relay = Relay::start(far.local_addr().unwrap(), 1, LinkConditions::default()).unwrap();
     let near = UdpSocket::bind("127.0.0.1:0").unwrap();
     let patience = Some(Duration::from_secs(5));
     [&far, &near].iter().for_each(|s| s.set_read_timeout(patience).unwrap());
--- a/scale/src/ladders/data_path.rs
+++ b/scale/src/ladders/data_path.rs
@@ -4,9 +4,9 @@
 
 use crate::ladders::module::{Head, point};
 use crate::slopes::{Host, Ladder, Point};
-use kelpcart_rig::bulletin::Bulletin;
-use kelpcart_rig::caches::{MOST_BODY, Place, Site, Times, unix_ms};
-use kelpcart_rig::client::{self, Ask, Word};
+use kelpcart_rig::caches::{CacheEndpoint, Latencies, MAX_BODY_BYTES, Site, unix_ms};
+use kelpcart_rig::client::{self, Request, Status};
+use kelpcart_rig::discovery::DiscoveryServer;
 use kelpcart_rig::fleet::{self, Gateway, Node};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -30,8 +30,11 @@
 const CLIENT_LIMIT_MS: u64 = 3_000;
 /// Answers are still waited for so long after the last request.
 const LAST: Duration = Duration::from_millis(500);
-const TIMES: Times =
-    Times { hit: Duration::from_millis(2), fill: Duration::from_millis(2), origin: Duration::from_millis(5) };
+const TIMES: Latencies = Latencies {
+    hit: Duration::from_millis(2),
+    fill: Duration::from_millis(2),
+    origin: Duration::from_millis(5),
+};
 /// A rate is carried where nearly all is served, nearly all of that by then.
 const SERVED: f64 = 0.99;
 const IN_TIME_MS: f64 = 100.0;
@@ -47,7 +50,7 @@
     #[error("{0}")]
     Io(#[from] io::Error),
     #[error("{0}")]
-    Gateway(#[from] fleet::Failed),
+    Gateway(#[from] fleet::StartError),
 }
 
 /// An object's size stands in its number.
@@ -56,7 +59,7 @@
 }
 
 fn len(object: u64) -> usize {
-    ((object >> 32) as usize * 1_024).min(MOST_BODY)
+    ((object >> 32) as usize * 1_024).min(MAX_BODY_BYTES)
 }
 
 /// The program beside this one, or one folder up, where tests run.
@@ -83,14 +86,14 @@
         let site = Site::new(TIMES, len);
         let kinds = (0..CACHES).map(|i| (format!("cache-{i}"), "box"));
         let kinds = kinds.chain([("parent".to_owned(), "parent"), ("origin".to_owned(), "origin")]);
-        let places: Vec<Place> =
-            kinds.map(|(name, kind)| site.place(&name, kind)).collect::<io::Result<_>>()?;
-        let bulletin = Bulletin::start(1)?;
+        let endpoints: Vec<CacheEndpoint> =
+            kinds.map(|(name, kind)| site.start_member(&name, kind)).collect::<io::Result<_>>()?;
+        let bulletin = DiscoveryServer::start(1)?;
         let node = Node {
             name: "gateway",
             zone: "here",
-            bulletin: bulletin.address,
-            places: &places,
+            discovery: bulletin.address,
+            endpoints: &endpoints,
             memory_mb: 256,
             seed,
         };
@@ -99,8 +102,8 @@
             config.pointer_mut("/known/items/0/roster/endpoints").and_then(|l| l.as_array_mut())
         {
             // Listed, and of another zone: nothing is sent there.
-            let of = places[0].address;
-            let other = |i: usize| Place { name: format!("other-{i}"), kind: "box", address: of };
+            let of = endpoints[0].address;
+            let other = |i: usize| CacheEndpoint { name: format!("other-{i}"), kind: "box", address: of };
             list.extend((0..ELSEWHERE).map(|i| fleet::endpoint(&other(i), "elsewhere", "up")));
         }
         config["limits"]["sockets"] = json!(1_024);
@@ -125,7 +128,7 @@
 impl Drop for Stand {
     fn drop(&mut self) {
         self.gateway.kill();
-        self.site.end();
+        self.site.stop();
         self.ends.store(true, Ordering::Relaxed);
         // Neither is of use to anyone once the run is over.
         _ = self.purger.take().map(thread::JoinHandle::join);
@@ -240,8 +243,8 @@
         let object = object(load.kb, rng.random_range(0..OBJECTS));
         let trace = rng.random();
         let (rule, body, need_kb) = ("media", &[][..], load.kb as f64);
-        let ask = Ask { id, rule, trace, object, timeout_ms: CLIENT_LIMIT_MS, need_kb, body };
-        stream.write_all(&client::request(&ask))?;
+        let ask = Request { id, rule, trace, object, timeout_ms: CLIENT_LIMIT_MS, need_kb, body };
+        stream.write_all(&client::encode_request(&ask))?;
     }
     Ok(late)
 }
@@ -262,10 +265,12 @@
             Err(e) => return Err(e),
         };
         used.end += n;
-        while let Some((answer, n)) = client::answer(&held[used.clone()]).map_err(io::Error::other)? {
+        while let Some((answer, n)) =
+            client::decode_response(&held[used.clone()]).map_err(io::Error::other)?
+        {
             used.start += n;
             let due = load.due(answer.id as u32);
-            let whole = answer.word == Word::Served && answer.body.len() == len(object(load.kb, 0));
+            let whole = answer.status == Status::Served && answer.body.len() == len(object(load.kb, 0));
             if due < load.warm {
                 continue;
             } else if whole {
@@ -296,10 +301,11 @@
     }
     thread::sleep(load.warm.saturating_sub(began.elapsed()));
     let (own, waited_before) = (std::process::id(), waited(stand.gateway.id()));
-    let (before, own_before, since) = (stand.gateway.used(), fleet::used(own), began.elapsed());
+    let (before, own_before, since) =
+        (stand.gateway.resource_usage(), fleet::resource_usage(own), began.elapsed());
     thread::sleep((load.warm + load.lasts).saturating_sub(began.elapsed()));
     let (after, own_after, took) =
-        (stand.gateway.used(), fleet::used(own), (began.elapsed() - since).as_secs_f64());
+        (stand.gateway.resource_usage(), fleet::resource_usage(own), (began.elapsed() - since).as_secs_f64());
     let (mut late, mut delays, mut refused) = (Duration::ZERO, Vec::new(), 0);
     for (sends, hears) in threads {
         let gone = |_| io::Error::other("a thread of the clients has ended");
--- a/scale/src/loopback.rs
+++ b/scale/src/loopback.rs
@@ -13,7 +13,7 @@
 use kelpcart_feed::Feed;
 use kelpcart_fleet::node::Node;
 use kelpcart_fleet::settings::Fleet;
-use kelpcart_rig::bulletin::Bulletin;
+use kelpcart_rig::discovery::DiscoveryServer;
 use kelpcart_rig::fleet::{self, Process};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -269,7 +269,7 @@
 }
 
 struct Installation {
-    lists: Vec<Bulletin>,
+    lists: Vec<DiscoveryServer>,
     hubs: Vec<Process>,
     real: Vec<Process>,
     hollow: Vec<Child>,
@@ -289,7 +289,7 @@
 impl Installation {
     fn start(o: &Options, n: usize, net: u8) -> Result<Installation, Failed> {
         let place = |i: usize| SocketAddr::from(([127, net, (i / 200) as u8, (i % 200) as u8 + 1], 7_800));
-        let lists = (0..STREAMS).map(|_| Bulletin::start(1)).collect::<io::Result<Vec<_>>>()?;
+        let lists = (0..STREAMS).map(|_| DiscoveryServer::start(1)).collect::<io::Result<Vec<_>>>()?;
         let sites = n.div_ceil(SITE);
         let hubs: Vec<Value> = (0..HUBS)
             .map(|h| {
@@ -322,8 +322,8 @@
             let node = fleet::Node {
                 name,
                 zone: "hub",
-                bulletin: made.lists[0].address,
-                places: &[],
+                discovery: made.lists[0].address,
+                endpoints: &[],
                 memory_mb: 64,
                 seed: o.seed,
             };
@@ -378,7 +378,9 @@
     fn is_done(&self) -> bool {
         let done = |c: &BTreeMap<String, f64>| {
             let mut all = self.lists.iter().enumerate();
-            all.all(|(s, l)| c.get(&format!("fleet feed done everywhere {s}")) == Some(&(l.last() as f64)))
+            all.all(|(s, l)| {
+                c.get(&format!("fleet feed done everywhere {s}")) == Some(&(l.last_event_no() as f64))
+            })
         };
         self.hubs.iter().any(|h| done(&self.counters(h)))
     }
@@ -431,8 +433,8 @@
     all.wait_done("at the end")?;
     for r in &all.real {
         let c = all.counters(r);
-        let at = |(s, l): (usize, &Bulletin)| {
-            c.get(&format!("fleet feed position {s}")) == Some(&(l.last() as f64))
+        let at = |(s, l): (usize, &DiscoveryServer)| {
+            c.get(&format!("fleet feed position {s}")) == Some(&(l.last_event_no() as f64))
         };
         if !all.lists.iter().enumerate().all(at) {
             return Err(Failed::NotDone(format!("a real gateway is not at the last numbers: {}", r.log())));
@@ -446,7 +448,7 @@
         BufReader::new(output).read_line(&mut line)?;
         said.extend(serde_json::from_str::<Vec<Said>>(&line)?);
     }
-    let lasts: Vec<u64> = all.lists.iter().map(Bulletin::last).collect();
+    let lasts: Vec<u64> = all.lists.iter().map(DiscoveryServer::last_event_no).collect();
     let wrong = said.iter().find(|s| s.positions != lasts || s.missing > 0);
     let told = wrong.map_or(Ok(()), |s| {
         Err(format!("{} is at {:?} of {lasts:?}, {} purges were not done", s.name, s.positions, s.missing))
