--- a/gateway/tests/common/mod.rs
+++ b/gateway/tests/common/mod.rs
@@ -85,7 +85,7 @@
     /// moment and the first tries rejected: those have not run.
     pub fn held_book(&mut self, site: &Site) -> u64 {
         site.block_writes(true);
-        let (began, before) = (Instant::now(), site.writes_started());
+        let (began, before) = (Instant::now(), site.writes_executed());
         loop {
             let trace = self.ask("book", 77);
             while !site.wait_for_writes(before + 1, Duration::from_millis(20)) {
--- a/rig/src/cache_tier.rs
+++ b/rig/src/cache_tier.rs
@@ -111,7 +111,7 @@
         let mut endpoints = Vec::new();
         for (i, (name, kind)) in members.iter().enumerate() {
             let listener = Async::<TcpListener>::bind(address(i))?;
-            let endpoint = Endpoint { name: name.clone(), kind, address: address(i) };
+            let endpoint = CacheEndpoint { name: name.clone(), kind, address: address(i) };
             endpoints.push(endpoint.clone());
             let (tier, on) = (Arc::clone(&tier), Arc::clone(executor));
             executor
--- a/rig/src/caches.rs
+++ b/rig/src/caches.rs
@@ -92,7 +92,7 @@
     /// Starts a member; it ends with the site.
     pub fn start_member(self: &Arc<Site>, name: &str, kind: &'static str) -> io::Result<CacheEndpoint> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let endpoint = Endpoint { name: name.to_owned(), kind, address: listener.local_addr()? };
+        let endpoint = CacheEndpoint { name: name.to_owned(), kind, address: listener.local_addr()? };
         let (site, of) = (Arc::clone(self), endpoint.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -123,7 +123,7 @@
     }
 
     /// How many writes have run.
-    pub fn writes_started(&self) -> u64 {
+    pub fn writes_executed(&self) -> u64 {
         self.write_gate.lock().unwrap().1
     }
 
