--- a/rig/src/cache_tier.rs
+++ b/rig/src/cache_tier.rs
@@ -1,6 +1,7 @@
-//! The caches, parents and the central store of a fleet as stand-ins that fall over: past their connections, and past the
-//! fills that they bear while they are cold. One that has fallen closes all, refuses for a while and is back empty.
-//! Times are slept, not worked; the store counts how often each object was fetched and each write ran.
+//! Simulated caches, parents and origin of a fleet that fail under overload: beyond their connection limit, and
+//! beyond their limit of concurrent fills while cold. A failed cache closes all connections, refuses new ones for a
+//! while and comes back empty. Service times are slept and use no CPU. The origin counts the fetches of each object
+//! and the executions of each write.
 
 use crate::caches::{CacheEndpoint, MAX_BODY_BYTES, body, unix_ms};
 use crate::switch;
@@ -13,15 +14,16 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
+/// Object number and creation time at the start of each body.
 const HEADER_BYTES: usize = 16;
-/// A purge has come to all caches by then.
+/// All caches have applied a purge this long after it.
 pub const PURGE_APPLIED_MS: u64 = 5_500;
 
-/// What one of them bears.
+/// Load beyond which a cache or parent fails, and how long it stays down.
 #[derive(Clone, Copy, Debug)]
 pub struct Capacity {
     pub connections: usize,
-    /// Fills under way at once while it is cold.
+    /// Limit of concurrent fills while cold.
     pub cold_fills: usize,
     pub cold_for: Duration,
     pub down_for: Duration,
@@ -48,7 +50,7 @@
     open: usize,
     filling: usize,
     copies: BTreeMap<u64, u64>,
-    /// Each fall ends the connections of the life before.
+    /// Incremented by each failure, which closes the connections of earlier generations.
     generation: u64,
     down_until: Option<Instant>,
     cold_since: Option<Instant>,
@@ -58,10 +60,10 @@
 
 struct State {
     caches: BTreeMap<String, Cache>,
-    /// By object: how often the store was asked for it.
+    /// Fetches from the origin by object.
     fetched: BTreeMap<u64, u64>,
     executions: BTreeMap<u64, u32>,
-    /// By object: when it was purged, in order.
+    /// Purge times (Unix ms) by object, ascending.
     purges: BTreeMap<u64, Vec<u64>>,
 }
 
@@ -73,7 +75,7 @@
     failed: event_listener::Event,
 }
 
-/// Counts back when it is dropped.
+/// Applies a change to a cache's counters when dropped.
 struct CountGuard<'a>(&'a CacheTier, &'a str, fn(&mut Cache));
 
 impl Drop for CountGuard<'_> {
@@ -96,7 +98,7 @@
 }
 
 impl CacheTier {
-    /// Members by name and kind, each at an address of its own.
+    /// Starts the members, given by name and kind, each at an address of its own.
     pub fn start(
         executor: &Arc<Executor<'static>>,
         members: &[(String, &'static str)],
@@ -119,7 +121,7 @@
                     loop {
                         let Ok((stream, _)) = listener.accept().await else { return };
                         let (tier, endpoint) = (Arc::clone(&tier), endpoint.clone());
-                        // It ends with the connection.
+                        // The task ends with the connection.
                         on.spawn(async move { _ = tier.serve(&endpoint, stream).await }).detach();
                     }
                 })
@@ -133,7 +135,7 @@
         act(state.caches.entry(name.to_owned()).or_default())
     }
 
-    /// From here on it answers that much later, or with errors.
+    /// From now on the cache answers `slow` later, or with errors if `failing`.
     pub fn set_fault(&self, name: &str, slow: Duration, failing: bool) {
         self.with(name, |c| (c.slow, c.failing) = (slow, failing));
     }
@@ -146,7 +148,7 @@
         self.state.lock().unwrap().caches.iter().map(|(n, c)| (n.clone(), c.counts)).collect()
     }
 
-    /// How often the store was asked for an object that it was asked for at all: mean and most; and how many there are.
+    /// Origin fetches per fetched object: mean, maximum, and the number of such objects.
     pub fn fetches(&self) -> (f64, u64, usize) {
         let state = self.state.lock().unwrap();
         let (n, sum) = (state.fetched.len(), state.fetched.values().sum::<u64>());
@@ -285,7 +287,7 @@
         if !is_origin && source.is_none() {
             return None;
         }
-        // From here on it is a fill, and a cold cache bears only so many.
+        // From here on this is a fill; a cold cache fails beyond its limit of concurrent fills.
         let capacity = self.capacity;
         self.with(&endpoint.name, |c| {
             c.filling += 1;
@@ -326,7 +328,7 @@
         ))
     }
 
-    /// Names of the caches that are down now.
+    /// Names of the caches that are down at the moment.
     pub fn down(&self) -> BTreeSet<String> {
         let state = self.state.lock().unwrap();
         let down = |c: &&Cache| c.down_until.is_some_and(|at| at > Instant::now());
--- a/rig/src/caches.rs
+++ b/rig/src/caches.rs
@@ -1,6 +1,7 @@
-//! A site's caches, its parent and its central store as stand-ins (HTTP/1.1, the platform's fields). They hold copies
-//! by the time at which the store gave them out, heed the oldest copy that will do, and drop what was purged only
-//! seconds later: till then the gateway's word alone keeps an old copy from being served. The store counts how often each write ran.
+//! Simulated caches, parents and origin of a site (HTTP/1.1 with the platform's header fields). Each copy carries the
+//! time at which the origin issued it, and requests can limit a copy's age. Caches drop purged copies only seconds
+//! after the purge, so until then only the gateway's age limit keeps a stale copy from being served. The origin
+//! counts how often each write was executed.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -10,17 +11,18 @@
 use std::thread;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The largest body there is.
+/// Largest body that a member of the site sends.
 pub const MAX_BODY_BYTES: usize = 240_000;
+/// Object number and creation time at the start of each body.
 const HEADER_BYTES: usize = 16;
-/// A purge has come to all caches by then: half a second before the settings say that it has.
+/// All caches have applied a purge this long after it: half a second before the time that the settings state.
 const PURGE_APPLIED_MS: u64 = 5_500;
 
 pub fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// The bytes of an object: its number, when the store gave this copy out, and a filling that tells it from others.
+/// Builds an object's body: its number, the creation time of this copy, and a filling that depends on the object.
 pub fn body(object: u64, born_ms: u64, len: usize) -> Vec<u8> {
     let mut bytes = vec![0; len.max(HEADER_BYTES)];
     bytes[..8].copy_from_slice(&object.to_be_bytes());
@@ -31,7 +33,7 @@
     bytes
 }
 
-/// When a copy was given out; `None` for bytes that are not this object's.
+/// Returns when a copy was created (Unix ms); `None` if the bytes are not this object's.
 pub fn copy_created_ms(object: u64, bytes: &[u8]) -> Option<u64> {
     let (mark, created_ms) = (bytes.get(..8)?, bytes.get(8..HEADER_BYTES)?);
     let filled = bytes.iter().enumerate().skip(HEADER_BYTES).all(|(i, b)| *b == (object as usize + i) as u8);
@@ -39,7 +41,7 @@
     (mark == object.to_be_bytes() && filled).then_some(created_ms)
 }
 
-/// How long things take at the site.
+/// Simulated service times.
 #[derive(Clone, Copy, Debug)]
 pub struct Latencies {
     pub hit: Duration,
@@ -49,15 +51,15 @@
 
 pub struct Site {
     times: Latencies,
-    /// Bytes of an object by its number.
+    /// Body length in bytes for an object number.
     len: fn(u64) -> usize,
-    /// By cache: when its copies were given out.
+    /// Per cache, the creation time of each copy that it holds.
     copies: Mutex<BTreeMap<String, BTreeMap<u64, u64>>>,
-    /// Of objects: copies from before are dropped some time after.
+    /// Purge time of each object; caches drop older copies `PURGE_APPLIED_MS` later.
     pub purges: Mutex<BTreeMap<u64, u64>>,
-    /// How often each write ran, by the client's id for it.
+    /// How often each write was executed, by the client's trace id.
     pub executions: Mutex<BTreeMap<u64, u32>>,
-    /// Whether writes wait before they are answered, and how many have come; changes are told.
+    /// Whether answers to writes are held back, and how many writes were executed; changes notify `changed`.
     write_gate: Mutex<(bool, u64)>,
     changed: Condvar,
     pub requests: AtomicU64,
@@ -65,7 +67,7 @@
     stopping: AtomicBool,
 }
 
-/// A member of the site, as the list names it.
+/// A cache, parent or origin as the discovery service lists it.
 #[derive(Clone, Debug)]
 pub struct CacheEndpoint {
     pub name: String,
@@ -89,25 +91,25 @@
         })
     }
 
-    /// Starts a member; it ends with the site.
+    /// Starts a cache, parent or origin; it stops with the site.
     pub fn start_member(self: &Arc<Site>, name: &str, kind: &'static str) -> io::Result<CacheEndpoint> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let endpoint = CacheEndpoint { name: name.to_owned(), kind, address: listener.local_addr()? };
-        let (site, of) = (Arc::clone(self), endpoint.clone());
+        let (site, member) = (Arc::clone(self), endpoint.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 if site.stopping.load(Ordering::Relaxed) {
                     return;
                 }
-                let (site, of) = (Arc::clone(&site), of.clone());
-                // It ends with the connection.
-                thread::spawn(move || _ = site.serve(&of, stream));
+                let (site, member) = (Arc::clone(&site), member.clone());
+                // The thread ends with the connection.
+                thread::spawn(move || _ = site.serve(&member, stream));
             }
         });
         Ok(endpoint)
     }
 
-    /// From now on writes run, and are not answered until `hold` is called with `false`.
+    /// While blocked, writes are executed but not answered.
     pub fn block_writes(&self, blocked: bool) {
         self.write_gate.lock().unwrap().0 = blocked;
         self.changed.notify_all();
@@ -122,12 +124,12 @@
         }
     }
 
-    /// How many writes have run.
+    /// Number of executed writes.
     pub fn writes_executed(&self) -> u64 {
         self.write_gate.lock().unwrap().1
     }
 
-    /// Waits until so many writes have run; `false` if they don't within the time.
+    /// Waits until `n` writes have been executed; `false` on timeout.
     pub fn wait_for_writes(&self, n: u64, timeout: Duration) -> bool {
         let write_gate = self.write_gate.lock().unwrap();
         let (write_gate, _) = self.changed.wait_timeout_while(write_gate, timeout, |h| h.1 < n).unwrap();
@@ -182,15 +184,15 @@
                         X-Waited-Ms: {waited_ms}\r\nContent-Length: {}\r\n\r\n",
                         bytes.len()
                     );
-                    let all = [head.as_bytes(), &bytes].concat();
-                    (&stream).write_all(&all)?;
+                    let message = [head.as_bytes(), &bytes].concat();
+                    (&stream).write_all(&message)?;
                 }
                 None => (&stream).write_all(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")?,
             }
         }
     }
 
-    /// A copy that is young enough, from here or from the source.
+    /// Serves a copy no older than `max_age_ms`: from this cache, from the source, or from the origin.
     fn read(
         &self,
         endpoint: &CacheEndpoint,
--- a/rig/src/client.rs
+++ b/rig/src/client.rs
@@ -1,4 +1,4 @@
-//! A client of the platform's protocol (MessagePack-RPC): writes requests and reads answers, without I/O of its own.
+//! Client side of the platform's protocol (MessagePack-RPC): encodes requests and decodes responses. Performs no I/O.
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
@@ -13,7 +13,7 @@
     pub id: u64,
     pub status: Status,
     pub body: Vec<u8>,
-    /// How long to stay away, in milliseconds.
+    /// Delay that the gateway asks for before the next attempt, in milliseconds.
     pub retry_after_ms: Option<u64>,
 }
 
@@ -77,7 +77,7 @@
     at: usize,
 }
 
-/// Not whole yet, or not what a gateway sends.
+/// The message is incomplete, or not one that a gateway sends.
 enum DecodeError {
     Incomplete,
     Malformed,
@@ -131,16 +131,21 @@
     }
 }
 
-/// The answer at the start of `bytes` and its length; `None` while it is not whole, an error if it never will be.
+/// Decodes the response at the start of `bytes` and returns it with its length; `None` while it is incomplete, an
+/// error if it is malformed.
 pub fn decode_response(bytes: &[u8]) -> Result<Option<(Response, usize)>, &'static str> {
     let mut decoder = Decoder { bytes, at: 0 };
     let value = match decoder.value() {
         Ok(value) => value,
         Err(DecodeError::Incomplete) => return Ok(None),
-        Err(DecodeError::Malformed) => return Err("no MessagePack that a gateway sends"),
+        Err(DecodeError::Malformed) => {
+            return Err("malformed MessagePack, or a type that gateways do not send");
+        }
+    };
+    let Value::List(parts) = value else { return Err("message is not an array") };
+    let [Value::Int(1), Value::Int(id), error, result] = parts.as_slice() else {
+        return Err("message is not a response");
     };
-    let Value::List(parts) = value else { return Err("no message") };
-    let [Value::Int(1), Value::Int(id), error, result] = parts.as_slice() else { return Err("no answer") };
     let retry_after = |value: Option<&Value>| {
         let Some(Value::Map(pairs)) = value else { return None };
         pairs.iter().find_map(|(name, value)| match (name, value) {
@@ -152,13 +157,13 @@
         (Value::Nil, Value::List(all)) => match all.first() {
             Some(Value::Bytes(body)) => (Status::Served, body.to_vec(), None),
             Some(Value::Bool) => (Status::Served, Vec::new(), None),
-            _ => return Err("no body"),
+            _ => return Err("response without a body"),
         },
         (Value::List(all), Value::Nil) => match all.first() {
             Some(Value::Bytes(b"Backoff")) => (Status::Rejected, Vec::new(), retry_after(all.get(1))),
             _ => (Status::Failed, Vec::new(), None),
         },
-        _ => return Err("no error and no result, or both"),
+        _ => return Err("response needs exactly one of error and result"),
     };
     Ok(Some((Response { id: *id, status, body, retry_after_ms }, decoder.at)))
 }
@@ -172,7 +177,7 @@
     const REJECTED: &[u8] = b"\x94\x01\x08\x92\xa7Backoff\x81\xa7holdoff\xa3250\xc0";
 
     #[test]
-    fn answers_are_read_whole_or_not_at_all() {
+    fn responses_are_decoded_whole_or_not_at_all() {
         let all = [SERVED, REJECTED].concat();
         for len in 0..all.len() {
             let first = decode_response(&all[..len]).unwrap();
@@ -186,7 +191,7 @@
     }
 
     quickcheck! {
-        fn damaged_answers_never_panic(bytes: Vec<u8>, at: usize, with: u8) -> bool {
+        fn malformed_responses_never_panic(bytes: Vec<u8>, at: usize, with: u8) -> bool {
             _ = decode_response(&bytes);
             let mut one = REJECTED.to_vec();
             let at = at % one.len();
--- a/rig/src/discovery.rs
+++ b/rig/src/discovery.rs
@@ -1,4 +1,5 @@
-//! The bulletin as a stand-in: numbered events, told to whoever connects, and the last number each second.
+//! Simulated discovery service: streams numbered events to every gateway that connects, and the number of the last
+//! event after each batch and at least every 500 ms.
 
 use serde_json::{Value, json};
 use std::io::{self, BufRead, BufReader, Write};
@@ -12,7 +13,7 @@
     events: Mutex<Vec<Value>>,
     changed: Condvar,
     stopping: AtomicBool,
-    /// The number of the last event of the start.
+    /// Number of the last event that gateways have from their configuration.
     first_event_no: u64,
 }
 
@@ -22,7 +23,7 @@
 }
 
 impl DiscoveryServer {
-    /// `first`: the number of the last event that gateways know from their start.
+    /// `first_event_no`: number of the last event that gateways have from their configuration.
     pub fn start(first_event_no: u64) -> io::Result<DiscoveryServer> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
@@ -39,31 +40,31 @@
                     return;
                 }
                 let shared = Arc::clone(&accept_state);
-                // It ends with its gateway, or with the stand-in.
+                // The thread ends with the gateway's connection or with this server.
                 thread::spawn(move || _ = serve(&shared, stream));
             }
         });
         Ok(DiscoveryServer { address, shared })
     }
 
-    fn push(&self, what: &str, value: Value) {
+    fn push(&self, kind: &str, value: Value) {
         let mut events = self.shared.events.lock().unwrap();
         let no = self.shared.first_event_no + events.len() as u64 + 1;
-        events.push(json!({"no": no, what: value}));
+        events.push(json!({"no": no, kind: value}));
         self.shared.changed.notify_all();
     }
 
-    /// A list of caches, or what has changed of it.
+    /// Publishes the list of caches (`snapshot`) or changes to it.
     pub fn push_roster(&self, snapshot: bool, endpoints: &[Value]) {
         self.push("roster", json!({"index": 0, "snapshot": snapshot, "endpoints": endpoints}));
     }
 
-    /// The number of the last event.
+    /// Number of the last published event.
     pub fn last_event_no(&self) -> u64 {
         self.shared.first_event_no + self.shared.events.lock().unwrap().len() as u64
     }
 
-    /// Purges an object as of a Unix millisecond.
+    /// Publishes a purge of an object, issued at `issued_ms` (Unix time in ms).
     pub fn purge(&self, object: u64, issued_ms: u64) {
         self.push("recall", json!({"item": format!("{object:016x}"), "issued": issued_ms}));
     }
@@ -93,7 +94,7 @@
     fn drop(&mut self) {
         self.shared.stopping.store(true, Ordering::Relaxed);
         self.shared.changed.notify_all();
-        // Wakes the one that waits for connections.
+        // Unblocks the accept loop.
         _ = TcpStream::connect(self.address);
     }
 }
--- a/rig/src/fleet.rs
+++ b/rig/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Real gateways as processes: their configurations, their start, their end, and what the machine says of them.
+//! Real gateways as processes: configuration, start, termination, logs and resource usage.
 
 use crate::caches::CacheEndpoint;
 use serde_json::{Value, json};
@@ -11,20 +11,20 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longer than a start may take.
+/// Longer than a gateway may take until it listens.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
-/// Lines of a log that are kept for its end.
+/// Number of log lines kept in memory per gateway; the oldest are dropped first.
 const MAX_LOG_LINES: usize = 20_000;
 
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     #[error("{0}")]
     Io(#[from] io::Error),
-    #[error("the gateway {0} did not start: {1}")]
+    #[error("gateway {0} did not start: {1}")]
     Start(String, String),
 }
 
-/// What differs between the gateways of a run.
+/// The part of the configuration that differs between the gateways of a run.
 pub struct Node<'a> {
     pub name: &'a str,
     pub zone: &'a str,
@@ -39,7 +39,7 @@
         "status": status, "weight": 64.0, "since_ms": 0})
 }
 
-/// The rules of the example deployment: media and rates may run again, book must not.
+/// Configuration with the remap rules of the example deployment: media and rates are repeatable, book is not.
 pub fn config(node: &Node) -> Value {
     let rule = |name: &str, effect: &str, sla_ms: u64, stretch: f64, limit_ms: u64| {
         json!({"Name": name, "Repeat": effect, "DedupScope": "all", "MemorySpanUs": 0, "SloUs": sla_ms * 1_000,
@@ -72,22 +72,22 @@
     })
 }
 
-/// A gateway that is ended with the value.
+/// A gateway process that is killed when the value is dropped.
 pub struct Gateway {
     pub name: String,
     pub address: SocketAddr,
     child: Child,
     log: Arc<Mutex<Vec<String>>>,
-    /// When it said that it leads a group of those who keep copies.
+    /// When this gateway became leader of which replica group, from its log.
     leadership: Arc<Mutex<Vec<(Instant, u32)>>>,
 }
 
-/// The group that a line of the log says is led there from now on.
+/// Returns the group that this gateway leads from now on according to a log line.
 fn parse_leader_group(line: &str) -> Option<u32> {
     line.split_once("group ")?.1.strip_suffix(": led here")?.parse().ok()
 }
 
-/// What the machine says of a process.
+/// CPU time and peak memory of a process, from `/proc`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ResourceUsage {
     pub cpu_s: f64,
@@ -104,7 +104,7 @@
         Gateway::start_with(program, folder, config, sites, None)
     }
 
-    /// One that keeps copies with others, too.
+    /// Like `start`, with a configuration for the replicated ledger.
     pub fn start_with(
         program: &Path,
         folder: &Path,
@@ -130,7 +130,7 @@
         }
         let mut child = command.spawn()?;
         let Some(stderr) = child.stderr.take() else {
-            return Err(StartError::Start(name, "it has no log".to_owned()));
+            return Err(StartError::Start(name, "its stderr is not available".to_owned()));
         };
         let log: Arc<Mutex<Vec<String>>> = Arc::default();
         let leadership: Arc<Mutex<Vec<(Instant, u32)>>> = Arc::default();
@@ -143,7 +143,7 @@
                     .lock()
                     .unwrap()
                     .extend(parse_leader_group(&line).map(|group| (Instant::now(), group)));
-                // Without it the last lines are still at hand.
+                // A failed write is ignored: the last lines are also kept in memory.
                 _ = writeln!(file, "{line}");
                 let mut all = lines.lock().unwrap();
                 if all.len() >= MAX_LOG_LINES {
@@ -162,7 +162,7 @@
             if child.try_wait()?.is_some() || began.elapsed() > START_TIMEOUT {
                 _ = child.kill();
                 _ = child.wait();
-                // Its last words are there only once all was read.
+                // The last log line is complete only after the reader has reached the end.
                 _ = reader.join();
                 let last = log.lock().unwrap().last().cloned().unwrap_or_default();
                 return Err(StartError::Start(name, last));
@@ -179,14 +179,14 @@
         Command::new("kill").args(["-s", name, &self.child.id().to_string()]).status().map(|_| ())
     }
 
-    /// Ends it at once, as a crash would.
+    /// Kills the process (SIGKILL), as a crash would.
     pub fn kill(&mut self) {
-        // It fails only where it has ended already.
+        // Fails only if the process has already exited.
         _ = self.child.kill();
         _ = self.child.wait();
     }
 
-    /// It has ended by itself.
+    /// Whether the process has exited by itself.
     pub fn has_exited(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
@@ -195,12 +195,12 @@
         self.log.lock().unwrap().clone()
     }
 
-    /// When it began to lead which group.
+    /// When this gateway became leader of which group.
     pub fn leadership(&self) -> Vec<(Instant, u32)> {
         self.leadership.lock().unwrap().clone()
     }
 
-    /// The counters' line as it is now; empty if none comes.
+    /// Requests the counters' log line (SIGUSR1) and returns it; empty if none is written within 2 s.
     pub fn counters(&self) -> String {
         let counts = |log: &[String]| log.iter().filter(|l| l.contains("now: clients")).count();
         let before = counts(&self.log.lock().unwrap());
@@ -230,14 +230,14 @@
     }
 }
 
-/// One of many gateways: its log goes to a file, and nothing waits for its start.
+/// One of many gateways: logs to a file, and its start is not awaited.
 pub struct Process {
     child: Child,
     log: PathBuf,
 }
 
 impl Process {
-    /// `name` is that of the files in the folder; with a fleet's file it is of that fleet.
+    /// `name` is the stem of the files in the folder; with a fleet configuration the gateway joins that fleet.
     pub fn spawn(
         program: &Path,
         folder: &Path,
@@ -271,7 +271,7 @@
     }
 
     pub fn kill(&mut self) {
-        // It fails only where it has ended already.
+        // Fails only if the process has already exited.
         _ = self.child.kill();
         _ = self.child.wait();
     }
@@ -291,7 +291,7 @@
     }
 }
 
-/// The same signal to many.
+/// Sends a signal to many processes.
 pub fn signal(name: &str, ids: &[u32]) -> io::Result<()> {
     for some in ids.chunks(256) {
         let ids = some.iter().map(u32::to_string);
@@ -300,7 +300,7 @@
     Ok(())
 }
 
-/// The counters of a line that a gateway writes on SIGUSR1.
+/// Parses the counters' line that a gateway logs on SIGUSR1.
 pub fn counters(line: &str) -> BTreeMap<String, f64> {
     let parts = line.split([',', ';']).filter_map(|part| {
         let (name, n) = part.trim().trim_start_matches("in all").trim().rsplit_once(' ')?;
@@ -309,11 +309,11 @@
     parts.collect()
 }
 
-/// What the machine says of a process.
+/// CPU time and peak memory of a process, from `/proc`.
 pub fn resource_usage(id: u32) -> ResourceUsage {
     let read = |what: &str| std::fs::read_to_string(format!("/proc/{id}/{what}"));
     let stat = read("stat").unwrap_or_default();
-    // Behind the name: the 14th and 15th fields are ticks of 10 ms.
+    // Fields 14 and 15 (user and system time, counted from behind the name) are in ticks of 10 ms.
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
     let ticks = |i: usize| fields.get(i).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0);
     let status = read("status").unwrap_or_default();
@@ -322,7 +322,7 @@
     ResourceUsage { cpu_s: (ticks(11) + ticks(12)) / 100.0, peak_mb: peak_kb / 1024.0 }
 }
 
-/// An address of UDP at which nobody listens now.
+/// Returns a loopback UDP address on which nothing listens at the moment.
 pub fn free_udp_address() -> io::Result<SocketAddr> {
     std::net::UdpSocket::bind("127.0.0.1:0")?.local_addr()
 }
--- a/rig/src/fleet_discovery.rs
+++ b/rig/src/fleet_discovery.rs
@@ -1,7 +1,7 @@
-//! The bulletin of a whole fleet as a stand-in that can be swamped: it takes up so many connections a second and writes
-//! so many bytes a second to all of them together, one after another; what comes beyond that waits its turn. It counts
-//! what it was asked for, can be down, and can die in the middle of a list. Each gateway has an address of its own here,
-//! so that one can be cut off.
+//! Simulated discovery service of a fleet, with limited capacity: connections per second and bytes per second are
+//! limited for all gateways together, and excess load queues. It counts its load, can be unavailable, and can close
+//! connections in the middle of a list. Each gateway reaches it at an address of its own, so that a single gateway
+//! can be cut off.
 
 use crate::switch;
 use async_channel::Receiver;
@@ -16,7 +16,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What it can do.
+/// Capacity of the service, shared by all connections.
 #[derive(Clone, Copy, Debug)]
 pub struct Capacity {
     pub connections_per_s: f64,
@@ -30,9 +30,9 @@
     pub most_in_a_second: u64,
     pub lines: u64,
     pub bytes: u64,
-    /// Tries that found it down.
+    /// Connections refused while the service was unavailable to the gateway.
     pub refused: u64,
-    /// The longest wait for its turn.
+    /// Longest time that a connection waited in the queue.
     pub longest_wait_ms: u64,
 }
 
@@ -40,11 +40,13 @@
     events: Vec<Value>,
     counts: Counts,
     open: u64,
+    /// Open connections of each gateway.
     connected_by: BTreeMap<usize, u64>,
     current_second: (u64, u64),
-    /// When it is free for another connection, and for more bytes.
+    /// When the capacity admits the next connection, and the next write, in seconds from the start.
     next_accept_at: f64,
     next_write_at: f64,
+    /// Gateways that are cut off.
     unreachable: BTreeSet<usize>,
 }
 
@@ -53,18 +55,18 @@
     start: Instant,
     capacity: Capacity,
     available: AtomicBool,
-    /// Connections end after so many bytes; 0: they don't.
+    /// Connections are closed after this many bytes; 0 means never.
     close_after_bytes: AtomicU64,
     changed: event_listener::Event,
 }
 
-/// Where process `i` reaches one of several list services.
+/// Address at which process `i` reaches the service of this stream.
 pub fn address(stream: usize, i: usize) -> SocketAddr {
     switch::address(3, i, 7_070 + stream as u16)
 }
 
 impl FleetDiscovery {
-    /// `stream`: which of several it is; `first`: the events of the start.
+    /// `stream`: number of this service among several; `first`: its initial events.
     pub fn start(
         executor: &Arc<Executor<'static>>,
         (stream, processes): (usize, usize),
@@ -96,7 +98,7 @@
                     loop {
                         let Ok((stream, _)) = listener.accept().await else { return };
                         let service = Arc::clone(&service);
-                        // It ends with its gateway.
+                        // The task ends with the gateway's connection.
                         on.spawn(async move { _ = service.serve(i, stream).await }).detach();
                     }
                 })
@@ -105,11 +107,11 @@
         Ok(service)
     }
 
-    /// Adds an event; gives its number.
-    pub fn push(&self, what: &str, value: Value) -> u64 {
+    /// Publishes an event and returns its number.
+    pub fn push(&self, kind: &str, value: Value) -> u64 {
         let mut state = self.state.lock().unwrap();
         let no = state.events.len() as u64 + 1;
-        state.events.push(json!({"no": no, what: value}));
+        state.events.push(json!({"no": no, kind: value}));
         drop(state);
         self.changed.notify(usize::MAX);
         no
@@ -141,12 +143,12 @@
         self.state.lock().unwrap().counts
     }
 
-    /// The number of the last event.
+    /// Number of the last published event.
     pub fn last_event_no(&self) -> u64 {
         self.state.lock().unwrap().events.len() as u64
     }
 
-    /// The processes that are connected now.
+    /// Processes that are connected at the moment.
     pub fn connected(&self) -> Vec<usize> {
         self.state.lock().unwrap().connected_by.keys().copied().collect()
     }
@@ -230,7 +232,7 @@
             bytes += text.len() as u64;
             let pause = async { _ = Timer::after(Duration::from_secs(1)).await };
             let closed = async {
-                // A gateway that closes says nothing more.
+                // Gateways send nothing after the request, so the read returns when they close the connection.
                 let mut one = [0];
                 _ = stream.read(&mut one).await;
                 false
@@ -247,7 +249,7 @@
     }
 }
 
-/// Runs tasks on a few threads until the sender is dropped.
+/// Runs the executor on `threads` threads until the sender of `stop` is dropped.
 pub fn run_executor(executor: &Arc<Executor<'static>>, threads: usize, stop: &Receiver<()>) {
     for _ in 0..threads {
         let (executor, stop) = (Arc::clone(executor), stop.clone());
--- a/rig/src/fleet_run.rs
+++ b/rig/src/fleet_run.rs
@@ -1,5 +1,6 @@
-//! A day of a whole fleet: hundreds of gateways as processes between a bulletin, caches and parents that can be swamped,
-//! a network that misbehaves by a plan, and clients at each gateway that time every answer. Each remedy can be left out.
+//! A run of a whole fleet: hundreds of gateways as processes, a discovery service, caches and parents that can be
+//! overloaded, an emulated network with a fault plan, and open-loop clients at each gateway that measure every
+//! response. Each feature that protects against overload can be disabled.
 
 use crate::cache_tier::{self, CacheTier};
 use crate::caches::{copy_created_ms, unix_ms};
@@ -30,15 +31,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The last gateway knows what a list service told by then, by the feed's periods and ways (docs/design/feed.md).
+/// Time after which the last gateway has received an event of a discovery service over the feed, by the feed's
+/// periods and paths (docs/design/feed.md).
 pub const FEED_PROPAGATION_MS: u64 = 650;
 
-/// Many sites that the feed makes one installation, and what it needs. No guests, and no foreign ones.
+/// An installation of several sites joined by the feed. Excludes extra members and foreign gateways.
 #[derive(Clone, Copy, Debug, serde::Serialize)]
 pub struct Installation {
     pub sites: usize,
     pub hubs: usize,
-    /// List services whose events are numbered apart; the first tells the list of caches.
+    /// Discovery services with event numbers of their own; the first publishes the list of caches.
     pub streams: usize,
 }
 
@@ -49,29 +51,32 @@
     pub parents: usize,
     pub seconds: f64,
     pub seed: u64,
-    /// Txns a second of all together.
+    /// Txns per second over all gateways.
     pub rate: f64,
     pub objects: u64,
     pub plan: Vec<Event>,
     pub conditions: LinkConditions,
-    /// Remedies that are there.
+    /// Whether the gateways form a fleet; if not, each runs on its own.
     pub fleet: bool,
+    /// Whether gateways relay the list of caches to each other.
     pub relays: bool,
+    /// Limits shared by the fleet; `None` disables them.
     pub connections: Option<u32>,
     pub fills: Option<u32>,
     pub fills_at_cache: Option<u32>,
-    /// So many of them, the last ones, have another key: a fleet of its own with the same seeds.
+    /// This many gateways, the last ones, have another key and form a fleet of their own with the same seeds.
     pub foreign: usize,
-    /// Addresses between gateways for members that the caller plays, behind those of the fleet.
+    /// Number of additional switch addresses, after those of the fleet, for members that the caller simulates.
     pub extra_members: usize,
-    /// Without it all are one fleet, and the list is relayed.
+    /// If absent, all gateways form one fleet, and the list is relayed within it.
     pub installation: Option<Installation>,
-    /// What the bulletin has to tell counts as told so many milliseconds later: 0 while its connections stand, 2,000
-    /// where the plan breaks all of them at once, `FEED_MS` where the feed tells it.
+    /// Milliseconds within which purges must have reached all gateways: 0 while the connections to the discovery
+    /// service are up, 2,000 if the plan breaks all of them at once, `FEED_PROPAGATION_MS` if the feed distributes
+    /// the purges.
     pub propagation_ms: u64,
-    /// The caller has taken the run's part of loopback already.
+    /// The caller has already reserved the run's loopback subnet.
     pub subnet_reserved: bool,
-    /// What the stand-ins bear.
+    /// Capacities of the simulated servers.
     pub discovery_capacity: fleet_discovery::Capacity,
     pub cache_capacity: cache_tier::Capacity,
     pub memory_mb: u64,
@@ -81,26 +86,26 @@
 
 impl Options {
     fn hubs(&self) -> usize {
-        self.installation.map_or(0, |all| all.hubs)
+        self.installation.map_or(0, |installation| installation.hubs)
     }
 
     fn streams(&self) -> usize {
-        self.installation.map_or(1, |all| all.streams)
+        self.installation.map_or(1, |installation| installation.streams)
     }
 
-    /// The site of a gateway and the gateways there; all where there is but one fleet.
+    /// Returns the site of a gateway and the range of gateways at that site (all of them without an installation).
     fn site(&self, i: usize) -> (usize, std::ops::Range<usize>) {
-        let sites = self.installation.map_or(1, |all| all.sites);
+        let sites = self.installation.map_or(1, |installation| installation.sites);
         let (site, from) = (i * sites / self.gateways, |s: usize| (s * self.gateways).div_ceil(sites));
         (site, from(site)..from(site + 1))
     }
 
-    /// Hubs stand behind the gateways.
+    /// Name of a process; hubs are numbered after the gateways.
     fn name(&self, i: usize) -> String {
         if i < self.gateways { format!("g{i}") } else { format!("h{}", i - self.gateways) }
     }
 
-    /// A small fleet with all remedies between stand-ins that bear what it needs.
+    /// A small fleet with all features enabled and servers of sufficient capacity.
     pub fn small(gateways: usize, seconds: f64, program: PathBuf, folder: PathBuf) -> Options {
         Options {
             gateways,
@@ -136,7 +141,7 @@
     }
 }
 
-/// Where clients reach gateway `i`.
+/// Address at which gateway `i` listens for clients.
 pub fn client_address(i: usize) -> SocketAddr {
     switch::address(2, i, 9_000)
 }
@@ -154,11 +159,11 @@
 struct Pending {
     open: BTreeMap<(usize, u64), PendingTxn>,
     answered: BTreeSet<(usize, u64)>,
-    /// By object: when it was purged, in order, in Unix ms.
+    /// Purge times (Unix ms) by object, ascending.
     purges: BTreeMap<u64, Vec<u64>>,
-    /// Answers that were asked for after a purge while a cache may have had a copy from before it.
+    /// Responses to reads sent soon after a purge, while a cache may have held a copy from before it.
     after_purge: u64,
-    /// Those whose gateway was not there, or went.
+    /// Txns whose gateway was not running or exited.
     lost: u64,
 }
 
@@ -166,10 +171,11 @@
     start: Instant,
     pending: Mutex<Pending>,
     report: Mutex<Report>,
-    /// The first answer with a body of each gateway, in seconds from its start.
-    first: Mutex<BTreeMap<usize, f64>>,
-    started: Mutex<BTreeMap<usize, f64>>,
-    /// Purged copies served: how long after the purge, in milliseconds, by gateway.
+    /// Time of the first response with a body from each gateway, in seconds of the run.
+    first_response_at: Mutex<BTreeMap<usize, f64>>,
+    /// Time of the last start of each gateway, in seconds of the run.
+    started_at: Mutex<BTreeMap<usize, f64>>,
+    /// Stale copies served: the gateway, and the milliseconds between the purge and the request.
     stale: Mutex<Vec<(usize, u64)>>,
 }
 
@@ -178,22 +184,23 @@
         self.start.elapsed().as_secs_f64()
     }
 
-    /// Writes what comes to one gateway's connection, and reads its answers, as long as it stands.
+    /// Sends the requests for one gateway over a connection and reads the responses; reconnects when it is lost.
     async fn run_connection(self: Arc<Self>, i: usize, requests: Receiver<(usize, u64, u64)>) {
         let mut connection = 0u64;
         loop {
             let Ok(mut stream) = Async::<TcpStream>::connect(client_address(i)).await else {
-                // Nobody is there: what is asked meanwhile finds no gateway.
+                // No gateway is listening: requests are refused until the next attempt.
                 let until = Instant::now() + Duration::from_millis(50);
                 while Instant::now() < until {
                     let wait = async {
                         Timer::at(until).await;
                         None
                     };
-                    let Some(Ok(ask)) = future::or(async { Some(requests.recv().await) }, wait).await else {
+                    let Some(Ok(request)) = future::or(async { Some(requests.recv().await) }, wait).await
+                    else {
                         break;
                     };
-                    self.record_refused(ask);
+                    self.record_refused(request);
                 }
                 if requests.is_closed() && requests.is_empty() {
                     return;
@@ -213,7 +220,7 @@
                         return true;
                     }
                 }
-                // The last answers have their time.
+                // Waits for the last responses.
                 Timer::after(Duration::from_secs_f64(RULES[MEDIA].limit_s + 1.0)).await;
                 false
             };
@@ -221,15 +228,15 @@
                 self.read_responses(i, id_base, reads).await;
                 true
             };
-            let again = future::or(writes, read).await;
+            let reconnect = future::or(writes, read).await;
             self.connection_lost(i, id_base);
-            if !again {
+            if !reconnect {
                 return;
             }
         }
     }
 
-    /// No gateway was there: nothing was sent, and the client knows it.
+    /// No gateway was listening: nothing was sent, so the client knows that the txn was not run.
     fn record_refused(&self, (rule, _, trace): (usize, u64, u64)) {
         self.pending.lock().unwrap().lost += 1;
         self.report.lock().unwrap().record_end(
@@ -242,29 +249,29 @@
         );
     }
 
-    /// The connection has ended with its gateway: what was open on it is lost, which a kill excuses.
+    /// The connection was closed: its open txns count as aborted, which is permitted when a gateway is killed.
     fn connection_lost(&self, i: usize, id_base: u64) {
         let mut pending = self.pending.lock().unwrap();
         let keys: Vec<_> =
             pending.open.range((i, id_base)..(i, id_base + (1 << 32))).map(|(k, _)| *k).collect();
         let now = self.now();
         for key in keys {
-            if let Some(sent) = pending.open.remove(&key) {
+            if let Some(txn) = pending.open.remove(&key) {
                 pending.lost += 1;
                 let end = End::Aborted;
                 self.report.lock().unwrap().record_end(
-                    sent.rule,
-                    sent.trace,
-                    sent.at,
-                    sent.sla_s,
+                    txn.rule,
+                    txn.trace,
+                    txn.at,
+                    txn.sla_s,
                     end,
-                    now - sent.at,
+                    now - txn.at,
                 );
             }
         }
     }
 
-    #[allow(clippy::too_many_arguments, reason = "one call of one kind")]
+    #[allow(clippy::too_many_arguments, reason = "private, with a single caller")]
     async fn send_request(
         &self,
         i: usize,
@@ -282,8 +289,8 @@
         let bytes =
             client::encode_request(&Request { id, rule: r.name, trace, object, timeout_ms, need_kb, body });
         let sla_s = r.sla_s + r.stretch * need_kb / CLIENT_KB_PER_S;
-        let sent = PendingTxn { rule, trace, object, at: self.now(), unix_ms: unix_ms(), sla_s };
-        self.pending.lock().unwrap().open.insert((i, id_base + u64::from(id)), sent);
+        let txn = PendingTxn { rule, trace, object, at: self.now(), unix_ms: unix_ms(), sla_s };
+        self.pending.lock().unwrap().open.insert((i, id_base + u64::from(id)), txn);
         stream.write_all(&bytes).await.is_ok()
     }
 
@@ -295,14 +302,14 @@
             let mut used = 0;
             loop {
                 match client::decode_response(&buffer[used..]) {
-                    Ok(Some((answer, n))) => {
+                    Ok(Some((response, n))) => {
                         used += n;
-                        self.record_response(i, id_base, &answer);
+                        self.record_response(i, id_base, &response);
                     }
                     Ok(None) => break,
                     Err(why) => {
                         self.report.lock().unwrap().violations.damaged += 1;
-                        eprintln!("an answer can't be read: {why}");
+                        eprintln!("client received an invalid response: {why}");
                         return;
                     }
                 }
@@ -311,71 +318,74 @@
         }
     }
 
-    fn record_response(&self, i: usize, id_base: u64, answer: &client::Response) {
+    fn record_response(&self, i: usize, id_base: u64, response: &client::Response) {
         let now = self.now();
-        let key = (i, id_base + answer.id);
+        let key = (i, id_base + response.id);
         let mut pending = self.pending.lock().unwrap();
         let mut report = self.report.lock().unwrap();
-        let Some(sent) = pending.open.remove(&key) else {
+        let Some(txn) = pending.open.remove(&key) else {
             report.violations.answered_twice += u64::from(pending.answered.contains(&key));
             return;
         };
         pending.answered.insert(key);
-        let (latency, rule) = (now - sent.at, &RULES[sent.rule]);
+        let (latency, rule) = (now - txn.at, &RULES[txn.rule]);
         if latency > rule.limit_s + CLIENT_GRACE_S + SCHEDULING_GRACE_S {
             report.violations.answered_late += 1;
         }
-        let end = match answer.status {
+        let end = match response.status {
             Status::Served => End::Served,
             Status::Rejected => End::Rejected,
             Status::Failed => End::Aborted,
         };
-        report.record_end(sent.rule, sent.trace, sent.at, sent.sla_s, end, latency);
+        report.record_end(txn.rule, txn.trace, txn.at, txn.sla_s, end, latency);
         if end != End::Served || rule.write {
             return;
         }
-        self.first.lock().unwrap().entry(i).or_insert(now);
-        report.bytes += answer.body.len() as u64;
-        match copy_created_ms(sent.object, &answer.body) {
+        self.first_response_at.lock().unwrap().entry(i).or_insert(now);
+        report.bytes += response.body.len() as u64;
+        match copy_created_ms(txn.object, &response.body) {
             None => report.violations.damaged += 1,
-            Some(_) if answer.body.len() != object_len(sent.object) => report.violations.damaged += 1,
-            Some(born) => {
-                let purges = pending.purges.get(&sent.object).map(Vec::as_slice).unwrap_or_default();
-                let before = purges.partition_point(|at| *at < sent.unix_ms);
-                let lately = before > 0 && sent.unix_ms - purges[before - 1] < cache_tier::PURGE_APPLIED_MS;
-                let first = purges[..before].get(purges.partition_point(|at| *at <= born)).copied();
-                pending.after_purge += u64::from(lately);
+            Some(_) if response.body.len() != object_len(txn.object) => report.violations.damaged += 1,
+            Some(created_ms) => {
+                let purges = pending.purges.get(&txn.object).map(Vec::as_slice).unwrap_or_default();
+                let before = purges.partition_point(|at| *at < txn.unix_ms);
+                let soon_after_purge =
+                    before > 0 && txn.unix_ms - purges[before - 1] < cache_tier::PURGE_APPLIED_MS;
+                let first = purges[..before].get(purges.partition_point(|at| *at <= created_ms)).copied();
+                pending.after_purge += u64::from(soon_after_purge);
                 if let Some(at) = first {
-                    self.stale.lock().unwrap().push((i, sent.unix_ms - at));
+                    self.stale.lock().unwrap().push((i, txn.unix_ms - at));
                 }
             }
         }
     }
 
+    /// Reports txns that are unanswered past their time limit, or all open ones at the end.
     fn expire(&self, all: bool) {
         let now = self.now();
         let mut pending = self.pending.lock().unwrap();
         let mut report = self.report.lock().unwrap();
-        let late = |sent: &PendingTxn| {
-            now > sent.at + RULES[sent.rule].limit_s + CLIENT_GRACE_S + SCHEDULING_GRACE_S + 0.5 || all
+        let late = |txn: &PendingTxn| {
+            now > txn.at + RULES[txn.rule].limit_s + CLIENT_GRACE_S + SCHEDULING_GRACE_S + 0.5 || all
         };
-        let over: Vec<_> = pending.open.iter().filter(|(_, s)| late(s)).map(|(k, _)| *k).collect();
-        for key in over {
-            if let Some(sent) = pending.open.remove(&key) {
-                report.record_end(sent.rule, sent.trace, sent.at, sent.sla_s, End::Unanswered, now - sent.at);
+        let expired: Vec<_> = pending.open.iter().filter(|(_, s)| late(s)).map(|(k, _)| *k).collect();
+        for key in expired {
+            if let Some(txn) = pending.open.remove(&key) {
+                report.record_end(txn.rule, txn.trace, txn.at, txn.sla_s, End::Unanswered, now - txn.at);
             }
         }
     }
 }
 
-/// Hundreds of processes share a few cores: what the machine adds to a time limit is not the gateway's.
+/// Seconds added to time limits: hundreds of processes share a few cores, and scheduling delay is not the gateway's
+/// fault.
 const SCHEDULING_GRACE_S: f64 = 0.5;
 
-/// Copies that were served although older than a purge, and how long after the purge they were asked for.
+/// Copies served although older than a purge, and how long after the purge they were requested.
 #[derive(Clone, Copy, Debug, Default, serde::Serialize, PartialEq)]
 pub struct AfterPurge {
     pub purges: usize,
-    /// Answers asked for within the time in which a cache may have had an old copy.
+    /// Reads requested while a cache may have held an old copy.
     pub reads: u64,
     pub copies: usize,
     pub p99_ms: u64,
@@ -386,47 +396,49 @@
     pub report: Report,
     pub discovery: fleet_discovery::Counts,
     pub caches: BTreeMap<String, cache_tier::Counts>,
-    /// Mean and most fetches of an object by the store, and how many objects.
+    /// Origin fetches per object: mean, maximum, and the number of objects.
     pub fetches: (f64, u64, usize),
-    /// By stream, where there are several; the first is `list`.
+    /// Last event number and load of each discovery service; the first is also `discovery`.
     pub discovery_by_stream: Vec<(u64, fleet_discovery::Counts)>,
     pub usage: Vec<ResourceUsage>,
     pub counters: Vec<BTreeMap<String, f64>>,
-    /// Seconds from the start to when these were told.
+    /// Second of the run at which the counters were requested.
     pub counters_at_s: f64,
     pub hub_usage: Vec<ResourceUsage>,
     pub hub_counters: Vec<BTreeMap<String, f64>>,
-    /// Gateways that ended by themselves, or panicked in one of their tasks.
+    /// Gateways that exited by themselves or logged a panic.
     pub crashed: usize,
-    /// Second from the start at which 0.95 of the importance is served, over two seconds.
+    /// First second of the run from which 0.95 of the importance is served in time, over two seconds.
     pub served_95_at_s: Option<usize>,
-    /// From the start of a gateway to its first served txn: median and most.
+    /// Seconds from the start of a gateway to its first served txn: median and maximum.
     pub first_served_s: (f64, f64),
-    /// The same for those that were started again later.
+    /// The same for gateways that were restarted.
     pub first_served_again_s: (f64, f64),
+    /// Seconds that starting all processes took.
     pub spawn_s: f64,
     pub lost: u64,
     pub after_purge: AfterPurge,
+    /// Gateways that were suspended (SIGSTOP) by the plan.
     pub stopped: BTreeSet<usize>,
 }
 
 struct Run<'a> {
     options: &'a Options,
-    /// The gateways, then the hubs.
+    /// Gateways, then hubs.
     processes: Vec<Option<Process>>,
     configs: Vec<Value>,
-    files: Vec<Value>,
+    fleet_configs: Vec<Value>,
     discovery: Vec<Arc<FleetDiscovery>>,
     tier: Arc<CacheTier>,
     switch: Switch,
     clients: Arc<Clients>,
     rng: Pcg64Mcg,
-    /// What an event has hit, so that its end undoes it.
+    /// Gateways affected by each current event, so that its end can undo it.
     targets: BTreeMap<String, Vec<usize>>,
     stopped: BTreeSet<usize>,
-    /// Started a second time, into a fleet that serves.
+    /// Gateways that were started again into a running fleet.
     restarted: BTreeSet<usize>,
-    /// Told to stop as planned, and started again once they have ended.
+    /// Gateways in a rolling restart that have been signalled (SIGTERM) and are started again once they exit.
     rolling: Vec<usize>,
     crashed: usize,
     usage: BTreeMap<usize, ResourceUsage>,
@@ -438,16 +450,16 @@
 
 impl Run<'_> {
     fn spawn(&mut self, i: usize) {
-        let file = self.options.fleet.then_some(&self.files[i]);
+        let file = self.options.fleet.then_some(&self.fleet_configs[i]);
         let name = self.options.name(i);
         match Process::spawn(&self.options.program, &self.options.folder, &name, &self.configs[i], file) {
             Ok(process) => {
                 self.processes[i] = Some(process);
-                if self.clients.started.lock().unwrap().contains_key(&i) {
+                if self.clients.started_at.lock().unwrap().contains_key(&i) {
                     self.restarted.insert(i);
-                    self.clients.first.lock().unwrap().remove(&i);
+                    self.clients.first_response_at.lock().unwrap().remove(&i);
                 }
-                self.clients.started.lock().unwrap().insert(i, self.clients.now());
+                self.clients.started_at.lock().unwrap().insert(i, self.clients.now());
             }
             Err(why) => eprintln!("{name}: {why}"),
         }
@@ -455,42 +467,43 @@
 
     fn end(&mut self, i: usize) {
         if let Some(mut process) = self.processes[i].take() {
-            // A panic in a task that nobody waits for ends that task only: the log alone tells of it.
+            // A panic in a detached task ends only that task, so it is visible only in the log.
             self.crashed += usize::from(process.has_exited() || process.log().contains("panicked at"));
             let used = process.resource_usage();
-            let all = self.usage.entry(i).or_default();
-            (all.cpu_s, all.peak_mb) = (all.cpu_s + used.cpu_s, all.peak_mb.max(used.peak_mb));
+            let total = self.usage.entry(i).or_default();
+            (total.cpu_s, total.peak_mb) = (total.cpu_s + used.cpu_s, total.peak_mb.max(used.peak_mb));
             process.kill();
         }
     }
 
     fn pick_gateways(&mut self, part: f64) -> Vec<usize> {
-        let mut all: Vec<usize> = (0..self.options.gateways).collect();
-        all.shuffle(&mut self.rng);
-        all.truncate((part * self.options.gateways as f64).round() as usize);
-        all
+        let mut gateways: Vec<usize> = (0..self.options.gateways).collect();
+        gateways.shuffle(&mut self.rng);
+        gateways.truncate((part * self.options.gateways as f64).round() as usize);
+        gateways
     }
 
-    fn signal(&self, name: &str, of: &[usize]) {
-        let ids: Vec<u32> = of.iter().filter_map(|&i| self.processes[i].as_ref()).map(Process::id).collect();
+    fn signal(&self, name: &str, gateways: &[usize]) {
+        let ids: Vec<u32> =
+            gateways.iter().filter_map(|&i| self.processes[i].as_ref()).map(Process::id).collect();
         if let Err(why) = fleet::signal(name, &ids) {
             eprintln!("signal {name}: {why}");
         }
     }
 
-    /// Processes that are connected to a list service.
+    /// Processes that are connected to a discovery service.
     fn discovery_clients(&self) -> Vec<usize> {
-        let all: BTreeSet<usize> = self.discovery.iter().flat_map(|l| l.connected()).collect();
-        all.into_iter().collect()
+        let connected: BTreeSet<usize> = self.discovery.iter().flat_map(|l| l.connected()).collect();
+        connected.into_iter().collect()
     }
 
     fn apply(&mut self, moment: &Moment) {
         let (begins, id) = (moment.begins, format!("{:?}", moment.event));
         let previous = self.targets.remove(&id).unwrap_or_default();
         let caches: Vec<String> = (0..self.options.caches).map(|c| format!("c{c}")).collect();
-        let set_faults = |every: usize, slow: u64, bad: bool| {
+        let set_faults = |every: usize, slow: u64, failing: bool| {
             let slow = Duration::from_millis(if begins { slow } else { 0 });
-            caches.iter().step_by(every).for_each(|c| self.tier.set_fault(c, slow, bad && begins));
+            caches.iter().step_by(every).for_each(|c| self.tier.set_fault(c, slow, failing && begins));
         };
         let mut targets = Vec::new();
         match &moment.event.what {
@@ -551,24 +564,24 @@
         let at = unix_ms();
         self.tier.purge(object, at);
         self.clients.pending.lock().unwrap().purges.entry(object).or_default().push(at);
-        let list = self.rng.random_range(0..self.discovery.len());
-        self.discovery[list].push("recall", json!({"item": format!("{object:016x}"), "issued": at}));
+        let stream = self.rng.random_range(0..self.discovery.len());
+        self.discovery[stream].push("recall", json!({"item": format!("{object:016x}"), "issued": at}));
     }
 
-    /// What goes on over an event's time: its step by the part that is over.
+    /// Advances an event that acts over its duration, from one fraction of the duration to another.
     fn advance(&mut self, event: &Event, from: f64, to: f64) {
-        let (n, all) = (self.options.gateways, self.processes.len());
+        let (n, processes) = (self.options.gateways, self.processes.len());
         match event.what {
             Fault::Roll => {
                 for tenth in (0..10).filter(|t| (from..to).contains(&(f64::from(*t) / 10.0))) {
-                    let some: Vec<usize> = (0..n).filter(|i| i % 10 == tenth as usize).collect();
-                    self.signal("TERM", &some);
-                    self.rolling.extend(some);
+                    let batch: Vec<usize> = (0..n).filter(|i| i % 10 == tenth as usize).collect();
+                    self.signal("TERM", &batch);
+                    self.rolling.extend(batch);
                 }
             }
             Fault::Purges(rate) => {
-                let told = |part: f64| (part.clamp(0.0, 1.0) * event.lasts * rate) as u64;
-                for _ in told(from)..told(to) {
+                let purged_by = |part: f64| (part.clamp(0.0, 1.0) * event.lasts * rate) as u64;
+                for _ in purged_by(from)..purged_by(to) {
                     let object =
                         self.rng.random_range(1..self.options.objects) * 2 + self.rng.random_range(0..2);
                     self.purge(object);
@@ -578,18 +591,18 @@
                 let steps = [vec![key(1), key(2)], vec![key(2), key(1)], vec![key(2)]];
                 for (s, keys) in steps.iter().enumerate() {
                     if (from..to).contains(&(s as f64 / 3.0)) {
-                        for i in 0..all {
-                            self.files[i]["keys"] = json!(keys);
+                        for i in 0..processes {
+                            self.fleet_configs[i]["keys"] = json!(keys);
                             let path =
                                 self.options.folder.join(format!("{}.fleet.json", self.options.name(i)));
-                            // Replaced whole: a gateway may read it at any moment.
+                            // Replaced atomically: a gateway may read the file at any time.
                             let part = path.with_extension("new");
-                            let written = std::fs::write(&part, self.files[i].to_string());
+                            let written = std::fs::write(&part, self.fleet_configs[i].to_string());
                             if let Err(why) = written.and_then(|()| std::fs::rename(&part, &path)) {
                                 eprintln!("{}: {why}", path.display());
                             }
                         }
-                        self.signal("HUP", &(0..all).collect::<Vec<_>>());
+                        self.signal("HUP", &(0..processes).collect::<Vec<_>>());
                     }
                 }
             }
@@ -608,7 +621,7 @@
         }
     }
 
-    /// A rule and an object: what is wanted often is wanted very often.
+    /// Picks a rule and an object. Object popularity is heavily skewed; `often` picks only among the popular ones.
     fn pick_txn(&mut self, often: bool) -> (usize, u64) {
         let kind: f64 = self.rng.random();
         let rank = if often { self.rng.random_range(0.0..0.3f64) } else { self.rng.random::<f64>() };
@@ -622,15 +635,15 @@
 }
 
 fn roster_event(endpoints: &[crate::caches::CacheEndpoint], since_ms: u64) -> Value {
-    let all: Vec<Value> = endpoints
+    let listed: Vec<Value> = endpoints
         .iter()
-        .map(|p| {
-            let mut one = fleet::endpoint(p, "hub", "up");
-            one["since_ms"] = json!(since_ms);
-            one
+        .map(|endpoint| {
+            let mut entry = fleet::endpoint(endpoint, "hub", "up");
+            entry["since_ms"] = json!(since_ms);
+            entry
         })
         .collect();
-    json!({"no": 1, "roster": {"index": 0, "snapshot": true, "endpoints": all}})
+    json!({"no": 1, "roster": {"index": 0, "snapshot": true, "endpoints": listed}})
 }
 
 fn gateway_config(options: &Options, i: usize, roster: &Value) -> Value {
@@ -642,24 +655,26 @@
         memory_mb: options.memory_mb,
         seed: options.seed * 1_000 + i as u64,
     };
-    let mut all = fleet::config(&node);
-    all["listen"] = json!(client_address(i).to_string());
-    // Nothing is known at the start: the list comes from the bulletin, or from others. The feed carries no whole lists.
-    all["known"] = match options.installation {
+    let mut config = fleet::config(&node);
+    config["listen"] = json!(client_address(i).to_string());
+    // Without an installation gateways start without a list and receive it from the discovery service or from each
+    // other. The feed carries no complete lists, so with an installation the list is part of the configuration.
+    config["known"] = match options.installation {
         None => json!({"no": 0, "items": []}),
         Some(_) => json!({"no": 1, "items": [roster]}),
     };
-    all["settings"]["Instances"] = json!(options.gateways);
-    all["settings"]["FamilyInfo"]["CrewByZone"] = json!([options.gateways]);
-    all
+    config["settings"]["Instances"] = json!(options.gateways);
+    config["settings"]["FamilyInfo"]["CrewByZone"] = json!([options.gateways]);
+    config
 }
 
 fn fleet_config(options: &Options, i: usize) -> Value {
     let (site, peers) = options.site(i.min(options.gateways - 1));
     let seeds: Vec<String> =
         peers.clone().take(3).map(|s| switch::advertised_address(s).to_string()).collect();
-    // What a cache bears is that of all sites: each lends its part.
-    let part = |all: Option<u32>| all.map(|all| (all as usize * peers.len() / options.gateways).max(1));
+    // The capacity of a cache is shared by all sites, so each site gets its proportion of the limit.
+    let site_part =
+        |limit: Option<u32>| limit.map(|limit| (limit as usize * peers.len() / options.gateways).max(1));
     let foreign = (options.gateways - options.foreign..options.gateways).contains(&i);
     let mut file = json!({
         "fleet": "rig", "gateway": options.name(i), "listen": switch::bind_address(i).to_string(),
@@ -667,10 +682,10 @@
         "keys": [key(if foreign { 9 } else { 1 })],
         "members": {"expected": peers.len()},
         "relays": {"on": options.relays},
-        "budgets": {"connections": part(options.connections), "fills": options.fills,
-            "fills_at_cache": part(options.fills_at_cache)},
+        "budgets": {"connections": site_part(options.connections), "fills": options.fills,
+            "fills_at_cache": site_part(options.fills_at_cache)},
     });
-    let Some(all) = options.installation else { return file };
+    let Some(installation) = options.installation else { return file };
     let site_name = |site: usize| format!("site{site}");
     let hub = |h: usize| {
         let address = switch::advertised_address(options.gateways + h).to_string();
@@ -680,12 +695,12 @@
         let address = fleet_discovery::address(s, i).to_string();
         json!({"name": format!("list{s}"), "address": address, "known": usize::from(s == 0)})
     };
-    let streams: Vec<Value> = (0..all.streams).map(stream).collect();
-    let hubs: Vec<Value> = (0..all.hubs).map(hub).collect();
+    let streams: Vec<Value> = (0..installation.streams).map(stream).collect();
+    let hubs: Vec<Value> = (0..installation.hubs).map(hub).collect();
     file["fleet"] = json!(site_name(site));
     file["feed"] = json!({"name": "rig", "site": site_name(site), "streams": streams, "hubs": hubs});
     if i >= options.gateways {
-        let sites: Vec<String> = (0..all.sites).map(site_name).collect();
+        let sites: Vec<String> = (0..installation.sites).map(site_name).collect();
         file["fleet"] = json!("control");
         file["seeds"] = json!([]);
         file["feed"]["site"] = json!("control");
@@ -698,11 +713,11 @@
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// The seed of a hub's key and what is known of it.
+/// Seed and public key of a hub.
 fn hub_key_pair(hub: usize) -> ([u8; 32], Vec<u8>) {
     let seed = [hub as u8 + 1; 32];
     let public = Ed25519KeyPair::from_seed_unchecked(&seed).map(|k| k.public_key().as_ref().to_vec());
-    // Any 32 bytes are a seed.
+    // Never empty: any 32 bytes are a valid seed.
     (seed, public.unwrap_or_default())
 }
 
@@ -722,26 +737,26 @@
     let times = cache_tier::Latencies { hit: ms(3), fill: ms(8), origin: ms(60) };
     let (tier, endpoints) =
         CacheTier::start(&executor, &members, (times, options.cache_capacity), object_len)?;
-    let (roster, all) = (roster_event(&endpoints, unix_ms()), options.gateways + options.hubs());
-    let list = |s: usize| {
+    let (roster, processes) = (roster_event(&endpoints, unix_ms()), options.gateways + options.hubs());
+    let start_discovery = |s: usize| {
         let first = if s == 0 { vec![roster.clone()] } else { Vec::new() };
-        FleetDiscovery::start(&executor, (s, all), options.discovery_capacity, first)
+        FleetDiscovery::start(&executor, (s, processes), options.discovery_capacity, first)
     };
-    let discovery = (0..options.streams()).map(list).collect::<std::io::Result<Vec<_>>>()?;
-    let switch = Switch::start(all + options.extra_members, options.seed, options.conditions)?;
+    let discovery = (0..options.streams()).map(start_discovery).collect::<std::io::Result<Vec<_>>>()?;
+    let switch = Switch::start(processes + options.extra_members, options.seed, options.conditions)?;
     let clients = Arc::new(Clients {
         start: Instant::now(),
         pending: Mutex::default(),
         report: Mutex::new(Report::new(&RULES)),
-        first: Mutex::default(),
-        started: Mutex::default(),
+        first_response_at: Mutex::default(),
+        started_at: Mutex::default(),
         stale: Mutex::default(),
     });
     let mut run = Run {
         options,
-        processes: (0..all).map(|_| None).collect(),
-        configs: (0..all).map(|i| gateway_config(options, i, &roster)).collect(),
-        files: (0..all).map(|i| fleet_config(options, i)).collect(),
+        processes: (0..processes).map(|_| None).collect(),
+        configs: (0..processes).map(|i| gateway_config(options, i, &roster)).collect(),
+        fleet_configs: (0..processes).map(|i| fleet_config(options, i)).collect(),
         discovery,
         tier,
         switch,
@@ -756,19 +771,19 @@
     };
     let mut requests = Vec::new();
     for i in 0..options.gateways {
-        let (ask, receiver) = async_channel::unbounded();
+        let (request, receiver) = async_channel::unbounded();
         executor.spawn(Arc::clone(&clients).run_connection(i, receiver)).detach();
-        requests.push(ask);
+        requests.push(request);
     }
     let mut order: Vec<usize> = (0..options.gateways).collect();
     order.shuffle(&mut run.rng);
-    // What is to happen at the very start has happened before the first gateway asks.
+    // Faults at second 0 are in effect before the first gateway connects.
     let mut moments = fleet_plan::moments(&options.plan).into_iter().peekable();
     while let Some(moment) = moments.next_if(|m| m.at <= 0.0 && m.begins) {
         run.apply(&moment);
     }
     let began = clients.now();
-    (options.gateways..all).chain(order).for_each(|i| run.spawn(i));
+    (options.gateways..processes).chain(order).for_each(|i| run.spawn(i));
     let spawn_s = clients.now() - began;
     let (mut next, mut next_sweep, mut trace, mut last) = (clients.now(), 1.0, 0u64, 0.0);
     while clients.now() < options.seconds {
@@ -793,7 +808,7 @@
             trace += 1;
             let (rule, object) = run.pick_txn(false);
             let i = run.rng.random_range(0..options.gateways);
-            // The receiver lives as long as the run.
+            // Cannot fail: the receiver lives as long as the run.
             _ = requests[i].try_send((rule, object, options.seed << 40 | trace));
         }
         thread::sleep(Duration::from_secs_f64((next - clients.now()).clamp(0.0, 0.005)));
@@ -805,10 +820,10 @@
         clients.expire(false);
     }
     clients.expire(true);
-    let live: Vec<usize> = (0..all).filter(|&i| run.processes[i].is_some()).collect();
+    let live: Vec<usize> = (0..processes).filter(|&i| run.processes[i].is_some()).collect();
     let counters_at_s = clients.now();
     run.signal("USR1", &live);
-    let told = |p: &Process| {
+    let counters_of = |p: &Process| {
         let log = p.log();
         log.lines().rfind(|l| l.contains("now: clients")).map(fleet::counters).unwrap_or_default()
     };
@@ -816,17 +831,21 @@
     let (counters, hub_counters) = loop {
         thread::sleep(Duration::from_millis(200));
         let (gateways, hubs) = run.processes.split_at(options.gateways);
-        let of = |some: &[Option<Process>]| some.iter().flatten().map(told).collect::<Vec<_>>();
-        let all = (of(gateways), of(hubs));
-        if all.0.iter().chain(&all.1).all(|c| !c.is_empty()) || wait.elapsed() > Duration::from_secs(10) {
-            break all;
+        let read_all =
+            |group: &[Option<Process>]| group.iter().flatten().map(counters_of).collect::<Vec<_>>();
+        let counters = (read_all(gateways), read_all(hubs));
+        if counters.0.iter().chain(&counters.1).all(|c| !c.is_empty())
+            || wait.elapsed() > Duration::from_secs(10)
+        {
+            break counters;
         }
     };
-    (0..all).for_each(|i| run.end(i));
+    (0..processes).for_each(|i| run.end(i));
     let mut report = std::mem::replace(&mut *clients.report.lock().unwrap(), Report::new(&RULES));
     report.record_executions(&run.tier.executions());
     let stale = clients.stale.lock().unwrap();
-    // How late hundreds of processes on a few cores hear of it is the machine's as well: its part is told apart.
+    // With hundreds of processes on a few cores the machine delays purges too; its grace is separate from the
+    // gateways'.
     let late = options.propagation_ms + PURGE_GRACE_MS + (SCHEDULING_GRACE_S * 1e3) as u64;
     report.violations.stale = stale.iter().filter(|(_, after)| *after > late).count() as u64;
     let mut after: Vec<u64> = stale.iter().map(|s| s.1).collect();
@@ -841,13 +860,13 @@
             latest_ms: after.last().copied().unwrap_or(0),
         }
     };
-    let (first, started) = (clients.first.lock().unwrap(), clients.started.lock().unwrap());
+    let (first, started) = (clients.first_response_at.lock().unwrap(), clients.started_at.lock().unwrap());
     let to_first = |again: bool| {
-        let of = first.iter().filter(|(i, _)| run.restarted.contains(i) == again);
-        let mut all: Vec<f64> =
-            of.filter_map(|(i, at)| Some(at - started.get(i)?)).filter(|s| *s >= 0.0).collect();
-        all.sort_by(f64::total_cmp);
-        (all.get(all.len() / 2).copied().unwrap_or(-1.0), all.last().copied().unwrap_or(-1.0))
+        let selected = first.iter().filter(|(i, _)| run.restarted.contains(i) == again);
+        let mut seconds: Vec<f64> =
+            selected.filter_map(|(i, at)| Some(at - started.get(i)?)).filter(|s| *s >= 0.0).collect();
+        seconds.sort_by(f64::total_cmp);
+        (seconds.get(seconds.len() / 2).copied().unwrap_or(-1.0), seconds.last().copied().unwrap_or(-1.0))
     };
     let (first_served_s, first_served_again_s) = (to_first(false), to_first(true));
     let served_95_at_s = (0..options.seconds as usize).find(|&s| report.share(s, s + 2) >= 0.95);
@@ -874,23 +893,23 @@
     })
 }
 
-/// Mean and most of a counter over the gateways.
-fn mean_and_max(all: &[BTreeMap<String, f64>], name: &str) -> (f64, f64) {
-    let values: Vec<f64> = all.iter().filter_map(|c| c.get(name).copied()).collect();
+/// Mean and maximum of a counter over the processes.
+fn mean_and_max(processes: &[BTreeMap<String, f64>], name: &str) -> (f64, f64) {
+    let values: Vec<f64> = processes.iter().filter_map(|c| c.get(name).copied()).collect();
     let sum: f64 = values.iter().sum();
     (sum / values.len().max(1) as f64, values.iter().copied().fold(0.0, f64::max))
 }
 
-/// The run's figures as they are printed with `--json`.
+/// The results as `--json` writes them.
 pub fn json(options: &Options, outcome: &Outcome) -> Value {
     let kind = |c: char| {
-        let of: Vec<&cache_tier::Counts> =
+        let values: Vec<&cache_tier::Counts> =
             outcome.caches.iter().filter(|(n, _)| n.starts_with(c)).map(|(_, c)| c).collect();
-        let most = |f: fn(&cache_tier::Counts) -> usize| of.iter().map(|c| f(c)).max().unwrap_or(0);
+        let max = |f: fn(&cache_tier::Counts) -> usize| values.iter().map(|c| f(c)).max().unwrap_or(0);
         json!({
-            "most_connections": most(|c| c.most_connections), "most_cold_fills": most(|c| c.most_cold_fills),
-            "fallen": of.iter().map(|c| c.fallen).sum::<u64>(),
-            "connections": of.iter().map(|c| c.connections).sum::<u64>(),
+            "most_connections": max(|c| c.most_connections), "most_cold_fills": max(|c| c.most_cold_fills),
+            "fallen": values.iter().map(|c| c.fallen).sum::<u64>(),
+            "connections": values.iter().map(|c| c.connections).sum::<u64>(),
         })
     };
     let names = [
@@ -934,22 +953,22 @@
         "fleet feed purges",
         "fleet feed repaired",
     ];
-    let told = |of: &[BTreeMap<String, f64>]| -> serde_json::Map<String, Value> {
-        let known = |n: &&&str| of.iter().any(|c| c.contains_key(**n));
+    let summary = |values: &[BTreeMap<String, f64>]| -> serde_json::Map<String, Value> {
+        let is_present = |n: &&&str| values.iter().any(|c| c.contains_key(**n));
         let one = |n: &&str| {
-            let (mean, most) = mean_and_max(of, n);
-            (n.to_string(), json!({"mean": mean, "most": most}))
+            let (mean, max) = mean_and_max(values, n);
+            (n.to_string(), json!({"mean": mean, "most": max}))
         };
-        names.iter().filter(known).map(one).collect()
+        names.iter().filter(is_present).map(one).collect()
     };
-    let a_second = |way: &str| {
+    let bytes_per_s = |direction: &str| {
         let all = |c: &BTreeMap<String, f64>| {
-            let of = |what: &str| c.get(&format!("{what} {way}")).copied().unwrap_or(0.0);
-            (of("fleet bytes") + of("fleet feed bytes")) / outcome.counters_at_s
+            let values = |what: &str| c.get(&format!("{what} {direction}")).copied().unwrap_or(0.0);
+            (values("fleet bytes") + values("fleet feed bytes")) / outcome.counters_at_s
         };
         let all = outcome.counters.iter().map(all);
-        let (sum, most) = all.fold((0.0, 0.0f64), |(sum, most), n| (sum + n, most.max(n)));
-        json!({"mean": sum / outcome.counters.len().max(1) as f64, "most": most})
+        let (sum, max) = all.fold((0.0, 0.0f64), |(sum, max), n| (sum + n, max.max(n)));
+        json!({"mean": sum / outcome.counters.len().max(1) as f64, "most": max})
     };
     let streams = || -> Vec<Value> {
         let one = |(s, (last, counts)): (usize, &(u64, fleet_discovery::Counts))| {
@@ -974,27 +993,27 @@
         "cpu_s": {"mean": outcome.usage.iter().map(|u| u.cpu_s).sum::<f64>() / n,
             "most": outcome.usage.iter().map(|u| u.cpu_s).fold(0.0, f64::max)},
         "peak_mb": outcome.usage.iter().map(|u| u.peak_mb).fold(0.0, f64::max),
-        "control_bytes_a_second": {"in": a_second("in"), "out": a_second("out")},
+        "control_bytes_a_second": {"in": bytes_per_s("in"), "out": bytes_per_s("out")},
         "installation": options.installation.map(|all| json!({"size": all, "streams": streams(),
-            "hubs": {"counters": told(&outcome.hub_counters),
+            "hubs": {"counters": summary(&outcome.hub_counters),
                 "cpu_s": outcome.hub_usage.iter().map(|u| u.cpu_s).collect::<Vec<_>>(),
                 "peak_mb": outcome.hub_usage.iter().map(|u| u.peak_mb).collect::<Vec<_>>()}})),
-        "counters": told(&outcome.counters), "report": outcome.report.json(),
+        "counters": summary(&outcome.counters), "report": outcome.report.json(),
     })
 }
 
 pub fn table(options: &Options, outcome: &Outcome) -> String {
-    let all = json(options, outcome);
+    let results = json(options, outcome);
     let mut out = outcome.report.table();
     let mut line = |what: &str, text: String| out.push_str(&format!("{what:44} {text}\n"));
     line("gateways, spawned over s", format!("{}, {:.2}", options.gateways, outcome.spawn_s));
     let served = outcome.served_95_at_s.map_or("not in this run".to_owned(), |s| format!("{s} s"));
     line("0.95 of importance served from", served);
-    let (median, most) = outcome.first_served_s;
-    line("first served after a start, median, most s", format!("{median:.2}, {most:.2}"));
+    let (median, max) = outcome.first_served_s;
+    line("first served after a start, median, most s", format!("{median:.2}, {max:.2}"));
     if outcome.first_served_again_s.1 >= 0.0 {
-        let (median, most) = outcome.first_served_again_s;
-        line("the same for those started again", format!("{median:.2}, {most:.2}"));
+        let (median, max) = outcome.first_served_again_s;
+        line("the same for those started again", format!("{median:.2}, {max:.2}"));
     }
     let b = &outcome.discovery;
     line(
@@ -1006,14 +1025,14 @@
         format!("{}, {}, {}, {}", b.lines, b.bytes / 1024, b.refused, b.longest_wait_ms),
     );
     for (name, kind) in [("caches", "caches"), ("parents", "parents")] {
-        let k = &all[kind];
+        let k = &results[kind];
         line(
             &format!("{name}: most connections, cold fills, fallen"),
             format!("{}, {}, {}", k["most_connections"], k["most_cold_fills"], k["fallen"]),
         );
     }
-    let (mean, most, n) = outcome.fetches;
-    line("store: fetches of an object, mean, most, of", format!("{mean:.2}, {most}, {n}"));
+    let (mean, max, n) = outcome.fetches;
+    line("store: fetches of an object, mean, most, of", format!("{mean:.2}, {max}, {n}"));
     let p = &outcome.after_purge;
     line("purges told, reads soon after one", format!("{}, {}", p.purges, p.reads));
     line(
@@ -1025,26 +1044,27 @@
         "CPU of a gateway, mean, most s; memory MB",
         format!(
             "{:.2}, {:.2}; {:.1}",
-            all["cpu_s"]["mean"].as_f64().unwrap_or(0.0),
-            all["cpu_s"]["most"].as_f64().unwrap_or(0.0),
-            all["peak_mb"].as_f64().unwrap_or(0.0)
+            results["cpu_s"]["mean"].as_f64().unwrap_or(0.0),
+            results["cpu_s"]["most"].as_f64().unwrap_or(0.0),
+            results["peak_mb"].as_f64().unwrap_or(0.0)
         ),
     );
-    let mean_and_most = |of: &Value| {
-        format!("{:.1}, {:.0}", of["mean"].as_f64().unwrap_or(0.0), of["most"].as_f64().unwrap_or(0.0))
+    let mean_and_max = |value: &Value| {
+        format!("{:.1}, {:.0}", value["mean"].as_f64().unwrap_or(0.0), value["most"].as_f64().unwrap_or(0.0))
     };
     if options.fleet {
-        for (way, of) in all["control_bytes_a_second"].as_object().into_iter().flatten() {
-            line(&format!("control bytes {way} a second, mean, most"), mean_and_most(of));
+        for (direction, value) in results["control_bytes_a_second"].as_object().into_iter().flatten() {
+            line(&format!("control bytes {direction} a second, mean, most"), mean_and_max(value));
         }
-        for (name, of) in all["counters"].as_object().into_iter().flatten() {
-            line(&format!("{name}, mean, most"), mean_and_most(of));
+        for (name, value) in results["counters"].as_object().into_iter().flatten() {
+            line(&format!("{name}, mean, most"), mean_and_max(value));
         }
     }
-    let hubs = &all["installation"]["hubs"];
-    for (s, stream) in all["installation"]["streams"].as_array().into_iter().flatten().enumerate() {
-        let told = format!("{}, {}, {}", stream["last"], stream["done_in_touch"], stream["done_everywhere"]);
-        line(&format!("stream {s}: last, hubs' done in touch, everywhere"), told);
+    let hubs = &results["installation"]["hubs"];
+    for (s, stream) in results["installation"]["streams"].as_array().into_iter().flatten().enumerate() {
+        let event_nos =
+            format!("{}, {}, {}", stream["last"], stream["done_in_touch"], stream["done_everywhere"]);
+        line(&format!("stream {s}: last, hubs' done in touch, everywhere"), event_nos);
         let receiver = &stream["asked"];
         line(
             &format!("stream {s}: connections, most at once, KB"),
@@ -1056,8 +1076,8 @@
             ),
         );
     }
-    for (name, of) in hubs["counters"].as_object().into_iter().flatten() {
-        line(&format!("hubs: {name}, mean, most"), mean_and_most(of));
+    for (name, value) in hubs["counters"].as_object().into_iter().flatten() {
+        line(&format!("hubs: {name}, mean, most"), mean_and_max(value));
     }
     if options.installation.is_some() {
         line("hubs: CPU s; memory MB", format!("{}; {}", hubs["cpu_s"], hubs["peak_mb"]));
@@ -1068,7 +1088,8 @@
     out
 }
 
-/// Rules whose break fails the run. Txns whose gateway was stopped are not answered, and nobody is to blame.
+/// Whether violations or crashes fail the run. If gateways were suspended, unanswered and late txns are not counted,
+/// as those are expected.
 pub fn failed(outcome: &Outcome) -> bool {
     let mut violations = outcome.report.violations.clone();
     if !outcome.stopped.is_empty() {
--- a/rig/src/keys.rs
+++ b/rig/src/keys.rs
@@ -1,4 +1,4 @@
-//! Certificates for trying things out: an authority of its own and a certificate for each site. Not for service.
+//! Test certificates: a private authority and one certificate per site. Not for production use.
 
 use rcgen::{BasicConstraints, CertificateParams, CertifiedIssuer, IsCa, KeyPair};
 use std::path::{Path, PathBuf};
@@ -22,7 +22,7 @@
         Ok(Authority { issuer: CertifiedIssuer::self_signed(params, KeyPair::generate()?)? })
     }
 
-    /// Writes SITE.pem, SITE.key and roots.pem into the folder.
+    /// Writes `SITE.pem`, `SITE.key` and `roots.pem` into the folder.
     pub fn write(&self, folder: &Path, site: &str) -> Result<(), CertificateError> {
         let key = KeyPair::generate()?;
         let certificate = CertificateParams::new(vec![site.to_owned()])?.signed_by(&key, &self.issuer)?;
--- a/rig/src/lib.rs
+++ b/rig/src/lib.rs
@@ -1,5 +1,7 @@
-//! Stand-ins, links that misbehave by a plan, and the checks of the rules, for measurements and for loopback tests.
-//! Everything stays on 127.0.0.1 and ends with who started it. All servers are simulated; the gateways are real.
+//! End-to-end test harness: simulated servers and clients, link emulation with fault injection, and invariant checks,
+//! for measurements and loopback tests. The gateways are real processes; every other server is simulated.
+//!
+//! Invariant: all traffic stays on 127.0.0.0/8, and nothing outlives the process that started it.
 
 pub mod cache_tier;
 pub mod caches;
--- a/rig/src/link_emulator.rs
+++ b/rig/src/link_emulator.rs
@@ -1,25 +1,28 @@
-//! What one direction of a link does to a datagram: when it arrives, how often, or not at all. No I/O and no clock:
-//! times are seconds of the caller's.
+//! Emulates one direction of a link: delay, jitter, loss, duplication, reordering and a rate limit. Performs no I/O
+//! and reads no clock; times are in seconds on the caller's clock.
 
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 
+/// Properties of a link; they apply to each direction.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct LinkConditions {
     pub delay_ms: f64,
-    /// Up to so much more, spread evenly; order is kept.
+    /// Maximum additional delay, uniformly distributed; order is preserved.
     pub jitter_ms: f64,
+    /// Probability that a datagram is lost.
     pub loss: f64,
+    /// Probability that a datagram arrives twice.
     pub duplicate: f64,
-    /// The part that is overtaken by what comes behind.
+    /// Probability that a datagram is overtaken by later ones.
     pub reorder: f64,
-    /// KB a second; 0: no bound.
+    /// Rate limit in KB per second; 0 means unlimited.
     pub rate_kb: f64,
-    /// KB that wait for it; what comes beyond that is lost.
+    /// Queue in front of the rate limit in KB; datagrams beyond it are lost.
     pub queue_kb: f64,
-    /// Nothing passes, there and back.
+    /// Blocks a direction entirely: outbound, return.
     #[serde(rename = "dark")]
     pub blocked: [bool; 2],
 }
@@ -39,17 +42,19 @@
     }
 }
 
+/// State of one direction of a link.
 #[derive(Debug, Default)]
 pub struct LinkDirection {
-    /// When the narrow place is free, and the last that was due in order.
+    /// When the rate limit admits the next datagram.
     link_free_at: f64,
+    /// Latest arrival among datagrams that were not reordered.
     last_in_order: f64,
     pub passed: u64,
     pub lost: u64,
 }
 
 impl LinkDirection {
-    /// When the datagram arrives: never, once, or twice.
+    /// Returns the arrival times of a datagram: none (lost), one, or two (duplicated).
     pub fn arrivals(
         &mut self,
         now: f64,
@@ -98,7 +103,7 @@
     use rand::SeedableRng;
 
     quickcheck! {
-        fn order_and_delay_hold_where_nothing_is_overtaken(gaps: Vec<u8>, delay: u8, jitter: u8) -> bool {
+        fn order_and_delay_are_kept_without_reordering(gaps: Vec<u8>, delay: u8, jitter: u8) -> bool {
             let conditions = LinkConditions { delay_ms: delay.into(), jitter_ms: jitter.into(), ..LinkConditions::default() };
             let (mut link, mut rng) = (LinkDirection::default(), Pcg64Mcg::seed_from_u64(7));
             let (mut now, mut last_in_order) = (0.0, 0.0);
@@ -114,7 +119,7 @@
     }
 
     #[test]
-    fn a_narrow_place_carries_its_rate_and_loses_what_waits_too_long() {
+    fn a_rate_limit_is_kept_and_excess_datagrams_are_lost() {
         let conditions = LinkConditions { rate_kb: 100.0, queue_kb: 10.0, ..LinkConditions::default() };
         let (mut link, mut rng) = (LinkDirection::default(), Pcg64Mcg::seed_from_u64(7));
         let arrival: Vec<f64> =
@@ -125,7 +130,7 @@
     }
 
     #[test]
-    fn loss_and_repeats_come_as_often_as_they_are_told_to() {
+    fn loss_and_duplication_match_their_probabilities() {
         let conditions = LinkConditions { loss: 0.1, duplicate: 0.05, ..LinkConditions::default() };
         let (mut link, mut rng) = (LinkDirection::default(), Pcg64Mcg::seed_from_u64(7));
         let all: Vec<usize> =
--- a/rig/src/main.rs
+++ b/rig/src/main.rs
@@ -1,4 +1,5 @@
-//! `kelpcart-rig`: plays days on real gateways between stand-ins and exits non-zero when a rule is broken.
+//! `kelpcart-rig`: runs real gateways against simulated servers and exits with a non-zero status when an invariant is
+//! violated.
 
 use clap::{Parser, Subcommand, ValueEnum};
 use kelpcart_rig::keys::Authority;
@@ -10,7 +11,7 @@
 use std::process::ExitCode;
 
 #[derive(Parser)]
-#[command(about = "Plays days on real gateways between stand-ins on loopback; all servers are simulated.")]
+#[command(about = "End-to-end test harness: runs real gateways against simulated servers on loopback.")]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -18,15 +19,15 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Two sites with a slow, lossy link between them.
+    /// Run two sites with a slow, lossy link between them.
     Sites(Box<SitesArgs>),
-    /// Two sites, the far one's gateways keeping copies of what they promise, and machines lost with their disks.
+    /// Run two sites whose remote gateways replicate their ledger, and lose machines with their disks.
     Copies(Box<CopiesArgs>),
-    /// A whole fleet that starts at once between stand-ins that can be swamped.
+    /// Run a whole fleet, started at once, against simulated servers that can be overloaded.
     Fleet(Box<FleetArgs>),
-    /// Certificates for trying things out: an authority and one for each site named.
+    /// Write test certificates: an authority and one certificate for each named site.
     Keys {
-        /// The folder they are written to.
+        /// Folder to which the certificates are written.
         folder: PathBuf,
         #[arg(required = true)]
         sites: Vec<String>,
@@ -35,7 +36,7 @@
 
 #[derive(Clone, Copy, ValueEnum)]
 enum SitesLedger {
-    /// What is in doubt is never asked about.
+    /// The outcome of a lost hop is never asked for.
     None,
     Memory,
     Disk,
@@ -56,86 +57,101 @@
 
 #[derive(clap::Args)]
 struct SitesArgs {
+    /// Duration of the run in seconds.
     #[arg(long, default_value_t = 20.0)]
     seconds: f64,
+    /// Seed of the random number generators.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Each way.
+    /// Delay of the link in each direction, in milliseconds.
     #[arg(long, default_value_t = 80.0)]
     delay_ms: f64,
+    /// Maximum additional delay, in milliseconds.
     #[arg(long, default_value_t = 20.0)]
     jitter_ms: f64,
-    /// The part of datagrams that is lost each way; so are the next two.
+    /// Fraction of datagrams lost in each direction.
     #[arg(long, default_value_t = 0.02)]
     loss: f64,
+    /// Fraction of datagrams duplicated in each direction.
     #[arg(long, default_value_t = 0.0)]
     duplicate: f64,
+    /// Fraction of datagrams reordered in each direction.
     #[arg(long, default_value_t = 0.0)]
     reorder: f64,
-    /// KB a second each way; 0: no bound.
+    /// Rate limit in each direction, in KB per second; 0 means unlimited.
     #[arg(long, default_value_t = 0.0)]
     rate_kb: f64,
+    /// Queue in front of the rate limit, in KB.
     #[arg(long, default_value_t = 256.0)]
     queue_kb: f64,
-    /// What happens and when, as JSON; in place of the next four.
+    /// Fault plan (JSON file), in place of --cut-every, --cut-for, --dark-at and --dark-for.
     #[arg(long)]
     plan: Option<PathBuf>,
-    /// A cut about each so many seconds; 0: none.
+    /// Mean interval between short link outages, in seconds; 0 means none.
     #[arg(long, default_value_t = 0.0)]
     cut_every: f64,
+    /// Duration of a short outage, in seconds.
     #[arg(long, default_value_t = 2.5)]
     cut_for: f64,
-    /// The far site is dark from this second on.
+    /// Start of a long outage of all links, in seconds from the start.
     #[arg(long)]
     dark_at: Option<f64>,
+    /// Duration of the long outage, in seconds.
     #[arg(long, default_value_t = 60.0)]
     dark_for: f64,
-    /// Far gateways, and links to each.
+    /// Number of remote gateways.
     #[arg(long, default_value_t = 1)]
     fars: usize,
+    /// Number of links to each remote gateway.
     #[arg(long, default_value_t = 1)]
     links: usize,
-    /// Txns a second, and the parts of media and book.
+    /// Txns per second.
     #[arg(long, default_value_t = 60.0)]
     rate: f64,
+    /// Fraction of txns under the rule media.
     #[arg(long, default_value_t = 0.5)]
     media: f64,
+    /// Fraction of txns under the rule book (unrepeatable writes).
     #[arg(long, default_value_t = 0.1)]
     book: f64,
+    /// Number of objects that clients request.
     #[arg(long, default_value_t = 5_000)]
     objects: u64,
+    /// Where the remote gateways keep their ledger.
     #[arg(long, value_enum, default_value = "memory")]
     ledger: SitesLedger,
+    /// Whether hops between the sites use a QUIC stream each or share one.
     #[arg(long, value_enum, default_value = "streams")]
     carrier: Carrier,
+    /// Congestion control of the links.
     #[arg(long, value_enum, default_value = "delay")]
     congestion: Congestion,
-    /// A purge each so many seconds; 0: none.
+    /// Interval between purges, in seconds; 0 means none.
     #[arg(long, default_value_t = 3.0)]
     purge_every: f64,
-    /// The far site hears of it so many seconds later.
+    /// Delay until the remote site receives a purge, in seconds.
     #[arg(long, default_value_t = 2.0)]
     purge_late: f64,
-    /// Memory of a gateway.
+    /// Memory limit of each gateway, in MB.
     #[arg(long, default_value_t = 96)]
     memory_mb: u64,
-    /// Where files of the run go; else a folder that is removed at its end.
+    /// Folder for the run's files, which is kept; by default a temporary folder that is removed afterwards.
     #[arg(long)]
     folder: Option<PathBuf>,
-    /// The gateway; else the one beside this program.
+    /// Gateway executable; by default the one beside this program.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// The figures as JSON, too.
+    /// Also write the results to this file as JSON.
     #[arg(long)]
     json: Option<PathBuf>,
-    /// The gateways' counters at the end, too.
+    /// Also print the gateways' counters at the end.
     #[arg(long)]
     counters: bool,
 }
 
 #[derive(Clone, Copy, ValueEnum, PartialEq)]
 enum CopiesLedger {
-    /// What is in doubt is never asked about.
+    /// The outcome of a lost hop is never asked for.
     None,
     Memory,
     Disk,
@@ -144,56 +160,70 @@
 
 #[derive(clap::Args)]
 struct CopiesArgs {
-    /// Gateways at both sites together; a third of them are near ones, where the clients are.
+    /// Number of gateways at both sites; a third of them are at the local site, where the clients are.
     #[arg(long, default_value_t = 9)]
     gateways: usize,
+    /// Duration of the run in seconds.
     #[arg(long, default_value_t = 60.0)]
     seconds: f64,
+    /// Seed of the random number generators.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Who keeps what was promised: several gateways, or each for itself.
+    /// Where the ledger is kept: replicated over several remote gateways, or by each for itself.
     #[arg(long, value_enum, default_value = "copies")]
     ledger: CopiesLedger,
+    /// Replicas of each group: 3 or 5.
     #[arg(long, default_value_t = 3)]
     copies: usize,
+    /// Number of replica groups.
     #[arg(long, default_value_t = 2)]
     groups: u32,
+    /// Number of zones over which the remote gateways are spread.
     #[arg(long, default_value_t = 3)]
     zones: usize,
-    /// Copies bring endings to a disk, too.
+    /// Replicas also write the outcomes of hops to a disk.
     #[arg(long)]
     disk: bool,
-    /// A far machine is lost with its disk about each so many seconds, for so long; 0: none.
+    /// Interval between losses of a remote machine with its disk, in seconds; 0 means none.
     #[arg(long, default_value_t = 20.0)]
     lose_every: f64,
+    /// Time until a lost machine is started again, in seconds.
     #[arg(long, default_value_t = 4.0)]
     lose_for: f64,
-    /// What happens and when, as JSON, in place of that.
+    /// Fault plan (JSON file), in place of --lose-every and --lose-for.
     #[arg(long)]
     plan: Option<PathBuf>,
-    /// Txns a second, and the part of books.
+    /// Txns per second.
     #[arg(long, default_value_t = 60.0)]
     rate: f64,
+    /// Fraction of txns under the rule book (unrepeatable writes).
     #[arg(long, default_value_t = 0.4)]
     book: f64,
-    /// Between the sites, each way.
+    /// Delay between the sites in each direction, in milliseconds.
     #[arg(long, default_value_t = 20.0)]
     delay_ms: f64,
+    /// Fraction of datagrams lost between the sites in each direction.
     #[arg(long, default_value_t = 0.01)]
     loss: f64,
-    /// Between the far gateways, each way.
+    /// Delay between the remote gateways in each direction, in milliseconds.
     #[arg(long, default_value_t = 0.3)]
     between_ms: f64,
+    /// Fraction of datagrams lost between the remote gateways.
     #[arg(long, default_value_t = 0.0)]
     between_loss: f64,
+    /// Memory limit of each gateway, in MB.
     #[arg(long, default_value_t = 96)]
     memory_mb: u64,
+    /// Folder for the run's files, which is kept; by default a temporary folder that is removed afterwards.
     #[arg(long)]
     folder: Option<PathBuf>,
+    /// Gateway executable; by default the one beside this program.
     #[arg(long)]
     program: Option<PathBuf>,
+    /// Also write the results to this file as JSON.
     #[arg(long)]
     json: Option<PathBuf>,
+    /// Also print the gateways' counters at the end.
     #[arg(long)]
     counters: bool,
 }
@@ -203,14 +233,14 @@
     Ok(Plan::parse(&text)?)
 }
 
-/// Plays a day between two sites and prints what became of each rule; a folder of the run's own is removed.
+/// Runs two sites and prints the report; the folder is removed unless it is to be kept.
 fn run_and_report(
     options: &Options,
     keep_folder: bool,
 ) -> Result<sites::Outcome, Box<dyn std::error::Error>> {
     let outcome = sites::run(options);
     if !keep_folder {
-        // It is gone already where the run never came so far.
+        // Fails if the run ended before it created the folder.
         _ = std::fs::remove_dir_all(&options.folder);
     }
     let outcome = outcome?;
@@ -223,12 +253,12 @@
     let remote_gateways = args.gateways.saturating_sub(local_gateways);
     if !matches!(args.copies, 3 | 5) || !(args.copies..=64).contains(&remote_gateways) {
         return Err(
-            "--copies is 3 or 5; two thirds of --gateways are far ones, as many as copies and 64 at most"
+            "--copies must be 3 or 5; the remote two thirds of --gateways must be at least --copies and at most 64"
                 .into(),
         );
     }
     if !(args.seconds >= 1.0 && args.rate > 0.0 && (0.0..=0.9).contains(&args.book)) {
-        return Err("--seconds is at least 1, --rate above 0, --book 0 to 0.9".into());
+        return Err("--seconds must be at least 1, --rate above 0, --book between 0 and 0.9".into());
     }
     let plan = match &args.plan {
         Some(path) => read_plan(path)?,
@@ -298,82 +328,101 @@
     Ok(!outcome.report.violations.any() && !outcome.crashed)
 }
 
-/// Remedies that can be left out.
+/// Features of the fleet that can be disabled.
 #[derive(Clone, Copy, ValueEnum, PartialEq)]
 enum Feature {
-    /// Each gateway for itself, as without the feature.
+    /// No fleet: each gateway runs on its own.
     Fleet,
-    /// Each asks the bulletin.
+    /// No relays: each gateway connects to the discovery service.
     Relays,
+    /// No shared limit of connections.
     Connections,
+    /// No shared limit of fills of one object.
     Fills,
+    /// No shared limit of fills at one cache.
     FillsAtCache,
 }
 
 #[derive(clap::Args)]
 struct FleetArgs {
+    /// Number of gateways.
     #[arg(long, default_value_t = 50)]
     gateways: usize,
+    /// Duration of the run in seconds.
     #[arg(long, default_value_t = 20.0)]
     seconds: f64,
+    /// Seed of the random number generators.
     #[arg(long, default_value_t = 1)]
     seed: u64,
+    /// Number of caches.
     #[arg(long, default_value_t = 24)]
     caches: usize,
+    /// Number of parents.
     #[arg(long, default_value_t = 4)]
     parents: usize,
-    /// Txns a second at each gateway.
+    /// Txns per second at each gateway.
     #[arg(long, default_value_t = 3.0)]
     rate: f64,
+    /// Number of objects that clients request.
     #[arg(long, default_value_t = 2_000)]
     objects: u64,
-    /// What happens and when, as JSON.
+    /// Fault plan (JSON file).
     #[arg(long)]
     plan: Option<PathBuf>,
-    /// Between gateways, each way.
+    /// Delay between gateways in each direction, in milliseconds.
     #[arg(long, default_value_t = 0.3)]
     delay_ms: f64,
+    /// Fraction of datagrams lost between gateways.
     #[arg(long, default_value_t = 0.0)]
     loss: f64,
+    /// Feature to disable; may be given several times.
     #[arg(long, value_enum)]
     without: Vec<Feature>,
-    /// Sites of one installation, made one by the feed, each with its own fleet; else all are one fleet.
+    /// Number of sites of one installation, each with a fleet of its own, joined by the feed; by default all gateways
+    /// form one fleet.
     #[arg(long)]
     sites: Option<usize>,
-    /// Machines set aside for control, with --sites.
+    /// Number of machines reserved as hubs of the feed, with --sites.
     #[arg(long, default_value_t = 3)]
     hubs: usize,
-    /// List services whose events are numbered apart, with --sites.
+    /// Number of discovery services with event numbers of their own, with --sites.
     #[arg(long, default_value_t = 1)]
     streams: usize,
-    /// Purges count as told so many milliseconds later: 2,000 where the plan breaks all connections to the bulletin. Else
-    /// 0, and 650 with --sites.
+    /// Time within which purges must have reached all gateways, in milliseconds: use 2000 if the plan breaks all
+    /// connections to the discovery service. By default 0, and 650 with --sites.
     #[arg(long)]
     told_ms: Option<u64>,
-    /// So many gateways have another key: a fleet of its own with the same seeds.
+    /// Number of gateways with another key, which form a fleet of their own with the same seeds.
     #[arg(long, default_value_t = 0)]
     foreign: usize,
-    /// Connections to one cache or parent, of all gateways together; and what one bears.
+    /// Limit of connections to one cache or parent, shared by all gateways.
     #[arg(long, default_value_t = 80)]
     connections: u32,
+    /// Number of connections beyond which a cache or parent fails.
     #[arg(long, default_value_t = 100)]
     bears_connections: usize,
-    /// Objects that are filled through one cache at once, of all together; and what a cold one bears.
+    /// Limit of objects that are filled through one cache at once, shared by all gateways.
     #[arg(long, default_value_t = 16)]
     fills_at_cache: u32,
+    /// Number of concurrent fills beyond which a cold cache fails.
     #[arg(long, default_value_t = 32)]
     bears_fills: usize,
-    /// What the bulletin bears.
+    /// Capacity of the discovery service, in connections per second.
     #[arg(long, default_value_t = 20.0)]
     bulletin_connections: f64,
+    /// Capacity of the discovery service, in KB per second.
     #[arg(long, default_value_t = 1_024.0)]
     bulletin_kb: f64,
+    /// Memory limit of each gateway, in MB.
     #[arg(long, default_value_t = 64)]
     memory_mb: u64,
+    /// Folder for the run's files, which is kept; by default a temporary folder that is removed afterwards.
     #[arg(long)]
     folder: Option<PathBuf>,
+    /// Gateway executable; by default the one beside this program.
     #[arg(long)]
     program: Option<PathBuf>,
+    /// Also write the results to this file as JSON.
     #[arg(long)]
     json: Option<PathBuf>,
 }
@@ -383,10 +432,13 @@
         || !(1..=200).contains(&args.caches)
         || args.parents + args.caches > 250
     {
-        return Err("--gateways is 2 to 400, --caches 1 to 200, with --parents 250 at the most".into());
+        return Err(
+            "--gateways must be 2 to 400, --caches 1 to 200, --caches and --parents together at most 250"
+                .into(),
+        );
     }
     if args.seconds.is_nan() || args.seconds < 1.0 || args.rate.is_nan() || args.rate <= 0.0 {
-        return Err("--seconds is at least 1, --rate above 0".into());
+        return Err("--seconds must be at least 1, --rate above 0".into());
     }
     let fits = |sites: usize| {
         (1..=args.gateways).contains(&sites)
@@ -397,7 +449,7 @@
     };
     if !args.sites.is_none_or(fits) {
         return Err(
-            "--sites is 1 to the gateways, --hubs 1 to 16, --streams 1 to 32, none foreign, with fleet"
+            "--sites must be 1 to --gateways, --hubs 1 to 16, --streams 1 to 32, without --foreign and --without fleet"
                 .into(),
         );
     }
@@ -451,7 +503,7 @@
     };
     let outcome = fleet_run::run(&options);
     if args.folder.is_none() {
-        // It is gone already where the run never came so far.
+        // Fails if the run ended before it created the folder.
         _ = std::fs::remove_dir_all(&temp_folder);
     }
     let outcome = outcome?;
@@ -493,11 +545,11 @@
 fn run_sites(args: &SitesArgs) -> RunResult {
     for (name, part) in [("loss", args.loss), ("duplicate", args.duplicate), ("reorder", args.reorder)] {
         if !(0.0..=1.0).contains(&part) {
-            return Err(format!("--{name} is not between 0 and 1").into());
+            return Err(format!("--{name} must be between 0 and 1").into());
         }
     }
     if args.seconds.is_nan() || args.seconds < 1.0 || args.rate <= 0.0 || args.fars == 0 || args.links == 0 {
-        return Err("--seconds, --rate, --fars and --links are at least 1".into());
+        return Err("--seconds, --fars and --links must be at least 1, --rate above 0".into());
     }
     let plan = match &args.plan {
         Some(path) => read_plan(path)?,
--- a/rig/src/plan.rs
+++ b/rig/src/plan.rs
@@ -1,45 +1,52 @@
-//! What happens to a run and when: read from a file or made from a seed, in order. No I/O and no clock.
+//! Fault plan of a run between two sites: parsed from JSON or generated from a seed, ordered by time. Performs no I/O
+//! and reads no clock.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 
+/// A fault, undone at the end of its event. Plans name the variants in kebab case.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
-    /// Nothing passes a link, both ways or one.
+    /// A link loses all datagrams in both directions.
     Dark,
+    /// A link loses all datagrams towards the remote site.
     DarkThere,
+    /// A link loses all datagrams from the remote site.
     DarkBack,
-    /// The link carries so many KB a second.
+    /// The link is limited to this many KB per second.
     Narrow(f64),
-    /// It loses this part.
+    /// The link loses this fraction of the datagrams.
     Lossy(f64),
-    /// The far gateway is killed, and started again at the end.
+    /// The remote gateway is killed, and started again at the end.
     KillFar,
-    /// The same with the disk that it had.
+    /// The remote gateway is killed and its disk is lost; it is started again at the end.
     WipeFar,
-    /// So many far gateways at once, the one that leads among them, with their disks.
+    /// This many remote gateways, the leader among them, are killed at once and lose their disks.
     WipeLeader(usize),
-    /// All far gateways of the zone of the one that leads, with their disks.
+    /// All remote gateways in the leader's zone are killed and lose their disks.
     WipeZone,
-    /// The one that leads is stopped, and goes on at the end.
+    /// The leader is suspended (SIGSTOP), and resumed at the end.
     StopLeader,
-    /// It is cut off from the others that keep copies: both ways, or what it says, or what it subscriber.
+    /// The leader is partitioned from the other replicas in both directions.
     CutLeader,
+    /// The other replicas receive nothing from the leader.
     MuteLeader,
+    /// The leader receives nothing from the other replicas.
     DeafLeader,
-    /// The far gateways lose this part of what they say to each other.
+    /// This fraction of the datagrams between remote gateways is lost.
     LossyCopies(f64),
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Event {
-    /// Seconds from the start, and how long it lasts.
+    /// Seconds from the start of the run.
     pub at: f64,
+    /// Duration in seconds.
     pub lasts: f64,
-    /// By number; absent: all.
+    /// Number of the remote gateway, or of the one that the link leads to; absent: all.
     #[serde(default)]
     pub link: Option<usize>,
     pub what: Fault,
@@ -47,7 +54,7 @@
 
 #[derive(Debug, thiserror::Error)]
 pub enum PlanError {
-    #[error("the plan: {0}")]
+    #[error("invalid plan: {0}")]
     Json(#[from] serde_json::Error),
     #[error("event {0}: {1}")]
     Event(usize, &'static str),
@@ -58,7 +65,7 @@
     pub events: Vec<Event>,
 }
 
-/// A moment at which something begins or ends.
+/// The beginning or the end of an event.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Moment {
     pub at: f64,
@@ -73,15 +80,15 @@
             let valid =
                 event.at.is_finite() && event.lasts.is_finite() && event.at >= 0.0 && event.lasts > 0.0;
             if !valid {
-                return Err(PlanError::Event(i, "at and lasts have to be seconds above 0"));
+                return Err(PlanError::Event(i, "at and lasts must be finite seconds, lasts above 0"));
             }
             match event.what {
                 Fault::Lossy(part) | Fault::LossyCopies(part) if !(0.0..=1.0).contains(&part) => {
-                    return Err(PlanError::Event(i, "a part lies between 0 and 1"));
+                    return Err(PlanError::Event(i, "a fraction must lie between 0 and 1"));
                 }
-                Fault::WipeLeader(0) => return Err(PlanError::Event(i, "one gateway at the least")),
+                Fault::WipeLeader(0) => return Err(PlanError::Event(i, "at least one gateway is required")),
                 Fault::Narrow(rate) if rate.is_nan() || rate <= 0.0 => {
-                    return Err(PlanError::Event(i, "a rate is above 0"));
+                    return Err(PlanError::Event(i, "a rate must be above 0"));
                 }
                 _ => {}
             }
@@ -89,7 +96,8 @@
         Ok(Plan { events })
     }
 
-    /// A cut about each so many seconds, and one long dark time; cuts keep clear of that.
+    /// Link outages of `lasts` seconds about every `every` seconds, and optionally one long outage of all links
+    /// (start and duration) from which the short ones keep clear.
     pub fn link_cuts(seed: u64, seconds: f64, every: f64, lasts: f64, dark: Option<(f64, f64)>) -> Plan {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut events = Vec::new();
@@ -101,7 +109,7 @@
             let moved = at + rng.random_range(-0.25..0.25) * every;
             let clear = dark.is_none_or(|(from, long)| moved + lasts < from || moved > from + long + every);
             if clear {
-                // One direction fails alone now and then.
+                // Half of the outages affect only one direction.
                 let what = match rng.random_range(0..4) {
                     0 => Fault::DarkThere,
                     1 => Fault::DarkBack,
@@ -114,8 +122,8 @@
         Plan { events }
     }
 
-    /// A far gateway is lost with its disk about each so many seconds, every second time the one that leads; in between
-    /// leaders are stopped or cut off, and links and copies lose datagrams.
+    /// Every `every` seconds a remote gateway is lost with its disk for `down_for` seconds, every second time
+    /// the leader. In between, leaders are suspended or partitioned, and links and replicas lose datagrams.
     pub fn machine_losses(
         seed: u64,
         seconds: f64,
@@ -149,7 +157,7 @@
         Plan { events }
     }
 
-    /// Beginnings and ends in order.
+    /// Beginnings and ends of all events, ordered by time.
     pub fn moments(&self) -> Vec<Moment> {
         let bounds = |event: &Event| {
             let moment = |at, begins| Moment { at, begins, event: event.clone() };
@@ -167,7 +175,7 @@
     use quickcheck::quickcheck;
 
     #[test]
-    fn a_file_is_read_and_its_faults_are_told() {
+    fn a_plan_is_parsed_and_its_errors_are_reported() {
         let plan = Plan::parse(
             r#"[{"at": 1, "lasts": 2, "what": "dark"}, {"at": 2, "lasts": 1, "what": {"lossy": 0.5}}]"#,
         );
@@ -178,9 +186,9 @@
         );
         for (text, message) in [
             (r#"[{"at": 1, "lasts": 0, "what": "dark"}]"#, "event 0: at and lasts"),
-            (r#"[{"at": 1, "lasts": 1, "what": {"lossy": 2}}]"#, "event 0: a part"),
+            (r#"[{"at": 1, "lasts": 1, "what": {"lossy": 2}}]"#, "event 0: a fraction"),
             (r#"[{"at": 1, "lasts": 1, "what": {"narrow": 0}}]"#, "event 0: a rate"),
-            (r#"[{"at": 1, "lasts": 1, "what": "fog"}]"#, "the plan: unknown variant"),
+            (r#"[{"at": 1, "lasts": 1, "what": "fog"}]"#, "invalid plan: unknown variant"),
         ] {
             let why = Plan::parse(text).unwrap_err().to_string();
             assert!(why.starts_with(message), "{why}");
@@ -188,7 +196,7 @@
     }
 
     quickcheck! {
-        fn cuts_lie_inside_the_run_and_clear_of_the_dark_time(seed: u64) -> bool {
+        fn short_outages_lie_inside_the_run_and_clear_of_the_long_one(seed: u64) -> bool {
             let plan = Plan::link_cuts(seed, 600.0, 20.0, 2.5, Some((300.0, 60.0)));
             let link_cuts: Vec<&Event> = plan.events.iter().filter(|e| e.lasts < 60.0).collect();
             let clear = |e: &Event| e.at > 0.0 && e.at + e.lasts < 605.0 && !(297.5..=360.0).contains(&e.at);
--- a/rig/src/relay.rs
+++ b/rig/src/relay.rs
@@ -1,5 +1,6 @@
-//! A link between sites as a stand-in: passes datagrams both ways and does to them what its weather says. Must never
-//! send anywhere but on loopback, nor hold more than its bound.
+//! UDP relay that emulates a link between two sites: forwards datagrams both ways under the given link conditions.
+//!
+//! Invariant: sends only on loopback, and holds at most `MAX_IN_FLIGHT` datagrams.
 
 use crate::link_emulator::{LinkConditions, LinkDirection};
 use rand::SeedableRng;
@@ -13,11 +14,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Datagrams under way; beyond that, new ones are lost.
+/// Maximum number of datagrams in flight; further ones are lost.
 const MAX_IN_FLIGHT: usize = 65_536;
-/// Sockets towards the far end, one for each sender.
+/// Maximum number of sockets towards the remote end, one per sender.
 const MAX_SENDERS: usize = 64;
-/// How often a thread looks whether it is to end.
+/// Interval at which threads check whether to stop.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 struct Scheduled {
@@ -81,7 +82,7 @@
         self.changed.notify_one();
     }
 
-    /// Sends each when it is due.
+    /// Sends each datagram at its arrival time.
     fn send(&self) {
         let mut queue = self.queue.lock().unwrap();
         while !self.stopping.load(Ordering::Relaxed) {
@@ -90,7 +91,7 @@
             match next {
                 Some(at) if at <= now => {
                     let Some(Reverse(one)) = queue.0.pop() else { continue };
-                    // A gateway that is not there is a link into nowhere.
+                    // Errors are ignored: datagrams to a gateway that is not running are lost, as on a real link.
                     _ = one.socket.send_to(&one.bytes, one.to);
                 }
                 next => {
@@ -104,7 +105,7 @@
 }
 
 pub struct Relay {
-    /// Where the near end connects.
+    /// Address to which the local end connects.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
@@ -117,8 +118,8 @@
 
 fn is_fatal(e: &io::Error) -> bool {
     use io::ErrorKind::{ConnectionRefused, Interrupted, TimedOut, WouldBlock};
-    // A closed port at the other end is told as a refusal on the next call; a process that was stopped and goes on has its
-    // reads interrupted.
+    // A closed port at the other end is reported as a refused connection on the next call. Reads are interrupted when
+    // a suspended process is resumed.
     !matches!(e.kind(), WouldBlock | TimedOut | ConnectionRefused | Interrupted)
 }
 
@@ -175,7 +176,7 @@
         change(&mut self.shared.conditions.lock().unwrap());
     }
 
-    /// Datagrams that were passed and lost, there and back.
+    /// Forwarded and lost datagrams: outbound, return.
     pub fn counts(&self) -> [(u64, u64); 2] {
         let directions = self.shared.directions.lock().unwrap();
         [0, 1].map(|direction| (directions.0[direction].passed, directions.0[direction].lost))
--- a/rig/src/report.rs
+++ b/rig/src/report.rs
@@ -1,4 +1,5 @@
-//! What became of each txn, by rule, and whether a rule was broken. No I/O and no clock: times come from the caller.
+//! Outcome of each txn by remap rule, and the invariant violations of a run. Performs no I/O and reads no clock;
+//! times come from the caller.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -10,9 +11,11 @@
 pub struct Rule {
     pub name: &'static str,
     pub importance: f64,
-    /// Seconds; the first grows by the second for each second of the txn's own sending time.
+    /// SLA time in seconds.
     pub sla_s: f64,
+    /// Seconds that are added to the SLA time for each second of the txn's own transfer time.
     pub stretch: f64,
+    /// Time limit in seconds.
     pub limit_s: f64,
     pub write: bool,
 }
@@ -22,7 +25,7 @@
     Served,
     Rejected,
     Aborted,
-    /// Nothing came by its time limit and what is allowed on top.
+    /// No response within the time limit plus the permitted grace.
     Unanswered,
 }
 
@@ -37,18 +40,19 @@
     refusal_time: Histogram<u64>,
 }
 
-/// Microseconds; the longest is well above any time limit.
+/// Histogram in microseconds; its upper bound (120 s) is well above any time limit.
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, 120_000_000, 3).expect("bounds that the library takes")
+    Histogram::new_with_bounds(1, 120_000_000, 3).expect("valid histogram bounds")
 }
 
+/// Importance of the txns sent in one second of the run: in total, and of those served within their SLA time.
 #[derive(Clone, Copy, Debug, Default, Serialize, PartialEq)]
 pub struct SecondTotals {
     pub asked: f64,
     pub served: f64,
 }
 
-/// Each has to stay 0.
+/// Counts of invariant violations. Invariant: each stays 0.
 #[derive(Clone, Debug, Default, Serialize, PartialEq)]
 pub struct Violations {
     pub ran_twice: u64,
@@ -84,15 +88,16 @@
     rules: Vec<Rule>,
     counts: Vec<RuleCounts>,
     seconds: Vec<SecondTotals>,
-    /// Ends of writes, by the client's id.
+    /// Ends of writes, by trace id.
     writes: BTreeMap<u64, End>,
     pub violations: Violations,
     pub bytes: u64,
-    /// The first txns without an answer at their limit: when they were asked, their rule, and how long that took.
+    /// The first `MAX_OVER_LIMIT` txns that exceeded their time limit: second of sending, rule, and latency in
+    /// seconds.
     over_limit: Vec<(f64, &'static str, f64)>,
 }
 
-/// So many of those are named.
+/// Number of txns over their time limit that are listed.
 const MAX_OVER_LIMIT: usize = 200;
 
 impl Report {
@@ -118,7 +123,8 @@
         }
     }
 
-    /// A txn asked at a second of the run, its end, and how long that took from its last byte. `sla` in seconds.
+    /// Records the end of a txn sent at second `at` of the run. `latency` is measured in seconds from the last byte
+    /// of the request.
     pub fn record_end(&mut self, rule: usize, trace: u64, at: f64, sla_s: f64, end: End, latency: f64) {
         let (r, count) = (self.rules[rule], &mut self.counts[rule]);
         if latency > r.limit_s && self.over_limit.len() < MAX_OVER_LIMIT {
@@ -137,7 +143,7 @@
                 self.violations.unanswered += 1;
             }
         }
-        // Both lie within the bounds.
+        // `micros` is clamped to the histogram's bounds, so nothing saturates.
         match end {
             End::Served => count.latency.saturating_record(micros),
             End::Rejected | End::Aborted => count.refusal_time.saturating_record(micros),
@@ -154,7 +160,7 @@
         self.seconds[second].served += if in_time { r.importance } else { 0.0 };
     }
 
-    /// How often each write ran, as the central store counted it.
+    /// Checks the writes against the origin's execution counts by trace id.
     pub fn record_executions(&mut self, counted: &BTreeMap<u64, u32>) {
         self.violations.ran_twice = counted.values().filter(|n| **n > 1).count() as u64;
         let executed = |trace: &u64| counted.contains_key(trace);
@@ -164,14 +170,14 @@
         }
     }
 
-    /// The share of importance served in time, of what was asked from one second to another.
+    /// Share of importance served within the SLA time, over the txns sent from second `from` up to second `to`.
     pub fn share(&self, from: usize, to: usize) -> f64 {
         let part = &self.seconds[from.min(self.seconds.len())..to.min(self.seconds.len())];
         let sum = |of: fn(&SecondTotals) -> f64| part.iter().map(of).sum::<f64>();
         sum(|s| s.served) / sum(|s| s.asked).max(1e-9)
     }
 
-    /// Seconds after `from` until the share over three of them is `part` of `before`; `None` if it never is.
+    /// Seconds after `from` until the share over three seconds reaches `part` of `before`; `None` if it never does.
     pub fn recovery_s(&self, from: usize, before: f64, part: f64) -> Option<usize> {
         (from..self.seconds.len().saturating_sub(3))
             .find(|&s| self.share(s, s + 3) >= before * part)
@@ -244,7 +250,7 @@
     ];
 
     #[test]
-    fn each_rule_that_is_broken_is_seen() {
+    fn each_violation_is_reported() {
         let mut report = Report::new(&RULES);
         for (trace, end) in [(1, End::Served), (2, End::Rejected), (3, End::Aborted), (4, End::Served)] {
             report.record_end(1, trace, 0.5, 0.8, end, 0.1);
@@ -260,7 +266,7 @@
     }
 
     #[test]
-    fn shares_go_by_importance_and_by_the_second_of_asking() {
+    fn shares_are_weighted_by_importance_and_counted_at_the_second_of_sending() {
         let mut report = Report::new(&RULES);
         for second in 0..10 {
             let at = f64::from(second);
--- a/rig/src/sites.rs
+++ b/rig/src/sites.rs
@@ -1,5 +1,6 @@
-//! A day between two sites: near and far gateways as processes, stand-in caches and a central store at the far site,
-//! links that misbehave by a plan, purges, and clients at the near site that time every answer.
+//! A run between two sites ("near" and "far" in configurations and results): local and remote gateways as processes,
+//! simulated caches and an origin at the remote site, emulated links with a fault plan, purges, and open-loop clients
+//! at the local site that measure every response.
 
 use crate::caches::{CacheEndpoint, Latencies, Site, copy_created_ms, unix_ms};
 use crate::client::{self, Request, Status};
@@ -23,6 +24,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// The remap rules; they match the ones in [`fleet::config`].
 pub const RULES: [Rule; 3] = [
     Rule { name: "media", importance: 2.0, sla_s: 0.5, stretch: 1.6, limit_s: 6.0, write: false },
     Rule { name: "rates", importance: 1.0, sla_s: 0.4, stretch: 2.0, limit_s: 2.5, write: false },
@@ -31,22 +33,25 @@
 pub const MEDIA: usize = 0;
 pub const RATES: usize = 1;
 pub const BOOK: usize = 2;
-/// What a client and its machine may take on top of the time limit.
+/// Seconds that the client and its machine may add to the time limit.
 pub const CLIENT_GRACE_S: f64 = 0.05;
-/// From a purge on, copies from before may be served for so long.
+/// Milliseconds after a purge during which older copies may still be served.
 pub const PURGE_GRACE_MS: u64 = 500;
-/// KB as the settings count them, for each KB on the socket.
+/// KB of need, as the settings count it, for each KB of body on the socket.
 pub const NEED_KB_PER_BODY_KB: f64 = 4.0;
+/// Equals `ClientKbPerS` of the gateways' settings.
 pub const CLIENT_KB_PER_S: f64 = 5_000.0;
+/// Client connections, distributed over the local gateways.
 const CONNECTIONS: usize = 12;
 
+/// Where the remote gateways keep their ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ledger {
-    /// What is in doubt is never asked about.
+    /// The outcome of a lost hop is never asked for.
     None,
     Memory,
     Disk,
-    /// Kept by several far gateways.
+    /// Replicated over several remote gateways.
     Copies {
         copies: usize,
         groups: u32,
@@ -57,34 +62,39 @@
 
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Near gateways, each with links of its own.
+    /// Number of local gateways, each with links of its own.
     pub local_gateways: usize,
-    /// Between far gateways, for what they say to each other of copies.
+    /// Conditions of the network between remote gateways, which carries the replication traffic.
     pub replica_link: LinkConditions,
     pub seconds: f64,
     pub seed: u64,
+    /// Conditions of the links between the sites.
     pub conditions: LinkConditions,
     pub plan: Plan,
     pub remote_gateways: usize,
+    /// Links to each remote gateway.
     pub links: usize,
-    /// Txns a second, and the parts of media and book.
+    /// Txns per second.
     pub rate: f64,
+    /// Fractions of txns under the rules media and book.
     pub media_share: f64,
     pub book_share: f64,
-    /// Objects, and the share of txns for objects that nobody wants twice.
+    /// Number of objects that clients request.
     pub objects: u64,
     pub ledger: Ledger,
     pub carrier: &'static str,
     pub congestion: &'static str,
-    /// A purge each so many seconds, which the far site is told of so much later.
+    /// Interval between purges; 0 means none.
     pub purge_every_s: f64,
+    /// Delay until the remote site receives a purge.
     pub purge_delay_s: f64,
     pub program: PathBuf,
     pub folder: PathBuf,
     pub memory_mb: u64,
 }
 
-/// Bytes of an object: media 8 KB to 235 KB, rates 1 KB to 20 KB, each half as often as one of half its size.
+/// Length of an object in bytes: media (even numbers) 8 KB to 235 KB, rates 1 KB to 20 KB. Each size is half as
+/// frequent as half that size.
 pub fn object_len(object: u64) -> usize {
     let spread = |low: f64, high: f64| {
         let unit = (object.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 11) as f64 / (1u64 << 53) as f64;
@@ -97,7 +107,7 @@
     rule: usize,
     trace: u64,
     object: u64,
-    /// Seconds of the run.
+    /// Time of sending, in seconds of the run.
     at: f64,
     unix_ms: u64,
     sla_s: f64,
@@ -107,7 +117,7 @@
 #[derive(Default)]
 struct Pending {
     open: BTreeMap<(usize, u64), PendingTxn>,
-    /// Of objects, as the near gateway was told of it.
+    /// Purge times (Unix ms) of objects, as published to the local gateways.
     purges: BTreeMap<u64, u64>,
 }
 
@@ -138,14 +148,14 @@
             let mut used = 0;
             loop {
                 match client::decode_response(&buffer[used..]) {
-                    Ok(Some((answer, n))) => {
+                    Ok(Some((response, n))) => {
                         used += n;
-                        self.record_response(connection, &answer, now);
+                        self.record_response(connection, &response, now);
                     }
                     Ok(None) => break,
                     Err(why) => {
                         self.report.lock().unwrap().violations.damaged += 1;
-                        eprintln!("an answer can't be read: {why}");
+                        eprintln!("client received an invalid response: {why}");
                         return;
                     }
                 }
@@ -154,72 +164,75 @@
         }
     }
 
-    fn record_response(&self, connection: usize, answer: &client::Response, now: f64) {
+    fn record_response(&self, connection: usize, response: &client::Response, now: f64) {
         let mut pending = self.pending.lock().unwrap();
-        let Some(sent) = pending.open.get_mut(&(connection, answer.id)) else { return };
+        let Some(txn) = pending.open.get_mut(&(connection, response.id)) else { return };
         let mut report = self.report.lock().unwrap();
-        if sent.answered {
+        if txn.answered {
             report.violations.answered_twice += 1;
             return;
         }
-        sent.answered = true;
-        let (latency, rule) = (now - sent.at, &RULES[sent.rule]);
+        txn.answered = true;
+        let (latency, rule) = (now - txn.at, &RULES[txn.rule]);
         if latency > rule.limit_s + CLIENT_GRACE_S {
             report.violations.answered_late += 1;
         }
-        let end = match answer.status {
+        let end = match response.status {
             Status::Served => End::Served,
             Status::Rejected => End::Rejected,
             Status::Failed => End::Aborted,
         };
-        report.record_end(sent.rule, sent.trace, sent.at, sent.sla_s, end, latency);
+        report.record_end(txn.rule, txn.trace, txn.at, txn.sla_s, end, latency);
         if end == End::Served && !rule.write {
-            report.bytes += answer.body.len() as u64;
-            let (object, asked) = (sent.object, sent.unix_ms);
-            match copy_created_ms(object, &answer.body) {
+            report.bytes += response.body.len() as u64;
+            let (object, sent_at_ms) = (txn.object, txn.unix_ms);
+            match copy_created_ms(object, &response.body) {
                 None => report.violations.damaged += 1,
-                Some(_) if answer.body.len() != object_len(object) => report.violations.damaged += 1,
-                Some(born) => {
+                Some(_) if response.body.len() != object_len(object) => report.violations.damaged += 1,
+                Some(created_ms) => {
                     let purged = pending.purges.get(&object).copied();
-                    let stale = purged.is_some_and(|at| asked > at + PURGE_GRACE_MS && born < at);
+                    let stale = purged.is_some_and(|at| sent_at_ms > at + PURGE_GRACE_MS && created_ms < at);
                     report.violations.stale += u64::from(stale);
                 }
             }
         }
     }
 
-    /// What has no answer by its time is told, and what has long had one is forgotten.
+    /// Reports txns that are unanswered past their time limit (or all, at the end), and drops entries of answered
+    /// ones.
     fn expire(&self, all: bool) {
         let now = self.now();
         let mut pending = self.pending.lock().unwrap();
         let mut report = self.report.lock().unwrap();
-        pending.open.retain(|_, sent| {
-            let deadline = sent.at + RULES[sent.rule].limit_s + CLIENT_GRACE_S;
-            if !sent.answered && (now > deadline + 0.5 || all) {
-                report.record_end(sent.rule, sent.trace, sent.at, sent.sla_s, End::Unanswered, now - sent.at);
+        pending.open.retain(|_, txn| {
+            let deadline = txn.at + RULES[txn.rule].limit_s + CLIENT_GRACE_S;
+            if !txn.answered && (now > deadline + 0.5 || all) {
+                report.record_end(txn.rule, txn.trace, txn.at, txn.sla_s, End::Unanswered, now - txn.at);
                 return false;
             }
-            now < deadline + 5.0 && !(all && sent.answered)
+            now < deadline + 5.0 && !(all && txn.answered)
         });
     }
 }
 
-/// What a run gives beside its report.
+/// Results of a run.
 pub struct Outcome {
     pub report: Report,
     pub local_usage: Vec<ResourceUsage>,
     pub remote_usage: Vec<ResourceUsage>,
     pub counters: Vec<(String, String)>,
+    /// Forwarded and lost datagrams of each link, outbound and return.
     pub links: Vec<[(u64, u64); 2]>,
     pub origin_fills: u64,
     pub crashed: bool,
     pub purges: usize,
-    /// Seconds from the loss of a leader to the next one, for each group that it led.
+    /// Seconds from the loss of a leader to its successor, for each group that it led; ascending.
     pub leaderless_s: Vec<f64>,
-    /// Far gateways lost with their disks.
+    /// Number of remote gateways lost with their disks.
     pub wiped: usize,
 }
 
+/// The simulated servers of the remote site.
 struct RemoteSite {
     site: Arc<Site>,
     discovery: DiscoveryServer,
@@ -240,7 +253,7 @@
 
 fn sites_config(options: &Options, site: &str, gateway: &str, rest: Value) -> Value {
     let path = |name: &str| options.folder.join(name).display().to_string();
-    let mut all = json!({
+    let mut config = json!({
         "site": site, "gateway": gateway,
         "keys": {"certificate": path(&format!("{site}.pem")), "key": path(&format!("{site}.key")),
             "roots": path("roots.pem")},
@@ -248,10 +261,10 @@
         "carrier": options.carrier, "congestion": options.congestion,
         "limits": {"ask": options.ledger != Ledger::None},
     });
-    if let (Some(all), Value::Object(rest)) = (all.as_object_mut(), rest) {
-        all.extend(rest);
+    if let (Some(config), Value::Object(rest)) = (config.as_object_mut(), rest) {
+        config.extend(rest);
     }
-    all
+    config
 }
 
 struct RemoteGateway {
@@ -259,10 +272,10 @@
     config: Value,
     sites: Value,
     copies: Option<Value>,
-    /// The disk's file, if it has one.
+    /// File of the ledger on disk, if there is one.
     disk: Option<PathBuf>,
     used: ResourceUsage,
-    /// What its starts have led, and when; and when this one was killed.
+    /// When this gateway, over all its starts, became leader of which group.
     leadership: Vec<(Instant, u32)>,
     killed_at: Vec<Instant>,
     crashed: bool,
@@ -374,8 +387,8 @@
         let stream = TcpStream::connect(locals[connection % locals.len()].address)?;
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(Duration::from_millis(200)))?;
-        let (all, reads) = (Arc::clone(&clients), stream.try_clone()?);
-        thread::spawn(move || all.read_responses(connection, reads));
+        let (receiver, reads) = (Arc::clone(&clients), stream.try_clone()?);
+        thread::spawn(move || receiver.read_responses(connection, reads));
         streams.push((stream, 0u32));
     }
     let env = Environment {
@@ -385,7 +398,7 @@
         local_discovery: &local_discovery,
     };
     let (purges, wiped) = run_workload(options, &clients, &mut streams, &mut remotes, &env);
-    // The last ones have their time.
+    // Waits until the last txns have passed their time limits.
     thread::sleep(Duration::from_secs_f64(RULES[MEDIA].limit_s + CLIENT_GRACE_S + 0.6));
     clients.expire(true);
     clients.stopping.store(true, Ordering::Relaxed);
@@ -414,7 +427,7 @@
     })
 }
 
-/// How long groups were without a leader after the one that they had was killed before the run's end.
+/// How long groups had no leader after theirs was killed, in seconds; only kills before the end of the run count.
 fn leaderless_times(remotes: &[RemoteGateway], ended: Instant) -> Vec<f64> {
     let mut leadership: Vec<(Instant, u32, usize)> = remotes
         .iter()
@@ -422,25 +435,25 @@
         .flat_map(|(i, f)| f.leadership.iter().map(move |&(at, group)| (at, group, i)))
         .collect();
     leadership.sort();
-    let mut all = Vec::new();
+    let mut gaps = Vec::new();
     for (i, remote) in remotes.iter().enumerate() {
         for &killed in remote.killed_at.iter().filter(|at| **at < ended) {
             let groups: std::collections::BTreeSet<u32> = leadership.iter().map(|l| l.1).collect();
             for group in groups {
-                let of = |l: &&(Instant, u32, usize)| l.1 == group;
-                let last = leadership.iter().filter(of).rfind(|l| l.0 < killed);
-                let next = leadership.iter().filter(of).find(|l| l.0 >= killed);
+                let in_group = |l: &&(Instant, u32, usize)| l.1 == group;
+                let last = leadership.iter().filter(in_group).rfind(|l| l.0 < killed);
+                let next = leadership.iter().filter(in_group).find(|l| l.0 >= killed);
                 if let (Some(_), Some(next)) = (last.filter(|l| l.2 == i), next) {
-                    all.push((next.0 - killed).as_secs_f64());
+                    gaps.push((next.0 - killed).as_secs_f64());
                 }
             }
         }
     }
-    all.sort_by(f64::total_cmp);
-    all
+    gaps.sort_by(f64::total_cmp);
+    gaps
 }
 
-/// Where a far gateway that keeps copies has its notes.
+/// Folder of the replicated log of remote gateway `i`.
 fn replica_log_dir(options: &Options, i: usize) -> PathBuf {
     options.folder.join(format!("far-{i}-notes"))
 }
@@ -455,9 +468,9 @@
     }))
 }
 
-/// What lies about the gateways.
+/// The emulated networks and simulated servers around the gateways.
 struct Environment<'a> {
-    /// Each with the far gateway that it leads to.
+    /// Each relay with the number of the remote gateway to which it leads.
     relays: &'a [(usize, Relay)],
     between: Option<&'a Switch>,
     remote_site: &'a RemoteSite,
@@ -470,11 +483,12 @@
     while up(local) < links && started.elapsed() < Duration::from_secs(5) {
         thread::sleep(Duration::from_millis(10));
     }
-    // The first signs of life.
+    // Time for the first heartbeats.
     thread::sleep(Duration::from_millis(400));
 }
 
-/// Plays the plan and the clients' arrivals, open loop: each has its time whatever the gateway does.
+/// Applies the fault plan and generates an open-loop workload: txns are sent on schedule no matter how the gateways
+/// respond. Returns the numbers of purges and of wiped gateways.
 fn run_workload(
     options: &Options,
     clients: &Clients,
@@ -491,12 +505,12 @@
     while clients.now() < options.seconds {
         let now = clients.now();
         while let Some(moment) = moments.next_if(|m| m.at <= now) {
-            faults.play(options, &moment, remotes, env);
+            faults.apply(options, &moment, remotes, env);
         }
         if options.purge_every_s > 0.0 && now >= next_purge {
             next_purge += options.purge_every_s;
             purges += 1;
-            // One that many want.
+            // A frequently requested object.
             let object = pick_txn(options, &mut rng, true).1;
             let at = unix_ms();
             local_discovery.purge(object, at);
@@ -527,7 +541,7 @@
     (purges, faults.wiped)
 }
 
-/// A rule and an object: what is wanted often is wanted very often.
+/// Picks a rule and an object. Object popularity is heavily skewed; `often` picks only among the popular ones.
 fn pick_txn(options: &Options, rng: &mut Pcg64Mcg, often: bool) -> (usize, u64) {
     let kind: f64 = rng.random();
     let rank = if often { rng.random_range(0.0..0.3f64) } else { rng.random::<f64>() };
@@ -556,17 +570,18 @@
         client::encode_request(&Request { id, rule: r.name, trace, object, timeout_ms, need_kb, body });
     let sla_s = r.sla_s + r.stretch * need_kb / CLIENT_KB_PER_S;
     let key = (connection, u64::from(id));
-    let sent = |at| PendingTxn { rule, trace, object, at, unix_ms: unix_ms(), sla_s, answered: false };
-    clients.pending.lock().unwrap().open.insert(key, sent(clients.now()));
+    let txn = |at| PendingTxn { rule, trace, object, at, unix_ms: unix_ms(), sla_s, answered: false };
+    clients.pending.lock().unwrap().open.insert(key, txn(clients.now()));
     if stream.0.write_all(&bytes).is_ok() {
-        // From the last byte on: the answer may be there already, and is no earlier for it.
-        if let Some(sent) = clients.pending.lock().unwrap().open.get_mut(&key) {
-            sent.at = clients.now();
+        // Latency counts from the last byte. The response may have been recorded already; its latency stays as it is.
+        if let Some(txn) = clients.pending.lock().unwrap().open.get_mut(&key) {
+            txn.at = clients.now();
         }
     }
 }
 
-/// What is under way of a plan: who was meant is known at the beginning only.
+/// Events of the plan that are in effect, with their targets: those are selected at the beginning of an event and
+/// needed again at its end.
 #[derive(Default)]
 struct ActiveFaults {
     targets: Vec<(Event, Vec<usize>)>,
@@ -574,10 +589,16 @@
 }
 
 impl ActiveFaults {
-    fn play(&mut self, options: &Options, moment: &Moment, remotes: &mut [RemoteGateway], env: &Environment) {
+    fn apply(
+        &mut self,
+        options: &Options,
+        moment: &Moment,
+        remotes: &mut [RemoteGateway],
+        env: &Environment,
+    ) {
         let (begins, what) = (moment.begins, &moment.event.what);
-        let of = |i: usize| moment.event.link.is_none_or(|link| link == i);
-        for (_, relay) in env.relays.iter().filter(|(remote, _)| of(*remote)) {
+        let matches_link = |i: usize| moment.event.link.is_none_or(|link| link == i);
+        for (_, relay) in env.relays.iter().filter(|(remote, _)| matches_link(*remote)) {
             relay.set_conditions(|w| match what {
                 Fault::Dark => w.blocked = [begins; 2],
                 Fault::DarkThere => w.blocked[0] = begins,
@@ -591,7 +612,7 @@
             between.set_conditions(|w| w.loss = if begins { *part } else { options.replica_link.loss });
         }
         let targets = if begins {
-            let targets = select_targets(options, what, &of, remotes);
+            let targets = select_targets(options, what, &matches_link, remotes);
             self.targets.push((moment.event.clone(), targets.clone()));
             targets
         } else {
@@ -605,7 +626,7 @@
                     remote.kill();
                     if *what != Fault::KillFar {
                         self.wiped += 1;
-                        // There is none where the ledger is not kept on a disk.
+                        // Fails if the ledger is not kept on disk.
                         remote.disk.iter().for_each(|disk| _ = std::fs::remove_file(disk));
                         _ = std::fs::remove_dir_all(replica_log_dir(options, i));
                     }
@@ -634,7 +655,7 @@
     }
 }
 
-/// The far gateways that an event means: by number, or the one that leads the most groups.
+/// Selects the remote gateways that an event affects: by number, or the leader of the most groups.
 fn select_targets(
     options: &Options,
     what: &Fault,
@@ -665,7 +686,7 @@
     }
 }
 
-/// The run's figures as they are printed with `--json`.
+/// The results as `--json` writes them.
 pub fn json(options: &Options, outcome: &Outcome) -> Value {
     let used = |u: &ResourceUsage| json!({"cpu_s": u.cpu_s, "peak_mb": u.peak_mb});
     let links: Vec<Value> =
@@ -681,7 +702,7 @@
     })
 }
 
-/// The program of the gateway: beside this one.
+/// Path of the gateway executable beside this one.
 pub fn default_program() -> PathBuf {
     let here = std::env::current_exe().unwrap_or_default();
     here.parent().unwrap_or(Path::new(".")).join("kelpcart")
--- a/rig/src/switch.rs
+++ b/rig/src/switch.rs
@@ -1,6 +1,7 @@
-//! What lies between gateways of a fleet, as a stand-in: each one's address for the others is a socket here, and what
-//! comes to it goes on to the gateway itself after what the weather and the cuts do to it. Must never send anywhere but
-//! on loopback, nor hold more than its bound.
+//! Emulates the network between the gateways of a fleet. The address that a gateway advertises is a socket of this
+//! switch, which forwards datagrams to the gateway itself under the link conditions and the blocked paths.
+//!
+//! Invariant: sends only on loopback, and holds at most `MAX_IN_FLIGHT` datagrams.
 
 use crate::link_emulator::{LinkConditions, LinkDirection};
 use rand::SeedableRng;
@@ -14,18 +15,21 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Datagrams under way; beyond that, new ones are lost.
+/// Maximum number of datagrams in flight; further ones are lost.
 const MAX_IN_FLIGHT: usize = 262_144;
+/// Interval at which threads check whether to stop.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The part of loopback that a run uses, 0 to 30: the next one for each run of a process, from `KELPCART_RIG_NET` on, so
-/// that runs side by side can be set apart and one that still ends does not stand in the way of the next.
+/// The loopback subnet of the current run, 0 to 30. Each run of a process takes the next one, beginning with
+/// `KELPCART_RIG_NET`, so that parallel runs can be separated and a run that is still shutting down does not occupy
+/// the addresses of the next.
 static SUBNET: AtomicU8 = AtomicU8::new(u8::MAX);
 
+/// Reserves the next loopback subnet for a run.
 pub fn next_subnet() {
     let first = || std::env::var("KELPCART_RIG_NET").ok().and_then(|n| n.parse::<u8>().ok()).unwrap_or(0);
     let next = |n: u8| if n == u8::MAX { first() } else { n + 1 };
-    // Runs of one process follow one another.
+    // Load and store need not be atomic together: the runs of a process are sequential.
     SUBNET.store(next(SUBNET.load(Ordering::SeqCst)) % 31, Ordering::SeqCst);
 }
 
@@ -33,16 +37,17 @@
     SUBNET.load(Ordering::SeqCst).min(30) * 7 + 20 + part
 }
 
-/// Address `i` of one of the parts of a run.
+/// Address `i` in one of the address ranges of a run.
 pub fn address(part: u8, i: usize, port: u16) -> SocketAddr {
     SocketAddr::from(([127, subnet(part), (i / 200) as u8, (i % 200) as u8 + 1], port))
 }
 
-/// Where gateway `i` of a fleet binds, and where the others believe it to be.
+/// Address to which gateway `i` of a fleet binds.
 pub fn bind_address(i: usize) -> SocketAddr {
     address(0, i, 7_600)
 }
 
+/// Address that gateway `i` advertises to the others: a socket of the switch.
 pub fn advertised_address(i: usize) -> SocketAddr {
     address(1, i, 7_600)
 }
@@ -50,12 +55,12 @@
 #[derive(Default)]
 struct State {
     links: BTreeMap<(usize, usize), LinkDirection>,
-    /// From one to another, one way.
+    /// Blocked one-way paths (from, to).
     blocked: BTreeSet<(usize, usize)>,
     conditions: LinkConditions,
 }
 
-/// When, its number, from, to, and what.
+/// A datagram in flight: arrival time in microseconds, sequence number, from, to, and content.
 type InFlight = Reverse<(u64, u64, usize, usize, Vec<u8>)>;
 
 struct Shared {
@@ -106,7 +111,7 @@
         change(&mut self.shared.state.lock().unwrap().0.conditions);
     }
 
-    /// Cuts, or mends, what goes from one to another for which `of` says so.
+    /// Blocks, or unblocks, each one-way path (from, to) that `matches`.
     pub fn set_blocked(&self, blocked: bool, matches: impl Fn(usize, usize) -> bool) {
         let n = self.shared.sockets.len();
         let mut state = self.shared.state.lock().unwrap();
@@ -121,14 +126,14 @@
         }
     }
 
-    /// Datagrams and bytes that were passed.
+    /// Forwarded datagrams and bytes.
     pub fn counts(&self) -> (u64, u64) {
         (self.shared.passed.load(Ordering::Relaxed), self.shared.bytes.load(Ordering::Relaxed))
     }
 }
 
 impl Shared {
-    /// What came to the address of `to`.
+    /// Receives datagrams at the advertised address of `to` and schedules them.
     fn read(&self, to: usize) {
         let mut bytes = vec![0; 2_048];
         while !self.stopping.load(Ordering::Relaxed) {
@@ -167,7 +172,7 @@
                 Some(at) if at <= now => {
                     let Some(Reverse((_, _, from, to, bytes))) = queue.0.pop() else { continue };
                     drop(queue);
-                    // A gateway that is not there is an address at which nobody subscriber.
+                    // Errors are ignored: datagrams to a gateway that is not running are lost.
                     _ = self.sockets[from].send_to(&bytes, bind_address(to));
                     self.passed.fetch_add(1, Ordering::Relaxed);
                     self.bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
--- a/rig/tests/relay.rs
+++ b/rig/tests/relay.rs
@@ -1,4 +1,4 @@
-//! The stand-in for a link outlives what happens to its own process. Alone in its file, since it stops that process.
+//! The relay survives a suspension of its own process. The test is alone in its file because it suspends the process.
 
 use kelpcart_rig::link_emulator::LinkConditions;
 use kelpcart_rig::relay::Relay;
@@ -6,9 +6,10 @@
 use std::process::Command;
 use std::time::Duration;
 
-/// A read that waits with a limit ends as interrupted when a process that was stopped goes on (signal(7)).
+/// Reads with a timeout fail with `EINTR` when a suspended process is resumed (signal(7)); the relay must not take
+/// that as the end of the link.
 #[test]
-fn a_link_goes_on_after_its_process_was_stopped() {
+fn a_relay_forwards_after_its_process_was_suspended() {
     let far = UdpSocket::bind("127.0.0.1:0").unwrap();
     let relay = Relay::start(far.local_addr().unwrap(), 1, LinkConditions::default()).unwrap();
     let near = UdpSocket::bind("127.0.0.1:0").unwrap();
