--- a/rig/src/cache_tier.rs
+++ b/rig/src/cache_tier.rs
@@ -22,13 +22,17 @@
 /// Load beyond which a cache or parent fails, and how long it stays down.
 #[derive(Clone, Copy, Debug)]
 pub struct Capacity {
+    /// Limit of open connections.
     pub connections: usize,
     /// Limit of concurrent fills while cold.
     pub cold_fills: usize,
+    /// How long a member is cold after its start.
     pub cold_for: Duration,
+    /// How long a failed member refuses connections.
     pub down_for: Duration,
 }
 
+/// Simulated service times.
 #[derive(Clone, Copy, Debug)]
 pub struct Latencies {
     pub hit: Duration,
@@ -41,6 +45,7 @@
     pub most_connections: usize,
     pub connections: u64,
     pub most_cold_fills: usize,
+    /// Number of failures from overload.
     pub fallen: u64,
 }
 
@@ -49,6 +54,7 @@
     counts: Counts,
     open: usize,
     filling: usize,
+    /// Creation time (Unix ms) of each copy, by object.
     copies: BTreeMap<u64, u64>,
     /// Incremented by each failure, which closes the connections of earlier generations.
     generation: u64,
@@ -62,6 +68,7 @@
     caches: BTreeMap<String, Cache>,
     /// Fetches from the origin by object.
     fetched: BTreeMap<u64, u64>,
+    /// Executions of each write, by trace id.
     executions: BTreeMap<u64, u32>,
     /// Purge times (Unix ms) by object, ascending.
     purges: BTreeMap<u64, Vec<u64>>,
@@ -69,7 +76,7 @@
 
 pub struct CacheTier {
     state: Mutex<State>,
-    times: Latencies,
+    latencies: Latencies,
     capacity: Capacity,
     len: fn(u64) -> usize,
     failed: event_listener::Event,
@@ -93,6 +100,7 @@
     have_only: bool,
 }
 
+/// Address of member `i`.
 pub fn address(i: usize) -> SocketAddr {
     switch::address(4, i, 8_080)
 }
@@ -102,14 +110,15 @@
     pub fn start(
         executor: &Arc<Executor<'static>>,
         members: &[(String, &'static str)],
-        (times, capacity): (Latencies, Capacity),
+        (latencies, capacity): (Latencies, Capacity),
         len: fn(u64) -> usize,
     ) -> io::Result<(Arc<CacheTier>, Vec<CacheEndpoint>)> {
         let cold = |_: &(String, &str)| Cache { cold_since: Some(Instant::now()), ..Cache::default() };
         let caches = members.iter().map(|m| (m.0.clone(), cold(m))).collect();
         let (fetched, executions, purges) = Default::default();
         let state = Mutex::new(State { caches, fetched, executions, purges });
-        let tier = Arc::new(CacheTier { state, times, capacity, len, failed: event_listener::Event::new() });
+        let tier =
+            Arc::new(CacheTier { state, latencies, capacity, len, failed: event_listener::Event::new() });
         let mut endpoints = Vec::new();
         for (i, (name, kind)) in members.iter().enumerate() {
             let listener = Async::<TcpListener>::bind(address(i))?;
@@ -265,7 +274,7 @@
     ) -> Option<(Vec<u8>, &'static str, u64)> {
         let object = request.object;
         if request.write {
-            Timer::after(self.times.origin).await;
+            Timer::after(self.latencies.origin).await;
             *self.state.lock().unwrap().executions.entry(request.trace).or_default() += 1;
             return Some((body(object, unix_ms(), HEADER_BYTES), "hit", 0));
         }
@@ -280,7 +289,7 @@
         };
         let is_origin = endpoint.kind == "origin";
         if let Some(created_ms) = cached(&endpoint.name).filter(|_| !is_origin) {
-            Timer::after(self.times.hit).await;
+            Timer::after(self.latencies.hit).await;
             return Some((body(object, created_ms, len), "hit", 0));
         }
         let source = request.source.as_deref().filter(|s| *s != endpoint.name);
@@ -307,15 +316,15 @@
             }
         };
         if let Some(created_ms) = source.and_then(cached) {
-            Timer::after(self.times.fill).await;
+            Timer::after(self.latencies.fill).await;
             store(&endpoint.name, created_ms);
-            return Some((body(object, created_ms, len), "filled", self.times.fill.as_millis() as u64));
+            return Some((body(object, created_ms, len), "filled", self.latencies.fill.as_millis() as u64));
         }
         if request.have_only {
             return None;
         }
         *self.state.lock().unwrap().fetched.entry(object).or_default() += 1;
-        Timer::after(self.times.fill + self.times.origin).await;
+        Timer::after(self.latencies.fill + self.latencies.origin).await;
         let created_ms = unix_ms();
         store(&endpoint.name, created_ms);
         if let Some(source) = source {
@@ -324,7 +333,7 @@
         Some((
             body(object, created_ms, len),
             "via_origin",
-            (self.times.fill + self.times.origin).as_millis() as u64,
+            (self.latencies.fill + self.latencies.origin).as_millis() as u64,
         ))
     }
 
--- a/rig/src/caches.rs
+++ b/rig/src/caches.rs
@@ -50,7 +50,7 @@
 }
 
 pub struct Site {
-    times: Latencies,
+    latencies: Latencies,
     /// Body length in bytes for an object number.
     len: fn(u64) -> usize,
     /// Per cache, the creation time of each copy that it holds.
@@ -76,9 +76,9 @@
 }
 
 impl Site {
-    pub fn new(times: Latencies, len: fn(u64) -> usize) -> Arc<Site> {
+    pub fn new(latencies: Latencies, len: fn(u64) -> usize) -> Arc<Site> {
         Arc::new(Site {
-            times,
+            latencies,
             len,
             copies: Mutex::default(),
             purges: Mutex::default(),
@@ -168,7 +168,7 @@
             let response = if !body_sent.is_empty()
                 || endpoint.kind == "origin" && source.is_none() && path.contains("/book/")
             {
-                thread::sleep(self.times.origin);
+                thread::sleep(self.latencies.origin);
                 *self.executions.lock().unwrap().entry(trace).or_default() += 1;
                 self.wait_while_blocked();
                 Some((body(object, unix_ms(), HEADER_BYTES), "hit", 0))
@@ -215,7 +215,7 @@
             _ = self.copies.lock().unwrap().entry(name.to_owned()).or_default().insert(object, created_ms);
         };
         if let Some(created_ms) = write_gate(&endpoint.name).filter(|_| endpoint.kind != "origin") {
-            thread::sleep(self.times.hit);
+            thread::sleep(self.latencies.hit);
             return Some((body(object, created_ms, len), "hit", 0));
         }
         let is_origin = endpoint.kind == "origin";
@@ -224,21 +224,21 @@
             return None;
         }
         if let Some(created_ms) = source.and_then(write_gate) {
-            thread::sleep(self.times.fill);
+            thread::sleep(self.latencies.fill);
             store(&endpoint.name, created_ms);
-            return Some((body(object, created_ms, len), "filled", self.times.fill.as_millis() as u64));
+            return Some((body(object, created_ms, len), "filled", self.latencies.fill.as_millis() as u64));
         }
         if have_only {
             return None;
         }
-        thread::sleep(self.times.fill + self.times.origin);
+        thread::sleep(self.latencies.fill + self.latencies.origin);
         self.origin_fills.fetch_add(1, Ordering::Relaxed);
         let created_ms = unix_ms();
         store(&endpoint.name, created_ms);
         if let Some(source) = source {
             store(source, created_ms);
         }
-        let waited_ms = (self.times.fill + self.times.origin).as_millis() as u64;
+        let waited_ms = (self.latencies.fill + self.latencies.origin).as_millis() as u64;
         Some((body(object, created_ms, len), "via_origin", waited_ms))
     }
 }
--- a/rig/src/fleet_run.rs
+++ b/rig/src/fleet_run.rs
@@ -734,9 +734,9 @@
     members.extend((0..options.parents).map(|p| (format!("p{p}"), "parent")));
     members.push(("o".to_owned(), "origin"));
     let ms = Duration::from_millis;
-    let times = cache_tier::Latencies { hit: ms(3), fill: ms(8), origin: ms(60) };
+    let latencies = cache_tier::Latencies { hit: ms(3), fill: ms(8), origin: ms(60) };
     let (tier, endpoints) =
-        CacheTier::start(&executor, &members, (times, options.cache_capacity), object_len)?;
+        CacheTier::start(&executor, &members, (latencies, options.cache_capacity), object_len)?;
     let (roster, processes) = (roster_event(&endpoints, unix_ms()), options.gateways + options.hubs());
     let start_discovery = |s: usize| {
         let first = if s == 0 { vec![roster.clone()] } else { Vec::new() };
@@ -785,7 +785,7 @@
     let began = clients.now();
     (options.gateways..processes).chain(order).for_each(|i| run.spawn(i));
     let spawn_s = clients.now() - began;
-    let (mut next, mut next_sweep, mut trace, mut last) = (clients.now(), 1.0, 0u64, 0.0);
+    let (mut next, mut next_expiry, mut trace, mut last) = (clients.now(), 1.0, 0u64, 0.0);
     while clients.now() < options.seconds {
         let now = clients.now();
         while let Some(moment) = moments.next_if(|m| m.at <= now) {
@@ -799,8 +799,8 @@
         }
         run.restart_exited();
         last = now;
-        if now >= next_sweep {
-            next_sweep += 1.0;
+        if now >= next_expiry {
+            next_expiry += 1.0;
             clients.expire(false);
         }
         while next <= clients.now() {
@@ -1002,6 +1002,7 @@
     })
 }
 
+/// The results as a table for the terminal.
 pub fn table(options: &Options, outcome: &Outcome) -> String {
     let results = json(options, outcome);
     let mut out = outcome.report.table();
--- a/rig/src/link_emulator.rs
+++ b/rig/src/link_emulator.rs
@@ -109,10 +109,10 @@
             let (mut now, mut last_in_order) = (0.0, 0.0);
             gaps.into_iter().all(|gap| {
                 now += f64::from(gap) / 1e3;
-                let arrival = link.arrivals(now, 1_000, 0, &conditions, &mut rng);
-                let took = arrival[0] - now;
-                let ok = arrival.len() == 1 && arrival[0] >= last_in_order && took >= conditions.delay_ms / 1e3 - 1e-9;
-                last_in_order = arrival[0];
+                let arrivals = link.arrivals(now, 1_000, 0, &conditions, &mut rng);
+                let latency = arrivals[0] - now;
+                let ok = arrivals.len() == 1 && arrivals[0] >= last_in_order && latency >= conditions.delay_ms / 1e3 - 1e-9;
+                last_in_order = arrivals[0];
                 ok
             })
         }
@@ -122,20 +122,20 @@
     fn a_rate_limit_is_kept_and_excess_datagrams_are_lost() {
         let conditions = LinkConditions { rate_kb: 100.0, queue_kb: 10.0, ..LinkConditions::default() };
         let (mut link, mut rng) = (LinkDirection::default(), Pcg64Mcg::seed_from_u64(7));
-        let arrival: Vec<f64> =
+        let arrivals: Vec<f64> =
             (0..100).flat_map(|_| link.arrivals(0.0, 1_024, 0, &conditions, &mut rng)).collect();
-        assert_eq!((arrival.len() as u64, link.lost), (link.passed, 100 - link.passed));
-        assert!((10..=12).contains(&arrival.len()), "{}", arrival.len());
-        assert!((arrival[9] - 0.1).abs() < 1e-6);
+        assert_eq!((arrivals.len() as u64, link.lost), (link.passed, 100 - link.passed));
+        assert!((10..=12).contains(&arrivals.len()), "{}", arrivals.len());
+        assert!((arrivals[9] - 0.1).abs() < 1e-6);
     }
 
     #[test]
     fn loss_and_duplication_match_their_probabilities() {
         let conditions = LinkConditions { loss: 0.1, duplicate: 0.05, ..LinkConditions::default() };
         let (mut link, mut rng) = (LinkDirection::default(), Pcg64Mcg::seed_from_u64(7));
-        let all: Vec<usize> =
+        let counts: Vec<usize> =
             (0..20_000).map(|_| link.arrivals(0.0, 100, 0, &conditions, &mut rng).len()).collect();
-        let share = |n| all.iter().filter(|&&m| m == n).count() as f64 / 20_000.0;
+        let share = |n| counts.iter().filter(|&&m| m == n).count() as f64 / 20_000.0;
         assert!((0.09..0.11).contains(&share(0)) && (0.04..0.05).contains(&share(2)));
         let blocked = LinkConditions { blocked: [true, false], ..LinkConditions::default() };
         assert_eq!(
--- a/rig/src/main.rs
+++ b/rig/src/main.rs
@@ -29,6 +29,7 @@
     Keys {
         /// Folder to which the certificates are written.
         folder: PathBuf,
+        /// Names of the sites.
         #[arg(required = true)]
         sites: Vec<String>,
     },
@@ -38,13 +39,17 @@
 enum SitesLedger {
     /// The outcome of a lost hop is never asked for.
     None,
+    /// Each remote gateway keeps its ledger in memory.
     Memory,
+    /// Each remote gateway also keeps its ledger on disk.
     Disk,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
 enum Carrier {
+    /// A QUIC stream for each hop.
     Streams,
+    /// One QUIC stream for all hops.
     OneStream,
 }
 
@@ -153,8 +158,11 @@
 enum CopiesLedger {
     /// The outcome of a lost hop is never asked for.
     None,
+    /// Each remote gateway keeps its ledger in memory.
     Memory,
+    /// Each remote gateway also keeps its ledger on disk.
     Disk,
+    /// The ledger is replicated over several remote gateways.
     Copies,
 }
 
--- a/rig/src/sites.rs
+++ b/rig/src/sites.rs
@@ -314,10 +314,10 @@
     authority.write(&options.folder, "far")?;
     let remote_site = start_remote_site()?;
     let local_discovery = DiscoveryServer::start(1)?;
-    let mut between = None;
+    let mut replica_switch = None;
     if matches!(options.ledger, Ledger::Copies { .. }) {
         switch::next_subnet();
-        between = Some(Switch::start(options.remote_gateways, options.seed, options.replica_link)?);
+        replica_switch = Some(Switch::start(options.remote_gateways, options.seed, options.replica_link)?);
     }
     let (mut remotes, mut relays) = (Vec::new(), Vec::new());
     let mut peers = vec![Vec::new(); options.local_gateways];
@@ -393,7 +393,7 @@
     }
     let env = Environment {
         relays: &relays,
-        between: between.as_ref(),
+        replica_switch: replica_switch.as_ref(),
         remote_site: &remote_site,
         local_discovery: &local_discovery,
     };
@@ -472,7 +472,7 @@
 struct Environment<'a> {
     /// Each relay with the number of the remote gateway to which it leads.
     relays: &'a [(usize, Relay)],
-    between: Option<&'a Switch>,
+    replica_switch: Option<&'a Switch>,
     remote_site: &'a RemoteSite,
     local_discovery: &'a DiscoveryServer,
 }
@@ -500,7 +500,7 @@
     let mut faults = ActiveFaults::default();
     let mut rng = Pcg64Mcg::seed_from_u64(options.seed);
     let mut moments = options.plan.moments().into_iter().peekable();
-    let (mut next, mut next_purge, mut next_sweep) = (0.0, options.purge_every_s, 1.0);
+    let (mut next, mut next_purge, mut next_expiry) = (0.0, options.purge_every_s, 1.0);
     let (mut late_purges, mut purges, mut trace) = (Vec::<(f64, u64, u64)>::new(), 0, 0u64);
     while clients.now() < options.seconds {
         let now = clients.now();
@@ -524,8 +524,8 @@
             }
             due > now
         });
-        if now >= next_sweep {
-            next_sweep += 1.0;
+        if now >= next_expiry {
+            next_expiry += 1.0;
             clients.expire(false);
         }
         while next <= clients.now() {
@@ -596,10 +596,10 @@
         remotes: &mut [RemoteGateway],
         env: &Environment,
     ) {
-        let (begins, what) = (moment.begins, &moment.event.what);
+        let (begins, fault) = (moment.begins, &moment.event.what);
         let matches_link = |i: usize| moment.event.link.is_none_or(|link| link == i);
         for (_, relay) in env.relays.iter().filter(|(remote, _)| matches_link(*remote)) {
-            relay.set_conditions(|w| match what {
+            relay.set_conditions(|w| match fault {
                 Fault::Dark => w.blocked = [begins; 2],
                 Fault::DarkThere => w.blocked[0] = begins,
                 Fault::DarkBack => w.blocked[1] = begins,
@@ -608,23 +608,24 @@
                 _ => {}
             });
         }
-        if let (Fault::LossyCopies(part), Some(between)) = (what, env.between) {
-            between.set_conditions(|w| w.loss = if begins { *part } else { options.replica_link.loss });
+        if let (Fault::LossyCopies(part), Some(replica_switch)) = (fault, env.replica_switch) {
+            replica_switch
+                .set_conditions(|w| w.loss = if begins { *part } else { options.replica_link.loss });
         }
         let targets = if begins {
-            let targets = select_targets(options, what, &matches_link, remotes);
+            let targets = select_targets(options, fault, &matches_link, remotes);
             self.targets.push((moment.event.clone(), targets.clone()));
             targets
         } else {
-            let known = self.targets.iter().position(|(event, _)| *event == moment.event);
-            known.map_or(Vec::new(), |i| self.targets.remove(i).1)
+            let position = self.targets.iter().position(|(event, _)| *event == moment.event);
+            position.map_or(Vec::new(), |i| self.targets.remove(i).1)
         };
         for i in targets {
             let remote = &mut remotes[i];
-            match what {
+            match fault {
                 Fault::KillFar | Fault::WipeFar | Fault::WipeLeader(_) | Fault::WipeZone if begins => {
                     remote.kill();
-                    if *what != Fault::KillFar {
+                    if *fault != Fault::KillFar {
                         self.wiped += 1;
                         // Fails if the ledger is not kept on disk.
                         remote.disk.iter().for_each(|disk| _ = std::fs::remove_file(disk));
@@ -642,12 +643,14 @@
                     remote.gateway.iter().for_each(|gateway| _ = gateway.signal(signal));
                 }
                 Fault::CutLeader | Fault::MuteLeader | Fault::DeafLeader => {
-                    let cut = |a: usize, b: usize| match what {
+                    let is_blocked = |a: usize, b: usize| match fault {
                         Fault::MuteLeader => a == i,
                         Fault::DeafLeader => b == i,
                         _ => a == i || b == i,
                     };
-                    env.between.iter().for_each(|between| between.set_blocked(begins, cut));
+                    env.replica_switch
+                        .iter()
+                        .for_each(|replica_switch| replica_switch.set_blocked(begins, is_blocked));
                 }
                 _ => {}
             }
@@ -658,8 +661,8 @@
 /// Selects the remote gateways that an event affects: by number, or the leader of the most groups.
 fn select_targets(
     options: &Options,
-    what: &Fault,
-    of: &impl Fn(usize) -> bool,
+    fault: &Fault,
+    matches_link: &impl Fn(usize) -> bool,
     remotes: &[RemoteGateway],
 ) -> Vec<usize> {
     let live = |i: &usize| remotes[*i].gateway.is_some();
@@ -667,8 +670,10 @@
         let leads = |i: &usize| (remotes[*i].groups_led() * 1e3) as u64;
         (0..remotes.len()).filter(live).max_by_key(leads)
     };
-    match what {
-        Fault::KillFar | Fault::WipeFar => (0..remotes.len()).filter(|i| of(*i)).filter(live).collect(),
+    match fault {
+        Fault::KillFar | Fault::WipeFar => {
+            (0..remotes.len()).filter(|i| matches_link(*i)).filter(live).collect()
+        }
         Fault::WipeLeader(n) => {
             let first = leader();
             let others = (0..remotes.len()).filter(live).filter(|i| Some(*i) != first);
