--- a/gateway/tests/common/installation.rs
+++ b/gateway/tests/common/installation.rs
@@ -3,12 +3,12 @@
 #![allow(dead_code, reason = "each test file uses its part")]
 
 use super::PATIENCE;
-use kelpcart_rig::bulletin::Bulletin;
-use kelpcart_rig::caches::{Place, Site, Times, born, unix_ms};
-use kelpcart_rig::client::{self, Ask, Word};
+use kelpcart_rig::caches::{CacheEndpoint, Latencies, Site, copy_created_ms, unix_ms};
+use kelpcart_rig::client::{self, Request, Status};
+use kelpcart_rig::discovery::DiscoveryServer;
 use kelpcart_rig::fleet::{self, Node, Process, counters, endpoint};
-use kelpcart_rig::fleet_day::front;
-use kelpcart_rig::lane::Weather;
+use kelpcart_rig::fleet_run::client_address;
+use kelpcart_rig::link_emulator::LinkConditions;
 use kelpcart_rig::switch::{self, Switch};
 use ring::signature::{Ed25519KeyPair, KeyPair};
 use serde_json::{Value, json};
@@ -61,9 +61,9 @@
 pub struct Installation {
     _exclusive: MutexGuard<'static, ()>,
     pub switch: Switch,
-    pub discovery_services: Arc<Vec<Bulletin>>,
+    pub discovery_services: Arc<Vec<DiscoveryServer>>,
     site: Arc<Site>,
-    caches: Vec<Place>,
+    caches: Vec<CacheEndpoint>,
     /// The site of each gateway.
     pub site_of: Vec<usize>,
     hubs: usize,
@@ -102,20 +102,20 @@
 
     fn with(test: &str, sites: &[usize], hubs: usize, streams: usize) -> Installation {
         let exclusive = exclusive();
-        switch::next_net();
+        switch::next_subnet();
         let folder = std::env::temp_dir().join(format!("kelpcart-{test}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let site_of: Vec<usize> = sites.iter().enumerate().flat_map(|(s, n)| vec![s; *n]).collect();
         let ms = Duration::from_millis;
-        let site = Site::new(Times { hit: ms(2), fill: ms(3), origin: ms(10) }, |_| 2_000);
+        let site = Site::new(Latencies { hit: ms(2), fill: ms(3), origin: ms(10) }, |_| 2_000);
         let kinds = [("c0", "box"), ("c1", "box"), ("p0", "parent"), ("o", "origin")];
-        let caches = kinds.map(|(name, kind)| site.place(name, kind).unwrap()).to_vec();
-        let weather = Weather { delay_ms: 2.0, ..Weather::default() };
+        let caches = kinds.map(|(name, kind)| site.start_member(name, kind).unwrap()).to_vec();
+        let weather = LinkConditions { delay_ms: 2.0, ..LinkConditions::default() };
         let switch = Switch::start(site_of.len() + hubs, 1, weather).unwrap();
         Installation {
             _exclusive: exclusive,
             switch,
-            discovery_services: Arc::new((0..streams).map(|_| Bulletin::start(1).unwrap()).collect()),
+            discovery_services: Arc::new((0..streams).map(|_| DiscoveryServer::start(1).unwrap()).collect()),
             site,
             caches,
             processes: (0..site_of.len() + hubs).map(|_| None).collect(),
@@ -152,20 +152,21 @@
 
     fn file(&self, i: usize) -> Value {
         let n = self.site_of.len();
-        let hubs: Vec<Value> = (0..self.hubs).map(|h| hub(h, switch::reached(n + h))).collect();
-        let stream = |(i, l): (usize, &Bulletin)| json!({"name": format!("s{i}"), "address": l.address.to_string(), "known": 1});
+        let hubs: Vec<Value> = (0..self.hubs).map(|h| hub(h, switch::advertised_address(n + h))).collect();
+        let stream = |(i, l): (usize, &DiscoveryServer)| json!({"name": format!("s{i}"), "address": l.address.to_string(), "known": 1});
         let streams: Vec<Value> = self.discovery_services.iter().enumerate().map(stream).collect();
         let site = self.site_of.get(i).map_or("control".to_owned(), |s| format!("site{s}"));
         let keys: Vec<Value> =
             self.keys.iter().map(|id| json!({"id": id, "secret": format!("{id:02x}").repeat(32)})).collect();
         let mut file = json!({
-            "fleet": site, "gateway": self.name(i), "listen": switch::own(i).to_string(),
-            "advertise": switch::reached(i).to_string(), "keys": keys,
+            "fleet": site, "gateway": self.name(i), "listen": switch::bind_address(i).to_string(),
+            "advertise": switch::advertised_address(i).to_string(), "keys": keys,
             "feed": {"name": "rig", "site": site, "streams": streams, "hubs": hubs},
         });
         if i < n {
             let peers = (0..n).filter(|p| self.site_of[*p] == self.site_of[i]);
-            let seeds: Vec<String> = peers.clone().take(3).map(|p| switch::reached(p).to_string()).collect();
+            let seeds: Vec<String> =
+                peers.clone().take(3).map(|p| switch::advertised_address(p).to_string()).collect();
             file["seeds"] = json!(seeds);
             file["members"] =
                 json!({"expected": peers.count(), "probe_ms": 500, "answer_ms": 200, "suspect_ms": 1_500});
@@ -181,9 +182,10 @@
     fn config(&self, i: usize) -> Value {
         let (zone, bulletin, places) = ("hub", self.discovery_services[0].address, self.caches.as_slice());
         let name = self.name(i);
-        let node = Node { name: &name, zone, bulletin, places, memory_mb: 64, seed: i as u64 };
+        let node =
+            Node { name: &name, zone, discovery: bulletin, endpoints: places, memory_mb: 64, seed: i as u64 };
         let mut config = fleet::config(&node);
-        config["listen"] = json!(front(i).to_string());
+        config["listen"] = json!(client_address(i).to_string());
         config
     }
 
@@ -213,21 +215,22 @@
     /// Replaces all discovery services by new ones at other addresses, which continue at the same event number.
     pub fn move_discovery_services(&mut self) {
         let lists = Arc::get_mut(&mut self.discovery_services).expect("purges have ended");
-        lists.iter_mut().for_each(|list| *list = Bulletin::start(list.last()).unwrap());
+        lists.iter_mut().for_each(|list| *list = DiscoveryServer::start(list.last_event_no()).unwrap());
         self.reload_settings();
     }
 
     /// Publishes a list of caches by one discovery service; nothing listens at their addresses.
     pub fn list(&self, stream: usize, whole: bool, names: &[String]) {
-        let nowhere = |n: &String| Place { name: n.clone(), kind: "box", address: switch::address(4, 0, 9) };
+        let nowhere =
+            |n: &String| CacheEndpoint { name: n.clone(), kind: "box", address: switch::address(4, 0, 9) };
         let all: Vec<Value> = names.iter().map(|n| endpoint(&nowhere(n), "hub", "draining")).collect();
-        self.discovery_services[stream].roster(whole, &all);
+        self.discovery_services[stream].push_roster(whole, &all);
     }
 
     /// Kills a process, as in a crash.
     pub fn kill(&mut self, i: usize) {
         if let Some(mut process) = self.processes[i].take() {
-            assert!(!process.has_ended() && !process.log().contains("panicked at"), "{}", process.log());
+            assert!(!process.has_exited() && !process.log().contains("panicked at"), "{}", process.log());
             process.kill();
         }
     }
@@ -338,7 +341,7 @@
     pub fn is_up_to_date(&self, i: usize) -> bool {
         let c = self.counters(i);
         let at = |s: usize| c.get(&format!("fleet feed position {s}")).copied();
-        self.discovery_services.iter().enumerate().all(|(s, list)| at(s) == Some(list.last() as f64))
+        self.discovery_services.iter().enumerate().all(|(s, list)| at(s) == Some(list.last_event_no() as f64))
     }
 
     /// Waits until every running gateway has the last event of each discovery service.
@@ -350,7 +353,7 @@
 
     /// Waits until every running gateway has the events published so far, while more may follow.
     pub fn wait_for_current_events(&self) {
-        let last: Vec<f64> = self.discovery_services.iter().map(|l| l.last() as f64).collect();
+        let last: Vec<f64> = self.discovery_services.iter().map(|l| l.last_event_no() as f64).collect();
         self.wait_for("the events so far at all gateways", |all| {
             all.gateways().into_iter().all(|i| {
                 let c = all.counters(i);
@@ -367,7 +370,10 @@
             all.hubs().into_iter().all(|i| {
                 let c = all.counters(i);
                 let done = |s: usize| c.get(&format!("fleet feed done everywhere {s}")).copied();
-                all.discovery_services.iter().enumerate().all(|(s, list)| done(s) == Some(list.last() as f64))
+                all.discovery_services
+                    .iter()
+                    .enumerate()
+                    .all(|(s, list)| done(s) == Some(list.last_event_no() as f64))
             })
         });
     }
@@ -403,7 +409,7 @@
         self.stop_purges();
         self.observations.ends.store(true, Ordering::SeqCst);
         self.processes.iter_mut().for_each(|p| *p = None);
-        self.site.end();
+        self.site.stop();
         self.clients.drain(..).for_each(|c| _ = c.join());
         if !thread::panicking() {
             _ = std::fs::remove_dir_all(&self.folder);
@@ -415,7 +421,7 @@
 fn run_client(i: usize, observations: &Observations) {
     let mut n = i as u64;
     while !observations.ends.load(Ordering::SeqCst) {
-        if let Ok(stream) = TcpStream::connect(front(i)) {
+        if let Ok(stream) = TcpStream::connect(client_address(i)) {
             // The connection ends with its gateway and is opened again with it.
             _ = send_requests(i, observations, &stream, &mut n);
         }
@@ -438,10 +444,11 @@
         (id, *n) = (id + 1, *n + 11);
         let (object, sent) = (*n % OBJECTS, unix_ms());
         let trace = (i as u64) << 40 | *n;
-        let request = Ask { id, rule: "media", trace, object, timeout_ms: 5_000, need_kb: 2.0, body: b"" };
-        stream.write_all(&client::request(&request))?;
+        let request =
+            Request { id, rule: "media", trace, object, timeout_ms: 5_000, need_kb: 2.0, body: b"" };
+        stream.write_all(&client::encode_request(&request))?;
         let answer = loop {
-            if let Some((answer, used)) = client::answer(&buffer).map_err(std::io::Error::other)? {
+            if let Some((answer, used)) = client::decode_response(&buffer).map_err(std::io::Error::other)? {
                 buffer.drain(..used);
                 break answer;
             }
@@ -456,11 +463,11 @@
                 return Ok(());
             }
         };
-        if answer.word != Word::Served {
+        if answer.status != Status::Served {
             continue;
         }
         observations.served[i].fetch_add(1, Ordering::SeqCst);
-        let created = born(object, &answer.body).expect("a body with the object's own bytes");
+        let created = copy_created_ms(object, &answer.body).expect("a body with the object's own bytes");
         let purged = observations.purges.lock().unwrap().get(&object).copied();
         if let Some(at) = purged.filter(|at| sent > *at && created < *at) {
             observations.stale.lock().unwrap().push((i, sent - at));
--- a/gateway/tests/feed.rs
+++ b/gateway/tests/feed.rs
@@ -11,8 +11,8 @@
 use kelpcart::interface::MemberState;
 use kelpcart_gateway::config::{self, DiscoveryEvent, Names};
 use kelpcart_gateway::feed::CacheOwners;
-use kelpcart_rig::bulletin::Bulletin;
-use kelpcart_rig::fleet::{self, Node, Process, free_udp};
+use kelpcart_rig::discovery::DiscoveryServer;
+use kelpcart_rig::fleet::{self, Node, Process, free_udp_address};
 use serde_json::json;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -97,14 +97,14 @@
     let (order, n) = (all.order(0), all.site_of.len());
     all.purge(30);
     let of_hub = |i: usize| i >= n;
-    all.switch.cut(true, |a, b| a == order[0] && of_hub(b) || b == order[0] && of_hub(a));
+    all.switch.set_blocked(true, |a, b| a == order[0] && of_hub(b) || b == order[0] && of_hub(a));
     all.wait_for("another contact", |all| {
         order[1..].iter().any(|i| all.counter(*i, "fleet feed contacts") >= 1.0)
             || all.counter(order[0], "fleet feed provisional made") > 0.0
     });
     thread::sleep(FAULT_DURATION);
     all.wait_for_current_events();
-    all.switch.cut(false, |_, _| true);
+    all.switch.set_blocked(false, |_, _| true);
     thread::sleep(FAULT_DURATION);
     assert!(all.stop_purges() > 20);
     all.wait_for_all_confirmed();
@@ -117,7 +117,7 @@
     let (of, n) = (all.site_of.clone(), all.site_of.len());
     all.purge(30);
     let cut = |a: usize, b: usize| a < n && of[a] == 0 && b >= n;
-    all.switch.cut(true, |a, b| cut(a, b) || cut(b, a));
+    all.switch.set_blocked(true, |a, b| cut(a, b) || cut(b, a));
     all.wait_for("list services asked by the contact", |all| all.sum("fleet feed provisional") > 0.0);
     // The hubs continue without that site, name it, and do not report anything as done everywhere that it has not
     // acknowledged.
@@ -129,7 +129,7 @@
         done("in touch") > done("everywhere") && named.iter().any(|who| who.starts_with("site0, "))
     });
     thread::sleep(FAULT_DURATION);
-    all.switch.cut(false, |_, _| true);
+    all.switch.set_blocked(false, |_, _| true);
     thread::sleep(FAULT_DURATION);
     assert!(all.stop_purges() > 20);
     all.wait_for_all_confirmed();
@@ -150,7 +150,7 @@
 #[test]
 fn datagram_loss_duplication_and_reordering_lose_no_purge() {
     let mut all = Installation::start("feed-weather", &[5, 2], 2, 2);
-    all.switch.weather(|w| (w.loss, w.duplicate, w.reorder, w.jitter_ms) = (0.1, 0.1, 0.1, 20.0));
+    all.switch.set_conditions(|w| (w.loss, w.duplicate, w.reorder, w.jitter_ms) = (0.1, 0.1, 0.1, 20.0));
     all.purge(30);
     thread::sleep(FAULT_DURATION * 2);
     assert!(all.stop_purges() > 40);
@@ -280,14 +280,14 @@
     let _alone = exclusive();
     let folder = std::env::temp_dir().join(format!("kelpcart-feed-off-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let bulletin = Bulletin::start(1).unwrap();
+    let bulletin = DiscoveryServer::start(1).unwrap();
     let start = |name: &str, file: &serde_json::Value| {
         let node =
-            Node { name, zone: "hub", bulletin: bulletin.address, places: &[], memory_mb: 64, seed: 1 };
+            Node { name, zone: "hub", discovery: bulletin.address, endpoints: &[], memory_mb: 64, seed: 1 };
         Process::spawn(program(), &folder, name, &fleet::config(&node), Some(file)).unwrap()
     };
     let file = |name: &str| {
-        let listen = free_udp().unwrap().to_string();
+        let listen = free_udp_address().unwrap().to_string();
         json!({"fleet": "one", "gateway": name, "listen": listen, "seeds": [listen],
             "keys": [{"id": 1, "secret": "ab".repeat(32)}]})
     };
@@ -313,7 +313,7 @@
     assert!(!hub.log().contains(" listens on "));
     fleet::signal("TERM", &[hub.id()]).unwrap();
     let began = Instant::now();
-    while !hub.has_ended() {
+    while !hub.has_exited() {
         assert!(began.elapsed() < PATIENCE, "{}", hub.log());
         thread::sleep(Duration::from_millis(10));
     }
@@ -321,7 +321,7 @@
     hub_file["feed"]["control"]["secret"] = json!("02".repeat(32));
     let mut wrong = start("wrong", &hub_file);
     let began = Instant::now();
-    while !wrong.has_ended() {
+    while !wrong.has_exited() {
         assert!(began.elapsed() < PATIENCE, "{}", wrong.log());
         thread::sleep(Duration::from_millis(10));
     }
--- a/gateway/tests/fleet.rs
+++ b/gateway/tests/fleet.rs
@@ -8,10 +8,10 @@
 use kelpcart_fleet::settings::Fleet;
 use kelpcart_fleet::wire::{MemberRecord, MemberState, Payload, ipv4_and_port};
 use kelpcart_gateway::clock::Clock;
-use kelpcart_rig::bulletin::Bulletin;
+use kelpcart_rig::discovery::DiscoveryServer;
 use kelpcart_rig::fleet::{self, Node};
-use kelpcart_rig::fleet_day::{self, Installation, Options, Outcome};
-use kelpcart_rig::fleet_plan::{Event, What};
+use kelpcart_rig::fleet_plan::{Event, Fault};
+use kelpcart_rig::fleet_run::{self, Installation, Options, Outcome};
 use kelpcart_rig::switch;
 use serde_json::json;
 use std::net::UdpSocket;
@@ -27,7 +27,7 @@
     RUN_LOCK.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-fn event(at: f64, lasts: f64, what: What) -> Event {
+fn event(at: f64, lasts: f64, what: Fault) -> Event {
     Event { at, lasts, what }
 }
 
@@ -43,8 +43,8 @@
         Options::small(n, seconds, PathBuf::from(env!("CARGO_BIN_EXE_kelpcart")), folder.clone());
     options.plan = plan;
     change(&mut options);
-    let outcome = fleet_day::run(&options).unwrap();
-    assert!(!fleet_day::broken(&outcome), "{}", fleet_day::table(&options, &outcome));
+    let outcome = fleet_run::run(&options).unwrap();
+    assert!(!fleet_run::failed(&outcome), "{}", fleet_run::table(&options, &outcome));
     _ = std::fs::remove_dir_all(folder);
     outcome
 }
@@ -60,19 +60,28 @@
 
 #[test]
 fn a_simultaneous_start_does_not_overload_discovery_that_is_down() {
-    let plan = vec![event(0.0, 5.0, What::BulletinDown)];
+    let plan = vec![event(0.0, 5.0, Fault::BulletinDown)];
     let outcome = run_fleet(16, 11.0, plan.clone(), |_| ());
     // Ten attempts per second of all gateways together, and the first ones.
-    assert!(outcome.list.refused <= 60 && outcome.list.connections <= 12, "{:?}", outcome.list);
+    assert!(
+        outcome.discovery.refused <= 60 && outcome.discovery.connections <= 12,
+        "{:?}",
+        outcome.discovery
+    );
     assert!(served(&outcome, 8, 11) > 0.7, "{}", served(&outcome, 8, 11));
     // Without the fleet each gateway connects for itself.
     let without = run_fleet(16, 6.0, plan, |o| o.fleet = false);
-    assert!(without.list.refused > 3 * outcome.list.refused, "{:?} against {:?}", without.list, outcome.list);
+    assert!(
+        without.discovery.refused > 3 * outcome.discovery.refused,
+        "{:?} against {:?}",
+        without.discovery,
+        outcome.discovery
+    );
 }
 
 #[test]
 fn discovery_that_dies_in_the_middle_of_the_list_is_contacted_again() {
-    let plan = vec![event(0.0, 3.0, What::BulletinDies(700))];
+    let plan = vec![event(0.0, 3.0, Fault::BulletinDies(700))];
     let outcome = run_fleet(12, 10.0, plan, |_| ());
     assert!(served(&outcome, 7, 10) > 0.7, "{}", served(&outcome, 7, 10));
     assert!(counter(&outcome, "fleet list number").iter().all(|no| *no == 1.0));
@@ -80,24 +89,24 @@
 
 #[test]
 fn no_purge_is_lost_when_discovery_subscribers_are_killed_twice_in_a_row() {
-    let mut plan = vec![event(4.0, 1.0, What::KillAskers), event(6.5, 1.0, What::KillAskers)];
-    plan.extend((0..20).map(|i| event(4.1 + f64::from(i) * 0.3, 0.0, What::Purge)));
+    let mut plan = vec![event(4.0, 1.0, Fault::KillAskers), event(6.5, 1.0, Fault::KillAskers)];
+    plan.extend((0..20).map(|i| event(4.1 + f64::from(i) * 0.3, 0.0, Fault::Purge)));
     // A gateway whose connections all broke counts as informed 2 s later.
-    let outcome = run_fleet(16, 12.0, plan, |o| o.told_ms = 2_000);
+    let outcome = run_fleet(16, 12.0, plan, |o| o.propagation_ms = 2_000);
     assert!(
         counter(&outcome, "fleet list number").iter().all(|no| *no == 21.0),
         "{:?}",
         counter(&outcome, "fleet list number")
     );
-    assert!(outcome.list.connections <= 30, "{:?}", outcome.list);
+    assert!(outcome.discovery.connections <= 30, "{:?}", outcome.discovery);
 }
 
 #[test]
 fn discovery_subscribers_stopped_for_a_while_do_not_pass_old_lists_for_fresh() {
-    let mut plan = vec![event(4.0, 4.0, What::StopAskers)];
-    plan.extend((0..8).map(|i| event(4.5 + f64::from(i) * 0.4, 0.0, What::Purge)));
+    let mut plan = vec![event(4.0, 4.0, Fault::StopAskers)];
+    plan.extend((0..8).map(|i| event(4.5 + f64::from(i) * 0.4, 0.0, Fault::Purge)));
     // A gateway that was stopped for 4 s can't know what was purged meanwhile.
-    let outcome = run_fleet(16, 11.0, plan, |o| o.told_ms = 4_000);
+    let outcome = run_fleet(16, 11.0, plan, |o| o.propagation_ms = 4_000);
     assert!(
         counter(&outcome, "fleet list number").iter().all(|no| *no == 9.0),
         "{:?}",
@@ -108,10 +117,10 @@
 
 #[test]
 fn a_partition_heals_and_a_member_that_receives_nothing_affects_no_other() {
-    let mut plan = vec![event(4.0, 4.0, What::Cut(0.5)), event(9.0, 2.0, What::Deaf(3))];
-    plan.extend((0..3).map(|i| event(5.0 + f64::from(i) * 0.4, 0.0, What::Purge)));
+    let mut plan = vec![event(4.0, 4.0, Fault::Cut(0.5)), event(9.0, 2.0, Fault::Deaf(3))];
+    plan.extend((0..3).map(|i| event(5.0 + f64::from(i) * 0.4, 0.0, Fault::Purge)));
     // Gateways that are cut off can't know what was purged.
-    let outcome = run_fleet(14, 17.0, plan, |o| o.told_ms = 8_000);
+    let outcome = run_fleet(14, 17.0, plan, |o| o.propagation_ms = 8_000);
     assert!(
         counter(&outcome, "fleet list number").iter().all(|no| *no == 4.0),
         "{:?}",
@@ -123,13 +132,13 @@
 #[test]
 fn seven_in_ten_killed_while_one_cache_in_eight_is_bad_and_a_purge_at_the_start() {
     let plan = vec![
-        event(0.0, 0.0, What::Purge),
-        event(4.0, 1.0, What::Kill(0.7)),
-        event(4.0, 4.0, What::Bad(8)),
-        event(4.5, 0.0, What::Purge),
+        event(0.0, 0.0, Fault::Purge),
+        event(4.0, 1.0, Fault::Kill(0.7)),
+        event(4.0, 4.0, Fault::Bad(8)),
+        event(4.5, 0.0, Fault::Purge),
     ];
     // The killed gateways may include all that were connected to discovery.
-    let outcome = run_fleet(16, 12.0, plan, |o| o.told_ms = 2_000);
+    let outcome = run_fleet(16, 12.0, plan, |o| o.propagation_ms = 2_000);
     assert!(
         counter(&outcome, "fleet members live").iter().all(|n| *n == 16.0),
         "{:?}",
@@ -141,7 +150,7 @@
 
 #[test]
 fn keys_change_during_a_start_and_a_rolling_restart() {
-    let plan = vec![event(0.2, 3.0, What::Rekey), event(4.0, 5.0, What::Roll)];
+    let plan = vec![event(0.2, 3.0, Fault::Rekey), event(4.0, 5.0, Fault::Roll)];
     let outcome = run_fleet(10, 15.0, plan, |_| ());
     let live = counter(&outcome, "fleet members live");
     assert!(live.len() == 10 && live.iter().all(|n| *n >= 10.0), "{live:?}");
@@ -167,7 +176,7 @@
 
 #[test]
 fn most_of_a_fleet_gone_for_good_leaves_the_rest_serving() {
-    let plan = vec![event(5.0, 100.0, What::Kill(0.75))];
+    let plan = vec![event(5.0, 100.0, Fault::Kill(0.75))];
     let outcome = run_fleet(20, 13.0, plan, |_| ());
     assert!(served(&outcome, 0, 13) > 0.1);
     assert_eq!(outcome.counters.len(), 5);
@@ -183,15 +192,15 @@
     let _exclusive = exclusive();
     let folder = std::env::temp_dir().join(format!("kelpcart-fleet-off-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let bulletin = Bulletin::start(1).unwrap();
+    let bulletin = DiscoveryServer::start(1).unwrap();
     let config = |name| {
         let node =
-            Node { name, zone: "hub", bulletin: bulletin.address, places: &[], memory_mb: 64, seed: 1 };
+            Node { name, zone: "hub", discovery: bulletin.address, endpoints: &[], memory_mb: 64, seed: 1 };
         fleet::config(&node)
     };
     let program = PathBuf::from(env!("CARGO_BIN_EXE_kelpcart"));
     let off = fleet::Gateway::start(&program, &folder, &config("off"), None).unwrap();
-    let listen = fleet::free_udp().unwrap().to_string();
+    let listen = fleet::free_udp_address().unwrap().to_string();
     let file = json!({"fleet": "one", "gateway": "on", "listen": listen, "seeds": [listen],
         "keys": [{"id": 1, "secret": "ab".repeat(32)}]});
     let on = fleet::Process::spawn(&program, &folder, "on", &config("on"), Some(&file)).unwrap();
@@ -209,23 +218,23 @@
     bad["keys"] = json!([]);
     let mut wrong = fleet::Process::spawn(&program, &folder, "wrong", &config("wrong"), Some(&bad)).unwrap();
     let begun = Instant::now();
-    while !wrong.has_ended() && begun.elapsed() < Duration::from_secs(10) {
+    while !wrong.has_exited() && begun.elapsed() < Duration::from_secs(10) {
         thread::sleep(Duration::from_millis(10));
     }
-    assert!(wrong.has_ended() && wrong.log().contains("keys: must have 1 to 4 entries"), "{}", wrong.log());
+    assert!(wrong.has_exited() && wrong.log().contains("keys: must have 1 to 4 entries"), "{}", wrong.log());
     _ = std::fs::remove_dir_all(folder);
 }
 
 #[test]
 fn a_day_of_two_sites_on_the_feed_with_steady_purges_keeps_all_invariants() {
     let size = Installation { sites: 2, hubs: 2, streams: 2 };
-    let outcome = run_fleet(12, 9.0, vec![event(2.0, 5.0, What::Purges(40.0))], |o| {
-        (o.installation, o.told_ms, o.objects) = (Some(size), fleet_day::FEED_MS, 20);
+    let outcome = run_fleet(12, 9.0, vec![event(2.0, 5.0, Fault::Purges(40.0))], |o| {
+        (o.installation, o.propagation_ms, o.objects) = (Some(size), fleet_run::FEED_PROPAGATION_MS, 20);
     });
     let after = outcome.after_purge;
     assert!(after.purges == 200 && after.reads > 50, "{after:?}");
     assert!(counter(&outcome, "fleet members live").iter().all(|n| *n == 6.0));
-    let last: Vec<f64> = outcome.lists.iter().map(|l| l.0 as f64).collect();
+    let last: Vec<f64> = outcome.discovery_by_stream.iter().map(|l| l.0 as f64).collect();
     assert_eq!(last.iter().sum::<f64>(), 201.0);
     for (stream, last) in last.iter().enumerate() {
         let positions = counter(&outcome, &format!("fleet feed position {stream}"));
@@ -234,7 +243,7 @@
             "{stream}: {positions:?} of {last}"
         );
         let name = format!("fleet feed done everywhere {stream}");
-        let done: Vec<f64> = outcome.hubs_counters.iter().filter_map(|c| c.get(&name).copied()).collect();
+        let done: Vec<f64> = outcome.hub_counters.iter().filter_map(|c| c.get(&name).copied()).collect();
         assert_eq!(done, [*last; 2]);
     }
 }
@@ -243,19 +252,25 @@
 #[test]
 fn a_member_that_lies_and_replays_does_no_harm() {
     let _exclusive = exclusive();
-    switch::next_net();
+    switch::next_subnet();
     let file = Fleet::read(
         &json!({"fleet": "rig", "gateway": "liar", "listen": "127.0.0.1:7699",
-            "seeds": [switch::reached(0).to_string()], "keys": [{"id": 1, "secret": "01".repeat(32)}]})
+            "seeds": [switch::advertised_address(0).to_string()], "keys": [{"id": 1, "secret": "01".repeat(32)}]})
         .to_string(),
     )
     .unwrap();
     let hostile = thread::spawn(move || {
         let clock = Clock::start();
-        let socket = UdpSocket::bind(switch::own(10)).unwrap();
-        let mut node =
-            Member::new(&Fleet { advertise: Some(switch::reached(10)), ..file }, 7, 7, clock.now(), 0, &[])
-                .unwrap();
+        let socket = UdpSocket::bind(switch::bind_address(10)).unwrap();
+        let mut node = Member::new(
+            &Fleet { advertise: Some(switch::advertised_address(10)), ..file },
+            7,
+            7,
+            clock.now(),
+            0,
+            &[],
+        )
+        .unwrap();
         let (begun, mut bytes, mut old, mut last_lie) =
             (Instant::now(), [0; 2_048], Vec::new(), Instant::now());
         let mut lies_sent = 0;
@@ -303,7 +318,8 @@
         }
         lies_sent
     });
-    let outcome = run_fleet_locked(10, 12.0, Vec::new(), |o| (o.guests, o.has_net) = (1, true));
+    let outcome =
+        run_fleet_locked(10, 12.0, Vec::new(), |o| (o.extra_members, o.subnet_reserved) = (1, true));
     let lies_sent = hostile.join().unwrap();
     assert!(lies_sent > 0, "the hostile member never joined");
     assert!(counter(&outcome, "fleet falsely gone").iter().all(|n| *n == 0.0));
--- a/gateway/tests/sites.rs
+++ b/gateway/tests/sites.rs
@@ -5,12 +5,12 @@
 mod common;
 
 use common::{Client, PATIENCE, len, program, wait_for};
-use kelpcart_rig::bulletin::Bulletin;
-use kelpcart_rig::caches::{Place, Site, Times, born};
-use kelpcart_rig::client::Word;
-use kelpcart_rig::fleet::{self, Gateway, Node, free_udp};
+use kelpcart_rig::caches::{CacheEndpoint, Latencies, Site, copy_created_ms};
+use kelpcart_rig::client::Status;
+use kelpcart_rig::discovery::DiscoveryServer;
+use kelpcart_rig::fleet::{self, Gateway, Node, free_udp_address};
 use kelpcart_rig::keys::Authority;
-use kelpcart_rig::lane::Weather;
+use kelpcart_rig::link_emulator::LinkConditions;
 use kelpcart_rig::relay::Relay;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -21,16 +21,16 @@
 struct TestSites {
     folder: PathBuf,
     site: Arc<Site>,
-    places: Vec<Place>,
-    initiator_bulletin: Bulletin,
-    acceptor_bulletin: Bulletin,
+    places: Vec<CacheEndpoint>,
+    initiator_bulletin: DiscoveryServer,
+    acceptor_bulletin: DiscoveryServer,
     authority: Authority,
     listen: SocketAddr,
 }
 
 impl Drop for TestSites {
     fn drop(&mut self) {
-        self.site.end();
+        self.site.stop();
         _ = std::fs::remove_dir_all(&self.folder);
     }
 }
@@ -40,26 +40,27 @@
         let folder = format!("{}/sites-{name}-{}", env!("CARGO_TARGET_TMPDIR"), std::process::id());
         let folder = PathBuf::from(folder);
         std::fs::create_dir_all(&folder).unwrap();
-        let times = Times { hit: Duration::ZERO, fill: Duration::ZERO, origin: Duration::ZERO };
+        let times = Latencies { hit: Duration::ZERO, fill: Duration::ZERO, origin: Duration::ZERO };
         let site = Site::new(times, len);
-        let place = |(name, kind)| site.place(name, kind).unwrap();
+        let place = |(name, kind)| site.start_member(name, kind).unwrap();
         let places = [("e1", "box"), ("p1", "parent"), ("o", "origin")].map(place).to_vec();
         let authority = Authority::new().unwrap();
         ["near", "far"].iter().for_each(|site| authority.write(&folder, site).unwrap());
         TestSites {
             site,
             places,
-            initiator_bulletin: Bulletin::start(1).unwrap(),
-            acceptor_bulletin: Bulletin::start(1).unwrap(),
+            initiator_bulletin: DiscoveryServer::start(1).unwrap(),
+            acceptor_bulletin: DiscoveryServer::start(1).unwrap(),
             authority,
-            listen: free_udp().unwrap(),
+            listen: free_udp_address().unwrap(),
             folder,
         }
     }
 
-    fn config(&self, name: &str, bulletin: &Bulletin, places: &[Place]) -> Value {
+    fn config(&self, name: &str, bulletin: &DiscoveryServer, places: &[CacheEndpoint]) -> Value {
         let zone = "z";
-        let node = Node { name, zone, bulletin: bulletin.address, places, memory_mb: 96, seed: 7 };
+        let node =
+            Node { name, zone, discovery: bulletin.address, endpoints: places, memory_mb: 96, seed: 7 };
         let mut all = fleet::config(&node);
         for class in all["settings"]["Classes"].as_array_mut().unwrap() {
             (class["SloUs"], class["DeadlineUs"]) = (json!(20_000_000), json!(24_000_000));
@@ -104,11 +105,11 @@
     }
 
     fn relay(&self) -> Relay {
-        Relay::start(self.listen, 7, Weather::default()).unwrap()
+        Relay::start(self.listen, 7, LinkConditions::default()).unwrap()
     }
 
     fn ran(&self, trace: u64) -> u32 {
-        self.site.ran.lock().unwrap().get(&trace).copied().unwrap_or(0)
+        self.site.executions.lock().unwrap().get(&trace).copied().unwrap_or(0)
     }
 }
 
@@ -120,12 +121,12 @@
     wait_for(&initiator, "(far-1) is up", 1);
     let mut client = Client::of(&initiator);
     let (_, first) = client.served("media", 6);
-    let born_first = born(6, &first.body).unwrap();
+    let born_first = copy_created_ms(6, &first.body).unwrap();
     assert_eq!(first.body.len(), 30_000);
     let (trace, _) = client.served("book", 77);
     assert_eq!(sites.ran(trace), 1);
     // Another read is served from the copy at the accepting site's cache.
-    assert_eq!(born(6, &client.served("media", 6).1.body), Some(born_first));
+    assert_eq!(copy_created_ms(6, &client.served("media", 6).1.body), Some(born_first));
     // Only the initiating gateway is told of the purge.
     std::thread::sleep(Duration::from_millis(3));
     let at = kelpcart_rig::caches::unix_ms();
@@ -134,7 +135,7 @@
     while initiator.counters().contains("purges kept 0") {
         assert!(started.elapsed() < PATIENCE);
     }
-    let after = born(6, &client.served("media", 6).1.body).unwrap();
+    let after = copy_created_ms(6, &client.served("media", 6).1.body).unwrap();
     assert!(after >= at, "{after} {at}");
     drop(acceptor);
 }
@@ -148,16 +149,16 @@
     let mut client = Client::of(&initiator);
     client.served("book", 1);
     let trace = client.held_book(&sites.site);
-    relay.set(|w| w.dark = [true; 2]);
+    relay.set_conditions(|w| w.blocked = [true; 2]);
     wait_for(&initiator, "link to far-1 closed", 1);
     // The txn finishes while the link is down.
-    sites.site.hold(false);
-    relay.set(|w| w.dark = [false; 2]);
-    assert_eq!((client.answer().word, sites.ran(trace)), (Word::Served, 1));
+    sites.site.block_writes(false);
+    relay.set_conditions(|w| w.blocked = [false; 2]);
+    assert_eq!((client.answer().status, sites.ran(trace)), (Status::Served, 1));
     wait_for(&initiator, "(far-1) is up", 2);
     // No duplicate answer arrives: the next answer is the next txn's.
     let (_, next) = client.served("media", 6);
-    assert!(born(6, &next.body).is_some());
+    assert!(copy_created_ms(6, &next.body).is_some());
 }
 
 #[test]
@@ -168,15 +169,15 @@
     wait_for(&initiator, "(far-1) is up", 1);
     let mut client = Client::of(&initiator);
     client.served("book", 1);
-    relay.set(|w| w.dark = [true, false]);
+    relay.set_conditions(|w| w.blocked = [true, false]);
     let trace = client.ask("book", 77);
     wait_for(&initiator, "link to far-1 closed", 1);
     assert_eq!(sites.ran(trace), 0);
-    relay.set(|w| w.dark = [false; 2]);
+    relay.set_conditions(|w| w.blocked = [false; 2]);
     // The acceptor reports it as never accepted: the module may retry it, or reject it.
     let answer = client.answer();
-    let ran = u32::from(answer.word == Word::Served);
-    assert!(answer.word != Word::Failed && sites.ran(trace) == ran, "{answer:?}");
+    let ran = u32::from(answer.status == Status::Served);
+    assert!(answer.status != Status::Failed && sites.ran(trace) == ran, "{answer:?}");
 }
 
 #[test]
@@ -191,10 +192,10 @@
         client.served("book", 1);
         let trace = client.held_book(&sites.site);
         acceptor.kill();
-        sites.site.hold(false);
+        sites.site.block_writes(false);
         let _acceptor = start();
         let answer = client.answer();
-        assert_eq!((answer.word, sites.ran(trace)), (Word::Failed, 1), "durable: {durable}");
+        assert_eq!((answer.status, sites.ran(trace)), (Status::Failed, 1), "durable: {durable}");
     }
 }
 
@@ -208,8 +209,8 @@
     client.served("book", 1);
     // The answer can't be sent; its outcome is on disk when the process is killed.
     let trace = client.held_book(&sites.site);
-    relay.set(|w| w.dark = [false, true]);
-    sites.site.hold(false);
+    relay.set_conditions(|w| w.blocked = [false, true]);
+    sites.site.block_writes(false);
     let started = Instant::now();
     while !acceptor.counters().contains("txns completed 2") {
         assert!(started.elapsed() < PATIENCE);
@@ -218,8 +219,8 @@
     std::thread::sleep(Duration::from_millis(300));
     acceptor.kill();
     let _acceptor = sites.durable_acceptor();
-    relay.set(|w| w.dark = [false; 2]);
-    assert_eq!((client.answer().word, sites.ran(trace)), (Word::Served, 1));
+    relay.set_conditions(|w| w.blocked = [false; 2]);
+    assert_eq!((client.answer().status, sites.ran(trace)), (Status::Served, 1));
 }
 
 #[test]
@@ -234,11 +235,11 @@
     acceptor.signal("TERM").unwrap();
     wait_for(&initiator, "accepts no more txns", 1);
     let other = client.ask("book", 78);
-    assert_eq!(client.answer().word, Word::Rejected);
-    sites.site.hold(false);
-    assert_eq!((client.answer().word, sites.ran(trace), sites.ran(other)), (Word::Served, 1, 0));
+    assert_eq!(client.answer().status, Status::Rejected);
+    sites.site.block_writes(false);
+    assert_eq!((client.answer().status, sites.ran(trace), sites.ran(other)), (Status::Served, 1, 0));
     let started = Instant::now();
-    while !acceptor.has_ended() {
+    while !acceptor.has_exited() {
         assert!(started.elapsed() < PATIENCE);
         std::thread::sleep(Duration::from_millis(5));
     }
@@ -260,9 +261,9 @@
     initiator.signal("HUP").unwrap();
     wait_for(&initiator, "new links use the reloaded keys", 1);
     client.served("media", 6);
-    relay.set(|w| w.dark = [true; 2]);
+    relay.set_conditions(|w| w.blocked = [true; 2]);
     wait_for(&initiator, "link to far-1 closed", 1);
-    relay.set(|w| w.dark = [false; 2]);
+    relay.set_conditions(|w| w.blocked = [false; 2]);
     wait_for(&initiator, "connecting to far-1 failed", 1);
     // The right certificates again, reloaded on a signal.
     sites.authority.write(&sites.folder, "near").unwrap();
@@ -315,13 +316,13 @@
     let mut client = Client::of(&initiator);
     client.served("book", 1);
     let trace = client.held_book(&sites.site);
-    relay.set(|w| w.dark = [true; 2]);
+    relay.set_conditions(|w| w.blocked = [true; 2]);
     wait_for(&initiator, "link to far-1 closed", 1);
     initiator.signal("TERM").unwrap();
     // It may have run, and nothing more can be learned before the deadline.
-    assert_eq!((client.answer().word, sites.ran(trace)), (Word::Failed, 1));
+    assert_eq!((client.answer().status, sites.ran(trace)), (Status::Failed, 1));
     let started = Instant::now();
-    while !initiator.has_ended() {
+    while !initiator.has_exited() {
         assert!(started.elapsed() < PATIENCE);
         std::thread::sleep(Duration::from_millis(5));
     }
