--- a/failover/examples/measure.rs
+++ b/failover/examples/measure.rs
@@ -5,20 +5,20 @@
 
 use kelpcart::{Span, Time};
 use kelpcart_failover::decide::{Decider, Report};
-use kelpcart_failover::evidence::Account;
-use kelpcart_failover::plan::{Load, rings};
+use kelpcart_failover::evidence::Evidence;
+use kelpcart_failover::plan::{Load, relay_zones};
 use kelpcart_failover::settings::Failover;
-use kelpcart_failover::table::{Kind, Table};
+use kelpcart_failover::table::{Table, TxnClass};
 use microlp::{ComparisonOp, OptimizationDirection, Problem, SolveOutcome};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::{Value, json};
 use std::process::ExitCode;
 
-const KINDS: [(Kind, f64, f64); 2] = [
+const KINDS: [(TxnClass, f64, f64); 2] = [
     // What a zone's txns are: kind, part, worth of one.
-    (Kind { importance: 5, write: false }, 0.8, 1.0),
-    (Kind { importance: 9, write: true }, 0.2, 3.0),
+    (TxnClass { importance: 5, write: false }, 0.8, 1.0),
+    (TxnClass { importance: 9, write: true }, 0.2, 3.0),
 ];
 const STEPS: usize = 240;
 const GATEWAYS: usize = 20;
@@ -132,7 +132,7 @@
     let file = Failover::read(&json!({"zones": zones}).to_string()).expect("a file that fits");
     let mut now = Time::from_micros(1_000_000);
     let mut decider = Decider::new(&file, &day.bears, 1, now);
-    let mut table = Table::near(1, 0);
+    let mut table = Table::all_local(1, 0);
     let (mut served, mut asked, mut best_of_all, mut crossing, mut most) = (0.0, 0.0, 0.0, 0.0, 0.0f64);
     let (mut last, mut way, mut turns, mut ring) = (vec![0.0; n], vec![0.0f64; n], 0, 0);
     for s in 0..STEPS {
@@ -168,7 +168,7 @@
             if rates[z] > day.loads[z] + 1e-6 {
                 most = most.max(rates[z] / day.bears[z]);
             }
-            let away = table.away((z, KINDS[0].0));
+            let away = table.away_share((z, KINDS[0].0));
             let by: f64 = away - last[z];
             if by.abs() > 0.1 {
                 turns += usize::from(way[z] != 0.0 && by.signum() != way[z].signum());
@@ -180,12 +180,12 @@
                 for g in 0..GATEWAYS {
                     let lies = g < day.liars;
                     let report = Report {
-                        into: (0..n)
+                        hops: (0..n)
                             .map(|z| {
                                 let hops = rates[z] / GATEWAYS as f64 * 0.5;
                                 let seen =
                                     if lies { 1.0 - bad[z] } else { bad[z] * rng.random_range(0.7..1.3) };
-                                (z, Account { hops, bad: hops * seen.min(1.0) })
+                                (z, Evidence { hops, bad: hops * seen.min(1.0) })
                             })
                             .collect(),
                         loads: (0..n)
@@ -203,7 +203,7 @@
                 }
                 decider.tick(now);
                 table = decider.table().clone();
-                ring += rings(&table).len();
+                ring += relay_zones(&table).len();
             }
             _ => table = other(policy, &table, &bad, &own, s),
         }
@@ -221,12 +221,12 @@
 /// The other ways see what is true at once, which none of them would.
 fn other(policy: Policy, before: &Table, bad: &[f64], own: &[f64], step: usize) -> Table {
     let n = bad.len();
-    let mut table = Table::near(1, step as u64);
+    let mut table = Table::all_local(1, step as u64);
     for z in 0..n {
         for (kind, ..) in KINDS {
             let part = match policy {
                 Policy::Alone => {
-                    let away = before.away((z, kind));
+                    let away = before.away_share((z, kind));
                     if bad[z] > 0.05 { (away + 0.5).min(1.0) } else { (away - 0.5).max(0.0) }
                 }
                 Policy::Hard => f64::from(u8::from(own[z] > 0.5)),
--- a/failover/src/health.rs
+++ b/failover/src/health.rs
@@ -7,66 +7,71 @@
 use kelpcart::{Span, Time};
 
 /// A part of bad hops that is nothing out of the ordinary.
-const ORDINARY: f64 = 0.05;
+const MAX_NORMAL_BAD_SHARE: f64 = 0.05;
 /// From this part on a zone is of no use.
-const USELESS: f64 = 0.5;
+const UNUSABLE_BAD_SHARE: f64 = 0.5;
 /// A zone that is not used gives no evidence: after the time that a sound one has to wait it is tried with this part.
-const TRIAL: f64 = 0.02;
+const PROBE_SHARE: f64 = 0.02;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Health {
     /// 0 to 1.
-    pub use_of_it: f64,
+    pub usable_share: f64,
     /// Since when nothing out of the ordinary was seen.
-    sound_since: Option<Time>,
-    last: Time,
+    healthy_since: Option<Time>,
+    last_change: Time,
 }
 
 impl Health {
     pub fn new(now: Time) -> Health {
-        Health { use_of_it: 1.0, sound_since: Some(now), last: now }
+        Health { usable_share: 1.0, healthy_since: Some(now), last_change: now }
     }
 
     /// Takes in what was estimated; at most one step in each interval.
     pub fn step(&mut self, now: Time, estimate: Option<Estimate>, steps: &Steps) {
         let Some(estimate) = estimate else {
-            if self.use_of_it < TRIAL && now - self.last >= Span::from_millis(steps.sound_ms) {
-                (self.use_of_it, self.last) = (TRIAL, now);
+            if self.usable_share < PROBE_SHARE && now - self.last_change >= Span::from_millis(steps.sound_ms)
+            {
+                (self.usable_share, self.last_change) = (PROBE_SHARE, now);
             }
             return;
         };
-        let bad = estimate.bad;
-        if bad <= ORDINARY {
-            let since = *self.sound_since.get_or_insert(now);
+        let bad = estimate.bad_share;
+        if bad <= MAX_NORMAL_BAD_SHARE {
+            let since = *self.healthy_since.get_or_insert(now);
             let rested = now - since >= Span::from_millis(steps.sound_ms);
-            if rested && self.use_of_it < 1.0 && now - self.last >= Span::from_millis(steps.every_ms) {
-                self.use_of_it = (self.use_of_it + steps.back).min(1.0);
-                self.last = now;
+            if rested
+                && self.usable_share < 1.0
+                && now - self.last_change >= Span::from_millis(steps.every_ms)
+            {
+                self.usable_share = (self.usable_share + steps.back).min(1.0);
+                self.last_change = now;
             }
             return;
         }
-        self.sound_since = None;
-        let wanted = ((USELESS - bad) / (USELESS - ORDINARY)).clamp(0.0, 1.0);
-        if wanted < self.use_of_it && now - self.last >= Span::from_millis(steps.every_ms) {
-            self.use_of_it = wanted.max(self.use_of_it - steps.away);
-            self.last = now;
+        self.healthy_since = None;
+        let wanted =
+            ((UNUSABLE_BAD_SHARE - bad) / (UNUSABLE_BAD_SHARE - MAX_NORMAL_BAD_SHARE)).clamp(0.0, 1.0);
+        if wanted < self.usable_share && now - self.last_change >= Span::from_millis(steps.every_ms) {
+            self.usable_share = wanted.max(self.usable_share - steps.away);
+            self.last_change = now;
         }
     }
 
     /// A part of bad hops that is nothing out of the ordinary.
-    pub fn is_ordinary(bad: f64) -> bool {
-        bad <= ORDINARY
+    pub fn is_normal(bad: f64) -> bool {
+        bad <= MAX_NORMAL_BAD_SHARE
     }
 
     /// From such a part on a zone is of no use, whatever its load.
-    pub fn is_useless(bad: f64) -> bool {
-        bad >= USELESS
+    pub fn is_unusable(bad: f64) -> bool {
+        bad >= UNUSABLE_BAD_SHARE
     }
 
     /// It has come back with nothing: what is cold is used by a step only.
-    pub fn cold(&mut self, now: Time, steps: &Steps) {
-        self.use_of_it = self.use_of_it.min(steps.back);
-        (self.sound_since, self.last) = (Some(now), now);
+    pub fn mark_cold(&mut self, now: Time, steps: &Steps) {
+        self.usable_share = self.usable_share.min(steps.back);
+        (self.healthy_since, self.last_change) = (Some(now), now);
     }
 }
 
@@ -83,10 +88,10 @@
             for b in bad {
                 now += Span::from_millis(250);
                 let bad = f64::from(b % 64) / 63.0 * if b > 128 { 1.0 } else { 0.05 };
-                let before = health.use_of_it;
-                health.step(now, Some(Estimate { bad, hops: 100.0 }), &steps);
-                let by = health.use_of_it - before;
-                if bad > ORDINARY {
+                let before = health.usable_share;
+                health.step(now, Some(Estimate { bad_share: bad, hops: 100.0 }), &steps);
+                let by = health.usable_share - before;
+                if bad > MAX_NORMAL_BAD_SHARE {
                     trouble = now;
                 }
                 let rose_early = by > 1e-9 && now - trouble < Span::from_millis(2_000);
@@ -94,7 +99,7 @@
                     return false;
                 }
             }
-            (0.0..=1.0).contains(&health.use_of_it)
+            (0.0..=1.0).contains(&health.usable_share)
         }
     }
 
@@ -104,12 +109,12 @@
         let (mut health, mut now) = (Health::new(Time::default()), Time::default());
         for _ in 0..10 {
             now += Span::from_millis(500);
-            health.step(now, Some(Estimate { bad: 1.0, hops: 50.0 }), &steps);
+            health.step(now, Some(Estimate { bad_share: 1.0, hops: 50.0 }), &steps);
         }
-        assert_eq!(health.use_of_it, 0.0);
+        assert_eq!(health.usable_share, 0.0);
         health.step(now, None, &steps);
-        assert_eq!(health.use_of_it, 0.0, "not at once");
+        assert_eq!(health.usable_share, 0.0, "not at once");
         health.step(now + Span::from_millis(steps.sound_ms), None, &steps);
-        assert_eq!(health.use_of_it, TRIAL);
+        assert_eq!(health.usable_share, PROBE_SHARE);
     }
 }
--- a/failover/src/home.rs
+++ b/failover/src/home.rs
@@ -8,25 +8,25 @@
 use kelpcart::{Span, Time};
 
 /// Each region's clock runs fast or slow by no more than this part.
-const APART: f64 = 0.05;
+const MAX_CLOCK_DRIFT: f64 = 0.05;
 /// So much longer than the lease the other one waits: both clocks' errors, and some more.
-const LONGER: f64 = 1.0 + 3.0 * APART;
+const GRANT_FACTOR: f64 = 1.0 + 3.0 * MAX_CLOCK_DRIFT;
 /// The lease is renewed when this part of it is over.
-const RENEWS: f64 = 0.3;
+const RENEWAL_POINT: f64 = 0.3;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Said {
+pub enum Message {
     /// Its owner asks for the lease of an epoch anew.
     Renew {
         epoch: u64,
-        no: u64,
+        request_id: u64,
     },
-    Granted {
+    Grant {
         epoch: u64,
-        no: u64,
+        request_id: u64,
     },
     /// The home hands over: the other one owns this epoch from now on.
-    Yield {
+    Handover {
         epoch: u64,
     },
     /// The epoch that is known.
@@ -38,49 +38,49 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Role {
     /// The epoch is this one's, and it may take txns: until then, or for good while the other one has not been asked.
-    Holds { until: Option<Time> },
+    Holder { until: Option<Time> },
     /// The epoch is this one's, and its lease is over: the other one may have followed.
-    Lapsed,
+    Expired,
     /// The epoch is the other one's, who may take txns until then at the latest.
-    Grants { until: Time },
+    Grantor { until: Time },
     /// The epoch is the other one's, who may take txns for good: time alone changes nothing.
-    Follows,
+    Follower,
 }
 
 /// One region's part. Epochs belong to the two in turns, so that nobody ever asks in the name of another.
 #[derive(Clone, Debug)]
-pub struct Home {
+pub struct HomeLease {
     lease: Span,
     /// 0 or 1: epochs with this remainder by two are this one's.
-    me: u64,
+    parity: u64,
     epoch: u64,
     role: Role,
-    asked: Option<(u64, Time)>,
-    next_ask: Time,
-    no: u64,
+    pending_renewal: Option<(u64, Time)>,
+    next_send: Time,
+    request_id: u64,
     /// Handed over, and not heard to be known.
-    yields: bool,
+    handover_pending: bool,
     /// Taken from the other one while it was not heard.
-    moves: u64,
-    pub out: Vec<Said>,
+    takeovers: u64,
+    pub outbox: Vec<Message>,
 }
 
-impl Home {
+impl HomeLease {
     /// `first`: the home at the very beginning, by the operators' file.
-    pub fn new(now: Time, lease: Span, first: bool) -> Home {
-        let role = if first { Role::Lapsed } else { Role::Grants { until: now + lease * LONGER } };
+    pub fn new(now: Time, lease: Span, first: bool) -> HomeLease {
+        let role = if first { Role::Expired } else { Role::Grantor { until: now + lease * GRANT_FACTOR } };
         let me = u64::from(!first);
-        Home {
+        HomeLease {
             lease,
-            me,
+            parity: me,
             epoch: 0,
             role,
-            asked: None,
-            next_ask: now,
-            no: 0,
-            yields: false,
-            moves: 0,
-            out: Vec::new(),
+            pending_renewal: None,
+            next_send: now,
+            request_id: 0,
+            handover_pending: false,
+            takeovers: 0,
+            outbox: Vec::new(),
         }
     }
 
@@ -88,105 +88,105 @@
         self.epoch
     }
 
-    pub fn moves(&self) -> u64 {
-        self.moves
+    pub fn takeovers(&self) -> u64 {
+        self.takeovers
     }
 
     /// An unrepeatable txn may be taken here.
-    pub fn holds(&self, now: Time) -> bool {
-        matches!(self.role, Role::Holds { until } if until.is_none_or(|until| now < until))
+    pub fn holds_lease(&self, now: Time) -> bool {
+        matches!(self.role, Role::Holder { until } if until.is_none_or(|until| now < until))
     }
 
     /// The longest time for which neither region takes them when the home is cut off.
-    pub fn without_service(lease: Span) -> Span {
-        lease * LONGER * (1.0 + APART)
+    pub fn max_outage(lease: Span) -> Span {
+        lease * GRANT_FACTOR * (1.0 + MAX_CLOCK_DRIFT)
     }
 
     /// The next epoch of one of the two.
-    fn next_of(&self, whose: u64) -> u64 {
+    fn next_epoch_of(&self, whose: u64) -> u64 {
         if (self.epoch + 1) % 2 == whose { self.epoch + 1 } else { self.epoch + 2 }
     }
 
     pub fn tick(&mut self, now: Time) {
         match self.role {
-            Role::Holds { until: Some(until) } if now >= until => self.role = Role::Lapsed,
-            Role::Grants { until } if now >= until => {
+            Role::Holder { until: Some(until) } if now >= until => self.role = Role::Expired,
+            Role::Grantor { until } if now >= until => {
                 // The other one's lease has provably ended: it counts from its asking, this one from its hearing.
-                self.epoch = self.next_of(self.me);
-                self.role = Role::Holds { until: None };
-                self.moves += 1;
-                self.yields = false;
-                self.out.push(Said::Epoch { epoch: self.epoch });
+                self.epoch = self.next_epoch_of(self.parity);
+                self.role = Role::Holder { until: None };
+                self.takeovers += 1;
+                self.handover_pending = false;
+                self.outbox.push(Message::Epoch { epoch: self.epoch });
             }
             _ => {}
         }
-        if now >= self.next_ask {
+        if now >= self.next_send {
             // Who holds for good does not ask before the other one is heard: asking makes it a matter of time.
-            if matches!(self.role, Role::Lapsed | Role::Holds { until: Some(_) }) {
-                self.ask(now);
-            } else if self.yields {
-                self.next_ask = now + self.lease * RENEWS;
-                self.out.push(Said::Yield { epoch: self.epoch });
+            if matches!(self.role, Role::Expired | Role::Holder { until: Some(_) }) {
+                self.send_renewal(now);
+            } else if self.handover_pending {
+                self.next_send = now + self.lease * RENEWAL_POINT;
+                self.outbox.push(Message::Handover { epoch: self.epoch });
             }
         }
     }
 
-    fn ask(&mut self, now: Time) {
-        self.next_ask = now + self.lease * RENEWS;
-        self.no += 1;
-        self.asked = Some((self.no, now));
-        self.out.push(Said::Renew { epoch: self.epoch, no: self.no });
+    fn send_renewal(&mut self, now: Time) {
+        self.next_send = now + self.lease * RENEWAL_POINT;
+        self.request_id += 1;
+        self.pending_renewal = Some((self.request_id, now));
+        self.outbox.push(Message::Renew { epoch: self.epoch, request_id: self.request_id });
     }
 
     /// Hands over, as when a region is drained; in force at once here.
     pub fn hand_over(&mut self, now: Time) {
-        if self.holds(now) {
-            self.epoch = self.next_of(1 - self.me);
-            (self.role, self.yields, self.next_ask) = (Role::Follows, true, now);
+        if self.holds_lease(now) {
+            self.epoch = self.next_epoch_of(1 - self.parity);
+            (self.role, self.handover_pending, self.next_send) = (Role::Follower, true, now);
         }
     }
 
     /// The other one knows at least this epoch.
-    fn known(&mut self, epoch: u64) {
+    fn confirm_epoch(&mut self, epoch: u64) {
         if epoch >= self.epoch {
-            self.yields = false;
+            self.handover_pending = false;
         }
     }
 
-    pub fn hear(&mut self, now: Time, said: Said) {
+    pub fn receive(&mut self, now: Time, said: Message) {
         match said {
-            Said::Renew { epoch, no } if epoch >= self.epoch && epoch % 2 != self.me => {
-                self.known(epoch);
+            Message::Renew { epoch, request_id: no } if epoch >= self.epoch && epoch % 2 != self.parity => {
+                self.confirm_epoch(epoch);
                 self.epoch = epoch;
-                self.role = Role::Grants { until: now + self.lease * LONGER };
-                self.out.push(Said::Granted { epoch, no });
+                self.role = Role::Grantor { until: now + self.lease * GRANT_FACTOR };
+                self.outbox.push(Message::Grant { epoch, request_id: no });
             }
-            Said::Renew { .. } => {
-                self.out.push(Said::Epoch { epoch: self.epoch });
+            Message::Renew { .. } => {
+                self.outbox.push(Message::Epoch { epoch: self.epoch });
                 // The other one is there: from its hearing the question on it may follow when that time is over, which
                 // counts here first.
-                if self.role == (Role::Holds { until: None }) {
-                    self.role = Role::Holds { until: Some(now + self.lease) };
-                    self.ask(now);
+                if self.role == (Role::Holder { until: None }) {
+                    self.role = Role::Holder { until: Some(now + self.lease) };
+                    self.send_renewal(now);
                 }
             }
-            Said::Granted { epoch, no } => {
-                let asked = self.asked.filter(|a| a.0 == no && epoch == self.epoch);
-                let may = matches!(self.role, Role::Lapsed | Role::Holds { until: Some(_) });
+            Message::Grant { epoch, request_id: no } => {
+                let asked = self.pending_renewal.filter(|a| a.0 == no && epoch == self.epoch);
+                let may = matches!(self.role, Role::Expired | Role::Holder { until: Some(_) });
                 if let Some((_, at)) = asked.filter(|(_, at)| may && now - *at < self.lease) {
-                    self.role = Role::Holds { until: Some(at + self.lease) };
+                    self.role = Role::Holder { until: Some(at + self.lease) };
                 }
             }
-            Said::Yield { epoch } if epoch > self.epoch && epoch % 2 == self.me => {
-                (self.epoch, self.role, self.yields) = (epoch, Role::Holds { until: None }, false);
-                self.out.push(Said::Epoch { epoch });
+            Message::Handover { epoch } if epoch > self.epoch && epoch % 2 == self.parity => {
+                (self.epoch, self.role, self.handover_pending) = (epoch, Role::Holder { until: None }, false);
+                self.outbox.push(Message::Epoch { epoch });
             }
-            Said::Yield { .. } => self.out.push(Said::Epoch { epoch: self.epoch }),
-            Said::Epoch { epoch } => {
-                self.known(epoch);
+            Message::Handover { .. } => self.outbox.push(Message::Epoch { epoch: self.epoch }),
+            Message::Epoch { epoch } => {
+                self.confirm_epoch(epoch);
                 if epoch > self.epoch {
                     self.epoch = epoch;
-                    self.role = if epoch % 2 == self.me { Role::Lapsed } else { Role::Follows };
+                    self.role = if epoch % 2 == self.parity { Role::Expired } else { Role::Follower };
                 }
             }
         }
@@ -204,16 +204,16 @@
     /// Two regions whose clocks run apart, with what is under way between them, in true milliseconds.
     struct World {
         now: u64,
-        homes: [Home; 2],
+        homes: [HomeLease; 2],
         pace: [f64; 2],
-        under: VecDeque<(u64, usize, Said)>,
+        under: VecDeque<(u64, usize, Message)>,
         served: u64,
     }
 
     impl World {
         fn new(pace: [f64; 2]) -> World {
             let start = Time::default();
-            let homes = [Home::new(start, LEASE, true), Home::new(start, LEASE, false)];
+            let homes = [HomeLease::new(start, LEASE, true), HomeLease::new(start, LEASE, false)];
             World { now: 0, homes, pace, under: VecDeque::new(), served: 0 }
         }
 
@@ -231,18 +231,18 @@
                         continue;
                     }
                     let now = self.clock(to);
-                    self.homes[to].hear(now, said);
+                    self.homes[to].receive(now, said);
                 }
                 for (i, passes) in passes.into_iter().enumerate() {
                     let now = self.clock(i);
                     self.homes[i].tick(now);
-                    for said in std::mem::take(&mut self.homes[i].out) {
+                    for said in std::mem::take(&mut self.homes[i].outbox) {
                         if passes {
                             self.under.push_back((self.now + delay, 1 - i, said));
                         }
                     }
                 }
-                let holds: Vec<bool> = (0..2).map(|i| self.homes[i].holds(self.clock(i))).collect();
+                let holds: Vec<bool> = (0..2).map(|i| self.homes[i].holds_lease(self.clock(i))).collect();
                 assert!(holds != [true, true], "two homes at {}", self.now);
                 self.served += u64::from(holds.contains(&true));
             }
@@ -275,15 +275,15 @@
     fn a_home_that_is_cut_off_stops_before_the_other_one_starts() {
         let mut world = World::new([0.95, 1.05]);
         world.run(5_000, [true, true], 20);
-        assert!(world.homes[0].holds(world.clock(0)));
+        assert!(world.homes[0].holds_lease(world.clock(0)));
         let before = world.served;
         world.run(10_000, [false, false], 20);
-        assert!(world.homes[1].holds(world.clock(1)) && world.homes[1].moves() == 1);
+        assert!(world.homes[1].holds_lease(world.clock(1)) && world.homes[1].takeovers() == 1);
         let without = 1_000 - (world.served - before);
-        let most = Home::without_service(LEASE).as_secs_f64() * 100.0;
+        let most = HomeLease::max_outage(LEASE).as_secs_f64() * 100.0;
         assert!(without > 0 && (without as f64) < most, "{without} of {most}");
         // It comes back with an old epoch, and takes nothing.
         world.run(5_000, [true, true], 20);
-        assert!(!world.homes[0].holds(world.clock(0)) && world.homes[1].holds(world.clock(1)));
+        assert!(!world.homes[0].holds_lease(world.clock(0)) && world.homes[1].holds_lease(world.clock(1)));
     }
 }
--- a/failover/src/lib.rs
+++ b/failover/src/lib.rs
@@ -5,8 +5,8 @@
 pub mod decide;
 pub mod evidence;
 pub mod health;
-pub mod hold;
 pub mod home;
+pub mod local_table;
 pub mod plan;
 pub mod settings;
 pub mod table;
--- a/failover/src/settings.rs
+++ b/failover/src/settings.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use std::collections::BTreeSet;
 
-pub const MOST_ZONES: usize = 64;
+pub const MAX_ZONES: usize = 64;
 
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
@@ -67,25 +67,25 @@
 }
 
 #[derive(Debug, thiserror::Error)]
-pub enum Unusable {
+pub enum SettingsError {
     #[error("{0}")]
-    Form(#[from] serde_json::Error),
+    Syntax(#[from] serde_json::Error),
     #[error("{0}: {1}")]
     Field(String, &'static str),
 }
 
 impl Failover {
-    pub fn read(text: &str) -> Result<Failover, Unusable> {
+    pub fn read(text: &str) -> Result<Failover, SettingsError> {
         let file: Failover = serde_json::from_str(text)?;
         file.check()?;
         Ok(file)
     }
 
-    fn check(&self) -> Result<(), Unusable> {
+    fn check(&self) -> Result<(), SettingsError> {
         let need = |is: bool, field: &str, what: &'static str| {
-            if is { Ok(()) } else { Err(Unusable::Field(field.to_owned(), what)) }
+            if is { Ok(()) } else { Err(SettingsError::Field(field.to_owned(), what)) }
         };
-        need((1..=MOST_ZONES).contains(&self.zones.len()), "zones", "1 to 64 are wanted")?;
+        need((1..=MAX_ZONES).contains(&self.zones.len()), "zones", "1 to 64 are wanted")?;
         let names: BTreeSet<&str> = self.zones.iter().map(|z| z.name.as_str()).collect();
         need(names.len() == self.zones.len(), "zones", "two have one name")?;
         for (i, zone) in self.zones.iter().enumerate() {
@@ -108,7 +108,7 @@
     }
 
     /// For each zone the others by nearness, as places among the zones.
-    pub fn nearness(&self) -> Vec<Vec<usize>> {
+    pub fn zones_by_distance(&self) -> Vec<Vec<usize>> {
         let place = |name: &String| self.zones.iter().position(|z| z.name == *name);
         self.zones.iter().map(|z| z.near.iter().filter_map(place).collect()).collect()
     }
--- a/failover/src/table.rs
+++ b/failover/src/table.rs
@@ -6,30 +6,30 @@
 
 /// What is moved alike: an importance class, 0 to 9, and whether it writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Kind {
+pub struct TxnClass {
     pub importance: u8,
     pub write: bool,
 }
 
 /// From a zone, of a kind.
-pub type From = (usize, Kind);
+pub type Flow = (usize, TxnClass);
 
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Table {
     pub epoch: u64,
     pub version: u64,
     /// Parts by zone; what is not named stays where it is.
-    shares: BTreeMap<From, BTreeMap<usize, f64>>,
+    shares: BTreeMap<Flow, BTreeMap<usize, f64>>,
 }
 
 impl Table {
     /// All stays in its own zone.
-    pub fn near(epoch: u64, version: u64) -> Table {
+    pub fn all_local(epoch: u64, version: u64) -> Table {
         Table { epoch, version, shares: BTreeMap::new() }
     }
 
     /// The part of a zone's txns of a kind that goes to another zone, or stays.
-    pub fn share(&self, from: From, to: usize) -> f64 {
+    pub fn share(&self, from: Flow, to: usize) -> f64 {
         match self.shares.get(&from) {
             None => f64::from(u8::from(from.0 == to)),
             Some(parts) if to == from.0 => {
@@ -40,12 +40,12 @@
     }
 
     /// The part that leaves the zone.
-    pub fn away(&self, from: From) -> f64 {
+    pub fn away_share(&self, from: Flow) -> f64 {
         1.0 - self.share(from, from.0)
     }
 
     /// Sets the parts that leave; what is left over stays. Parts that can't be are cut to what can.
-    pub fn set(&mut self, from: From, parts: impl IntoIterator<Item = (usize, f64)>) {
+    pub fn set(&mut self, from: Flow, parts: impl IntoIterator<Item = (usize, f64)>) {
         let parts = parts.into_iter().filter(|(to, p)| *to != from.0 && *p > 0.0 && p.is_finite());
         let mut all: BTreeMap<usize, f64> = parts.collect();
         let sum: f64 = all.values().sum();
@@ -59,18 +59,18 @@
         }
     }
 
-    pub fn leaving(&self) -> impl Iterator<Item = (From, usize, f64)> {
+    pub fn remote_shares(&self) -> impl Iterator<Item = (Flow, usize, f64)> {
         self.shares.iter().flat_map(|(&from, parts)| parts.iter().map(move |(&to, &p)| (from, to, p)))
     }
 
-    pub fn kinds(&self) -> impl Iterator<Item = From> {
+    pub fn flows(&self) -> impl Iterator<Item = Flow> {
         self.shares.keys().copied()
     }
 
     /// The largest part of any zone's kind that is elsewhere than in the other table.
     pub fn distance(&self, other: &Table) -> f64 {
-        let kinds = self.kinds().chain(other.kinds());
-        let part = |from: From| -> f64 {
+        let kinds = self.flows().chain(other.flows());
+        let part = |from: Flow| -> f64 {
             let to = self
                 .shares
                 .get(&from)
@@ -86,8 +86,8 @@
 
 /// A table with when it was heard, as a gateway has it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Heard {
+pub struct ReceivedTable {
     pub table: Table,
-    pub at: Time,
-    pub holds: Span,
+    pub received_at: Time,
+    pub valid_for: Span,
 }
--- a/failover/tests/decide.rs
+++ b/failover/tests/decide.rs
@@ -2,16 +2,16 @@
 //! turns, and what a lie, a flap or a hand does. All servers are a formula.
 
 use kelpcart::{Span, Time};
-use kelpcart_failover::decide::{Decider, Hand, Report, What};
-use kelpcart_failover::evidence::Account;
-use kelpcart_failover::plan::{Load, rings};
+use kelpcart_failover::decide::{Change, Decider, ManualOverride, Report};
+use kelpcart_failover::evidence::Evidence;
+use kelpcart_failover::plan::{Load, relay_zones};
 use kelpcart_failover::settings::Failover;
-use kelpcart_failover::table::Kind;
+use kelpcart_failover::table::TxnClass;
 use serde_json::json;
 use std::collections::BTreeMap;
 
-const READ: Kind = Kind { importance: 5, write: false };
-const BOOK: Kind = Kind { importance: 9, write: true };
+const READ: TxnClass = TxnClass { importance: 5, write: false };
+const BOOK: TxnClass = TxnClass { importance: 9, write: true };
 const STEP: Span = Span::from_millis(500);
 const GATEWAYS: usize = 12;
 
@@ -88,7 +88,7 @@
                 let of = |z: usize| {
                     let hops = rates[z] / GATEWAYS as f64 * 0.5;
                     let seen = if lies { 1.0 - bad[z] } else { bad[z] };
-                    (z, Account { hops, bad: hops * seen })
+                    (z, Evidence { hops, bad: hops * seen })
                 };
                 let load = |(z, load): (usize, &f64)| {
                     let one =
@@ -96,7 +96,7 @@
                     [one(READ, 0.8), one(BOOK, 0.2)]
                 };
                 let report = Report {
-                    into: (0..rates.len()).map(of).collect(),
+                    hops: (0..rates.len()).map(of).collect(),
                     loads: self.loads.iter().enumerate().flat_map(load).collect(),
                     rates: rates.iter().enumerate().map(|(z, r)| (z, r / GATEWAYS as f64)).collect(),
                 };
@@ -104,9 +104,9 @@
             }
             let now = self.now;
             self.decider.tick(now);
-            assert!(rings(self.decider.table()).is_empty());
+            assert!(relay_zones(self.decider.table()).is_empty());
             for z in 0..self.bears.len() {
-                let away = self.decider.table().away((z, READ));
+                let away = self.decider.table().away_share((z, READ));
                 self.away[z].push(away);
             }
         }
@@ -196,18 +196,18 @@
     let mut world = World::new(&[100.0, 100.0, 200.0], &[60.0, 60.0, 60.0]);
     world.run(5_000);
     let now = world.now;
-    let hand = Some(Hand::Drain { since: now, over: Span::from_millis(10_000) });
+    let hand = Some(ManualOverride::Drain { since: now, over: Span::from_millis(10_000) });
     let (before, dry) = (world.decider.table().clone(), world.decider.dry_run(now, 1, hand));
     assert_eq!(*world.decider.table(), before, "a dry run moves nothing");
-    assert!(dry.reasons().any(|r| r.zone == 1 && matches!(r.what, What::Hand(_))));
-    world.decider.hand(now, 1, hand);
+    assert!(dry.reasons().any(|r| r.zone == 1 && matches!(r.change, Change::Override(_))));
+    world.decider.set_override(now, 1, hand);
     world.run(3_000);
     world.bad[0] = 1.0;
     world.run(30_000);
     assert!(world.away[1].last().is_some_and(|a| *a > 0.99), "{:?}", world.away[1].last());
     assert!(world.most <= 1.0, "{}", world.most);
-    assert!(world.decider.reasons().any(|r| r.zone == 0 && matches!(r.what, What::Ill { .. })));
-    world.decider.hand(world.now, 1, None);
+    assert!(world.decider.reasons().any(|r| r.zone == 0 && matches!(r.change, Change::Degraded { .. })));
+    world.decider.set_override(world.now, 1, None);
     world.bad[0] = 0.01;
     world.run(60_000);
     let last: Vec<f64> = world.away.iter().filter_map(|a| a.last().copied()).collect();
@@ -222,7 +222,7 @@
     let named: BTreeMap<usize, bool> = world
         .decider
         .reasons()
-        .filter_map(|r| if let What::Unplaced(n) = r.what { Some((r.zone, n > 0.0)) } else { None })
+        .filter_map(|r| if let Change::Unplaced(n) = r.change { Some((r.zone, n > 0.0)) } else { None })
         .collect();
     assert_eq!(named, BTreeMap::from([(0, true), (1, true), (2, true)]));
 }
--- a/scale/src/ladders/roles.rs
+++ b/scale/src/ladders/roles.rs
@@ -12,10 +12,10 @@
 use kelpcart_copies::node as copies;
 use kelpcart_copies::settings::Copies;
 use kelpcart_failover::decide::{Decider, Report};
-use kelpcart_failover::evidence::Account;
+use kelpcart_failover::evidence::Evidence;
 use kelpcart_failover::plan::Load;
 use kelpcart_failover::settings::Failover;
-use kelpcart_failover::table::Kind as Asked;
+use kelpcart_failover::table::TxnClass as Asked;
 use kelpcart_fleet::lease::Decision;
 use kelpcart_fleet::node::{Node, Output};
 use kelpcart_fleet::settings::Fleet;
@@ -408,7 +408,7 @@
         let bad = |z: usize| if z % 5 == 4 { 50.0 } else { 1.0 };
         let load = |(z, kind)| Load { from: (z, kind), per_s: 0.5, kb: 120.0 };
         Report {
-            into: (0..zones).map(|z| (z, Account { hops: 100.0, bad: bad(z) })).collect(),
+            hops: (0..zones).map(|z| (z, Evidence { hops: 100.0, bad: bad(z) })).collect(),
             loads: kinds.map(|kind| load((g % zones, kind))).to_vec(),
             // One a second each: what a zone has shown is how many were heard.
             rates: (0..zones).map(|z| (z, 1.0)).collect(),
@@ -426,7 +426,7 @@
         began.elapsed().as_secs_f64() * 1e6
     });
     let us = us.collect();
-    Steps { us, heard: decider.shown(0) }
+    Steps { us, heard: decider.observed_capacity(0) }
 }
 
 fn failover(quick: bool) -> Vec<Ladder> {
