--- a/routes/src/diff.rs
+++ b/routes/src/diff.rs
@@ -2,10 +2,10 @@
 //! with each one member down, and which expectations change their verdict. What moves runs cold: each moved object is a
 //! fill that was none before. Pure.
 
-use crate::expect::{Suite, Trouble};
+use crate::expect::{FailureMode, Suite};
 use crate::fleet::Fleet;
-use crate::search::{self, Outcome};
-use crate::world::{Calm, Circumstance, Way, World};
+use crate::search::{self, ExpectationResult};
+use crate::world::{InitialState, Scenario, Trace, World};
 use kelpcart::interface::MemberId;
 use rayon::prelude::*;
 use serde_json::{Value, json};
@@ -13,7 +13,7 @@
 
 /// Shares of the objects of a rule, 0 to 1.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Moved {
+pub struct MovedShares {
     pub rule: String,
     /// The member that is down in both; none: calm.
     pub down: Option<String>,
@@ -27,31 +27,37 @@
 pub struct Diff {
     pub added: Vec<String>,
     pub removed: Vec<String>,
-    pub moved: Vec<Moved>,
+    pub moved: Vec<MovedShares>,
     /// By name, whether it passed before and passes now; only those that differ.
     pub verdicts: Vec<(String, bool, bool)>,
 }
 
-fn ways(fleet: &Fleet, rule: usize, down: Option<&str>, objects: u64) -> Vec<Way> {
+fn traces(fleet: &Fleet, rule: usize, down: Option<&str>, objects: u64) -> Vec<Trace> {
     let at = |name: &str| fleet.members.iter().position(|m| &*m.id == name);
-    let troubles: BTreeMap<usize, Trouble> =
-        down.and_then(at).map(|i| (i, Trouble::Down)).into_iter().collect();
-    let circumstance = Circumstance { troubles, ..Circumstance::default() };
-    let mut world = World::from(&Calm::new(fleet, fleet.settings.zone), fleet, &circumstance);
-    (1..=objects).map(|i| world.ask(rule, i.wrapping_mul(0x9e37_79b9_7f4a_7c15))).collect()
+    let troubles: BTreeMap<usize, FailureMode> =
+        down.and_then(at).map(|i| (i, FailureMode::Down)).into_iter().collect();
+    let circumstance = Scenario { failures: troubles, ..Scenario::default() };
+    let mut world = World::from_state(&InitialState::new(fleet, fleet.settings.zone), fleet, &circumstance);
+    (1..=objects).map(|i| world.run_txn(rule, i.wrapping_mul(0x9e37_79b9_7f4a_7c15))).collect()
 }
 
-fn moved(old: &Fleet, new: &Fleet, rule: &str, down: Option<&str>, objects: u64) -> Option<Moved> {
-    let (before, after) = (old.rule(rule).ok()?, new.rule(rule).ok()?);
-    let (before, after) = (ways(old, before, down, objects), ways(new, after, down, objects));
+fn share_moved(
+    old: &Fleet,
+    new: &Fleet,
+    rule: &str,
+    down: Option<&str>,
+    objects: u64,
+) -> Option<MovedShares> {
+    let (before, after) = (old.rule_index(rule).ok()?, new.rule_index(rule).ok()?);
+    let (before, after) = (traces(old, before, down, objects), traces(new, after, down, objects));
     let id = |fleet: &Fleet, i: Option<usize>| i.map(|i| MemberId::clone(&fleet.members[i].id));
-    let first = |fleet: &Fleet, w: &Way| id(fleet, w.steps.first().map(|s| s.member));
-    let source = |fleet: &Fleet, w: &Way| id(fleet, w.steps.first().and_then(|s| s.source));
-    let served = |w: &Way| w.last == Some(crate::world::Final::Served);
-    let share = |differs: &dyn Fn(&Way, &Way) -> bool| {
+    let first = |fleet: &Fleet, w: &Trace| id(fleet, w.hops.first().map(|s| s.member));
+    let source = |fleet: &Fleet, w: &Trace| id(fleet, w.hops.first().and_then(|s| s.source));
+    let served = |w: &Trace| w.result == Some(crate::world::Final::Served);
+    let share = |differs: &dyn Fn(&Trace, &Trace) -> bool| {
         before.iter().zip(&after).filter(|(a, b)| differs(a, b)).count() as f64 / objects.max(1) as f64
     };
-    Some(Moved {
+    Some(MovedShares {
         rule: rule.to_owned(),
         down: down.map(str::to_owned),
         cache: share(&|a, b| first(old, a) != first(new, b)),
@@ -69,9 +75,13 @@
     let downs: Vec<Option<&str>> = [None].into_iter().chain(both).collect();
     let cases: Vec<(&String, Option<&str>)> =
         new.names.rules.iter().flat_map(|rule| downs.iter().map(move |down| (rule, *down))).collect();
-    let moved = cases.par_iter().filter_map(|(rule, down)| moved(old, new, rule, *down, objects)).collect();
+    let moved =
+        cases.par_iter().filter_map(|(rule, down)| share_moved(old, new, rule, *down, objects)).collect();
     let passes = |fleet: &Fleet, (suite, text): (&Suite, &str)| -> Vec<(String, bool)> {
-        search::run(fleet, suite, text, None).iter().map(|o| (o.name.clone(), Outcome::passes(o))).collect()
+        search::run(fleet, suite, text, None)
+            .iter()
+            .map(|o| (o.name.clone(), ExpectationResult::passes(o)))
+            .collect()
     };
     let verdicts = suite.map_or(Vec::new(), |suite| {
         let pairs = passes(old, suite).into_iter().zip(passes(new, suite));
--- a/routes/src/expect.rs
+++ b/routes/src/expect.rs
@@ -18,49 +18,51 @@
 #[serde(deny_unknown_fields)]
 pub struct Expectation {
     pub name: String,
-    pub about: About,
+    pub about: Subject,
     /// What holds in every circumstance that is tried.
     #[serde(default, rename = "while")]
-    pub given: Given,
+    pub given: Conditions,
     /// So many members beside those may be in trouble at once, in any way.
-    #[serde(default = "two")]
+    #[serde(default = "default_search")]
     pub search: usize,
     /// The ways in which they may be.
-    #[serde(default = "every_trouble")]
-    pub troubles: BTreeSet<Trouble>,
-    pub must: Must,
+    #[serde(default = "default_failure_modes")]
+    pub troubles: BTreeSet<FailureMode>,
+    pub must: Requirement,
 }
 
-fn two() -> usize {
+fn default_search() -> usize {
     2
 }
 
-fn every_trouble() -> BTreeSet<Trouble> {
-    BTreeSet::from([Trouble::Down, Trouble::Draining, Trouble::Cold, Trouble::Silent])
+fn default_failure_modes() -> BTreeSet<FailureMode> {
+    BTreeSet::from([FailureMode::Down, FailureMode::Draining, FailureMode::Cold, FailureMode::Silent])
 }
 
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct About {
+#[schemars(rename = "About")]
+pub struct Subject {
     /// The remap rule by its name.
     pub rule: String,
     /// One object in hex digits; absent: `objects` of them.
     #[serde(default)]
     pub object: Option<String>,
-    #[serde(default = "some_objects")]
+    #[serde(default = "default_objects")]
     pub objects: usize,
     /// A host of `hosts`, or a zone; absent: the configuration's own.
     #[serde(default)]
     pub near: Option<String>,
 }
 
-fn some_objects() -> usize {
+fn default_objects() -> usize {
     24
 }
 
 #[derive(Clone, Copy, Debug, Deserialize, JsonSchema, Serialize, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "kebab-case")]
-pub enum Trouble {
+#[schemars(rename = "Trouble")]
+pub enum FailureMode {
     /// Gone from the list.
     Down,
     Draining,
@@ -78,9 +80,10 @@
 
 #[derive(Clone, Debug, Default, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
-pub struct Given {
+#[schemars(rename = "Given")]
+pub struct Conditions {
     /// Members in trouble, by what they are in.
-    pub members: BTreeMap<Trouble, Chosen>,
+    pub members: BTreeMap<FailureMode, MemberSelector>,
     /// The object was purged just before.
     pub purged: bool,
     /// Not more than so many milliseconds after the list said so, the gateway may still go by the one before.
@@ -90,23 +93,25 @@
 /// Members by what is written of them: all of it has to fit.
 #[derive(Clone, Debug, Default, Deserialize, JsonSchema, PartialEq)]
 #[serde(default, deny_unknown_fields)]
-pub struct Chosen {
+#[schemars(rename = "Chosen")]
+pub struct MemberSelector {
     pub names: Option<BTreeSet<String>>,
     pub kind: Option<String>,
     pub zone: Option<String>,
     pub cell: Option<u64>,
     /// In this trouble in the circumstance.
-    pub trouble: Option<Trouble>,
+    pub trouble: Option<FailureMode>,
 }
 
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub enum Must {
-    NeverGoTo(Chosen),
+#[schemars(rename = "Must")]
+pub enum Requirement {
+    NeverGoTo(MemberSelector),
     /// The first hop, where there is one.
-    GoFirstTo(Chosen),
-    FillOnlyFrom(Chosen),
-    NeverFillFrom(Chosen),
+    GoFirstTo(MemberSelector),
+    FillOnlyFrom(MemberSelector),
+    NeverFillFrom(MemberSelector),
     StayInZone(String),
     AtMostHops(u32),
     /// No hop after one that may have run.
@@ -120,7 +125,7 @@
     HaveOneHome(bool),
     /// The share of objects whose first hop goes there.
     ShareBetween {
-        of: Chosen,
+        of: MemberSelector,
         least: f64,
         most: f64,
     },
@@ -129,9 +134,9 @@
 }
 
 #[derive(Debug, thiserror::Error, PartialEq)]
-pub enum Unusable {
+pub enum SuiteError {
     #[error("line {line}, column {column}: {why}")]
-    Form { line: usize, column: usize, why: String },
+    Syntax { line: usize, column: usize, why: String },
     #[error("line {line}: {name}: {why}")]
     Expectation { line: usize, name: String, why: String },
 }
@@ -145,18 +150,18 @@
 
 impl Suite {
     /// All faults of the file, or the suite.
-    pub fn read(text: &str) -> Result<Suite, Vec<Unusable>> {
+    pub fn read(text: &str) -> Result<Suite, Vec<SuiteError>> {
         let suite: Suite = serde_json::from_str(text).map_err(|e| {
             let why = e.to_string();
             let why = why.split(" at line ").next().unwrap_or_default().to_owned();
-            vec![Unusable::Form { line: e.line(), column: e.column(), why }]
+            vec![SuiteError::Syntax { line: e.line(), column: e.column(), why }]
         })?;
         let mut faults = Vec::new();
         let mut names = BTreeSet::new();
         for e in &suite.expectations {
             let mut fault = |why: String| {
                 let (line, name) = (line_of(text, &e.name), e.name.clone());
-                faults.push(Unusable::Expectation { line, name, why });
+                faults.push(SuiteError::Expectation { line, name, why });
             };
             if e.name.trim().is_empty() {
                 fault("a name is empty".to_owned());
@@ -176,15 +181,19 @@
             }
             let share = |s: f64| (0.0..=1.0).contains(&s);
             match &e.must {
-                Must::ShareBetween { least, most, .. } if !share(*least) || !share(*most) || least > most => {
+                Requirement::ShareBetween { least, most, .. }
+                    if !share(*least) || !share(*most) || least > most =>
+                {
                     fault("least and most are shares from 0 to 1, in this order".to_owned());
                 }
-                Must::MoveAtMost(part) if !share(*part) => fault("a share lies between 0 and 1".to_owned()),
-                Must::NeverAgainOnceItMayHaveRun(is)
-                | Must::BeRejected(is)
-                | Must::BeAborted(is)
-                | Must::BeServed(is)
-                | Must::HaveOneHome(is)
+                Requirement::MoveAtMost(part) if !share(*part) => {
+                    fault("a share lies between 0 and 1".to_owned())
+                }
+                Requirement::NeverAgainOnceItMayHaveRun(is)
+                | Requirement::BeRejected(is)
+                | Requirement::BeAborted(is)
+                | Requirement::BeServed(is)
+                | Requirement::HaveOneHome(is)
                     if !is =>
                 {
                     fault("false says nothing: name what must hold instead".to_owned());
@@ -193,7 +202,11 @@
             }
         }
         if suite.expectations.is_empty() {
-            faults.push(Unusable::Form { line: 1, column: 1, why: "no expectation stands in it".to_owned() });
+            faults.push(SuiteError::Syntax {
+                line: 1,
+                column: 1,
+                why: "no expectation stands in it".to_owned(),
+            });
         }
         if faults.is_empty() { Ok(suite) } else { Err(faults) }
     }
--- a/routes/src/explain.rs
+++ b/routes/src/explain.rs
@@ -1,35 +1,35 @@
 //! Why one txn goes where it goes in one circumstance, in the module's own words, and the whole way it takes.
 
 use crate::fleet::Fleet;
-use crate::world::{Circumstance, Final, Way, World};
+use crate::world::{Final, Scenario, Trace, World};
 use kelpcart::explain::{Explanation, MemberExplanation};
 use kelpcart::interface::MemberState;
 use serde_json::{Value, json};
 
-pub struct Explained {
+pub struct TxnExplanation {
     pub reasons: Explanation,
-    pub way: Way,
+    pub trace: Trace,
 }
 
 /// `after`: so many other txns of the rule come first, so that what only hops can tell is known.
 pub fn explain(
     fleet: &Fleet,
     zone: usize,
-    circumstance: &Circumstance,
+    circumstance: &Scenario,
     rule: usize,
     object: u64,
     after: u64,
-) -> Explained {
+) -> TxnExplanation {
     let mut world = World::new(fleet, zone, circumstance);
     for other in 1..=after {
-        world.ask(rule, other.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        world.run_txn(rule, other.wrapping_mul(0x9e37_79b9_7f4a_7c15));
     }
     let reasons = world.explain(rule, object);
-    Explained { reasons, way: world.ask(rule, object) }
+    TxnExplanation { reasons, trace: world.run_txn(rule, object) }
 }
 
 /// What speaks against a member; empty where nothing does.
-fn against(s: &MemberExplanation, fraction: f64) -> Vec<String> {
+fn objections(s: &MemberExplanation, fraction: f64) -> Vec<String> {
     let mut all = Vec::new();
     match s.state {
         MemberState::Up => {}
@@ -51,15 +51,15 @@
     all
 }
 
-fn steps(fleet: &Fleet, way: &Way) -> Vec<String> {
+fn describe_trace(fleet: &Fleet, way: &Trace) -> Vec<String> {
     let name = |i: usize| &*fleet.members[i].id;
-    let step = |s: &crate::world::Step| {
+    let step = |s: &crate::world::TraceHop| {
         let from = s.source.map_or(String::new(), |s| format!(", filled from {}", name(s)));
         let oldest =
-            s.oldest.map_or(String::new(), |o| format!(", no copy older than {} ms", o.as_micros() / 1_000));
-        format!("hop to {}{from}{oldest}: {:?}", name(s.member), s.end).to_lowercase()
+            s.max_age.map_or(String::new(), |o| format!(", no copy older than {} ms", o.as_micros() / 1_000));
+        format!("hop to {}{from}{oldest}: {:?}", name(s.member), s.status).to_lowercase()
     };
-    let last = match way.last {
+    let last = match way.result {
         Some(Final::Served) => "served".to_owned(),
         Some(Final::Rejected(wait)) => {
             let wait =
@@ -69,17 +69,17 @@
         Some(Final::Aborted) => "aborted".to_owned(),
         None => "no final answer".to_owned(),
     };
-    way.steps.iter().map(step).chain([last]).collect()
+    way.hops.iter().map(step).chain([last]).collect()
 }
 
-impl Explained {
+impl TxnExplanation {
     pub fn text(&self, fleet: &Fleet) -> String {
         let r = &self.reasons;
         let mut out = String::new();
         for (what, all) in [("caches", &r.caches), ("parents", &r.parents), ("origin", &r.origins)] {
             out.push_str(&format!("{what}, in the object's order:\n"));
             for s in all {
-                let against = against(s, r.fraction);
+                let against = objections(s, r.fraction);
                 let told = if against.is_empty() { "fits".to_owned() } else { against.join("; ") };
                 out.push_str(&format!("  {}: {told}\n", s.member));
             }
@@ -88,7 +88,7 @@
             out.push_str("the origin is held to be sick: parents are asked for what they hold\n");
         }
         out.push_str("the way it takes:\n");
-        steps(fleet, &self.way).iter().for_each(|step| out.push_str(&format!("  {step}\n")));
+        describe_trace(fleet, &self.trace).iter().for_each(|step| out.push_str(&format!("  {step}\n")));
         out
     }
 
@@ -96,10 +96,10 @@
         let r = &self.reasons;
         let all = |all: &[MemberExplanation]| -> Vec<Value> {
             all.iter()
-                .map(|s| json!({"member": &*s.member, "against": against(s, r.fraction), "weight": s.weight}))
+                .map(|s| json!({"member": &*s.member, "against": objections(s, r.fraction), "weight": s.weight}))
                 .collect()
         };
         json!({"caches": all(&r.caches), "parents": all(&r.parents), "origins": all(&r.origins),
-            "fraction": r.fraction, "origin_sick": r.origin_failing, "way": steps(fleet, &self.way)})
+            "fraction": r.fraction, "origin_sick": r.origin_failing, "way": describe_trace(fleet, &self.trace)})
     }
 }
--- a/routes/src/judge.rs
+++ b/routes/src/judge.rs
@@ -1,13 +1,13 @@
 //! Says whether an expectation held in one circumstance, and whether it was put to the test at all. Pure: ways in, verdict
 //! out.
 
-use crate::expect::{Chosen, Must};
+use crate::expect::{MemberSelector, Requirement};
 use crate::fleet::Fleet;
-use crate::world::{Circumstance, Final, Way};
+use crate::world::{Final, Scenario, Trace};
 use kelpcart::Span;
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum Judgement {
     /// `true`: something happened that could have broken it.
     Held(bool),
     /// Why, and the way that shows it, by its place.
@@ -16,18 +16,18 @@
 
 pub struct Case<'a> {
     pub fleet: &'a Fleet,
-    pub circumstance: &'a Circumstance,
-    pub ways: &'a [Way],
+    pub scenario: &'a Scenario,
+    pub traces: &'a [Trace],
     /// The same txns with nobody in trouble.
-    pub calm: &'a [Way],
+    pub baseline: &'a [Trace],
     /// The first fill sources that gateways of other zones choose, in the order of the ways.
-    pub elsewhere: &'a [Vec<Option<usize>>],
+    pub other_zones: &'a [Vec<Option<usize>>],
 }
 
 impl Case<'_> {
-    fn is(&self, chosen: &Chosen, i: usize) -> bool {
-        let trouble = self.circumstance.troubles.get(&i).copied();
-        self.fleet.is(chosen, &self.fleet.members[i], trouble)
+    fn matches(&self, chosen: &MemberSelector, i: usize) -> bool {
+        let trouble = self.scenario.failures.get(&i).copied();
+        self.fleet.matches(chosen, &self.fleet.members[i], trouble)
     }
 
     fn name(&self, i: usize) -> &str {
@@ -35,114 +35,124 @@
     }
 
     /// Some member of the circumstance is one of these.
-    fn there_is(&self, chosen: &Chosen) -> bool {
-        (0..self.fleet.members.len()).any(|i| self.is(chosen, i))
+    fn any_match(&self, chosen: &MemberSelector) -> bool {
+        (0..self.fleet.members.len()).any(|i| self.matches(chosen, i))
     }
 
     /// Each way's steps; the first that breaks it. Exercised where anything was tried and `possible` says so.
-    fn each(&self, possible: bool, breaks: impl Fn(&Way) -> Option<String>) -> Verdict {
-        let found = self.ways.iter().enumerate().find_map(|(at, way)| Some((breaks(way)?, at)));
-        let tried = self.ways.iter().any(|w| !w.steps.is_empty());
-        found.map_or(Verdict::Held(possible && tried), |(why, at)| Verdict::Broken(why, at))
+    fn check_each(&self, possible: bool, breaks: impl Fn(&Trace) -> Option<String>) -> Judgement {
+        let found = self.traces.iter().enumerate().find_map(|(at, way)| Some((breaks(way)?, at)));
+        let tried = self.traces.iter().any(|w| !w.hops.is_empty());
+        found.map_or(Judgement::Held(possible && tried), |(why, at)| Judgement::Broken(why, at))
     }
 
-    fn first(way: &Way) -> Option<usize> {
-        way.steps.first().map(|s| s.member)
+    fn first_member(way: &Trace) -> Option<usize> {
+        way.hops.first().map(|s| s.member)
     }
 
-    pub fn judge(&self, must: &Must) -> Verdict {
+    pub fn judge(&self, must: &Requirement) -> Judgement {
         // A txn without a final answer breaks a rule whatever is expected.
-        if let Some(at) = self.ways.iter().position(|w| w.last.is_none()) {
-            return Verdict::Broken("it has no final answer".to_owned(), at);
+        if let Some(at) = self.traces.iter().position(|w| w.result.is_none()) {
+            return Judgement::Broken("it has no final answer".to_owned(), at);
         }
         match must {
-            Must::NeverGoTo(chosen) => self.each(self.there_is(chosen), |way| {
-                let step = way.steps.iter().find(|s| self.is(chosen, s.member))?;
+            Requirement::NeverGoTo(chosen) => self.check_each(self.any_match(chosen), |way| {
+                let step = way.hops.iter().find(|s| self.matches(chosen, s.member))?;
                 Some(format!("it goes to {}", self.name(step.member)))
             }),
-            Must::GoFirstTo(chosen) => self.each(self.there_is(chosen), |way| {
-                let first = Case::first(way).filter(|&m| !self.is(chosen, m))?;
+            Requirement::GoFirstTo(chosen) => self.check_each(self.any_match(chosen), |way| {
+                let first = Case::first_member(way).filter(|&m| !self.matches(chosen, m))?;
                 Some(format!("it goes to {} first", self.name(first)))
             }),
-            Must::FillOnlyFrom(chosen) => self.each(self.fills(), |way| {
-                let source = way.steps.iter().filter_map(|s| s.source).find(|&s| !self.is(chosen, s))?;
+            Requirement::FillOnlyFrom(chosen) => self.check_each(self.any_fill(), |way| {
+                let source = way.hops.iter().filter_map(|s| s.source).find(|&s| !self.matches(chosen, s))?;
                 Some(format!("it is filled from {}", self.name(source)))
             }),
-            Must::NeverFillFrom(chosen) => self.each(self.fills() && self.there_is(chosen), |way| {
-                let source = way.steps.iter().filter_map(|s| s.source).find(|&s| self.is(chosen, s))?;
-                Some(format!("it is filled from {}", self.name(source)))
-            }),
-            Must::StayInZone(zone) => self.each(true, |way| {
-                let chosen = Chosen { zone: Some(zone.clone()), ..Chosen::default() };
-                let step = way.steps.iter().find(|s| !self.is(&chosen, s.member))?;
+            Requirement::NeverFillFrom(chosen) => {
+                self.check_each(self.any_fill() && self.any_match(chosen), |way| {
+                    let source =
+                        way.hops.iter().filter_map(|s| s.source).find(|&s| self.matches(chosen, s))?;
+                    Some(format!("it is filled from {}", self.name(source)))
+                })
+            }
+            Requirement::StayInZone(zone) => self.check_each(true, |way| {
+                let chosen = MemberSelector { zone: Some(zone.clone()), ..MemberSelector::default() };
+                let step = way.hops.iter().find(|s| !self.matches(&chosen, s.member))?;
                 Some(format!("it goes to {}, which is elsewhere", self.name(step.member)))
             }),
-            Must::AtMostHops(most) => self.each(true, |way| {
-                let n = way.steps.len();
+            Requirement::AtMostHops(most) => self.check_each(true, |way| {
+                let n = way.hops.len();
                 (n > *most as usize).then(|| format!("it takes {n} hops"))
             }),
-            Must::NeverAgainOnceItMayHaveRun(_) => {
-                let may = self.ways.iter().any(|w| w.steps.iter().any(|s| !s.end.proves_not_run()));
-                self.each(may, |way| {
-                    let at = way.steps.iter().position(|s| !s.end.proves_not_run())?;
-                    let next = way.steps.get(at + 1)?;
+            Requirement::NeverAgainOnceItMayHaveRun(_) => {
+                let may = self.traces.iter().any(|w| w.hops.iter().any(|s| !s.status.proves_not_run()));
+                self.check_each(may, |way| {
+                    let at = way.hops.iter().position(|s| !s.status.proves_not_run())?;
+                    let next = way.hops.get(at + 1)?;
                     Some(format!("it goes on to {} after it may have run", self.name(next.member)))
                 })
             }
-            Must::BeRejected(_) => self.each(self.unserved(), |way| {
-                (way.last == Some(Final::Aborted)).then(|| "it is aborted".to_owned())
+            Requirement::BeRejected(_) => self.check_each(self.any_unserved(), |way| {
+                (way.result == Some(Final::Aborted)).then(|| "it is aborted".to_owned())
             }),
-            Must::BeAborted(_) => self.each(self.unserved(), |way| {
-                matches!(way.last, Some(Final::Rejected(_))).then(|| "it is rejected".to_owned())
+            Requirement::BeAborted(_) => self.check_each(self.any_unserved(), |way| {
+                matches!(way.result, Some(Final::Rejected(_))).then(|| "it is rejected".to_owned())
             }),
-            Must::BeServed(_) => self.each(true, |way| {
-                (way.last != Some(Final::Served)).then(|| format!("it ends {:?}", way.last).to_lowercase())
+            Requirement::BeServed(_) => self.check_each(true, |way| {
+                (way.result != Some(Final::Served))
+                    .then(|| format!("it ends {:?}", way.result).to_lowercase())
             }),
-            Must::ComeBackWithinMs(most) => self.each(self.unserved(), |way| match way.last {
-                Some(Final::Rejected(Some(wait))) if wait <= Span::from_millis(*most) => None,
-                Some(Final::Rejected(wait)) => Some(format!("it is told to come back after {wait:?}")),
-                _ => None,
-            }),
-            Must::HaveOneHome(_) => {
-                let homes = |way: &Way| way.steps.first().and_then(|s| s.source);
-                let differs = |at: usize| self.elsewhere.iter().any(|zone| zone[at] != homes(&self.ways[at]));
-                match (0..self.ways.len()).find(|&at| differs(at)) {
+            Requirement::ComeBackWithinMs(most) => {
+                self.check_each(self.any_unserved(), |way| match way.result {
+                    Some(Final::Rejected(Some(wait))) if wait <= Span::from_millis(*most) => None,
+                    Some(Final::Rejected(wait)) => Some(format!("it is told to come back after {wait:?}")),
+                    _ => None,
+                })
+            }
+            Requirement::HaveOneHome(_) => {
+                let homes = |way: &Trace| way.hops.first().and_then(|s| s.source);
+                let differs =
+                    |at: usize| self.other_zones.iter().any(|zone| zone[at] != homes(&self.traces[at]));
+                match (0..self.traces.len()).find(|&at| differs(at)) {
                     Some(at) => {
-                        Verdict::Broken("gateways of two zones fill it from two places".to_owned(), at)
+                        Judgement::Broken("gateways of two zones fill it from two places".to_owned(), at)
                     }
-                    None => Verdict::Held(!self.elsewhere.is_empty() && self.fills()),
+                    None => Judgement::Held(!self.other_zones.is_empty() && self.any_fill()),
                 }
             }
-            Must::ShareBetween { of, least, most } => {
-                let there =
-                    self.ways.iter().filter(|w| Case::first(w).is_some_and(|m| self.is(of, m))).count();
-                let share = there as f64 / self.ways.len().max(1) as f64;
+            Requirement::ShareBetween { of, least, most } => {
+                let there = self
+                    .traces
+                    .iter()
+                    .filter(|w| Case::first_member(w).is_some_and(|m| self.matches(of, m)))
+                    .count();
+                let share = there as f64 / self.traces.len().max(1) as f64;
                 let fits = share >= *least && share <= *most;
                 if fits {
-                    Verdict::Held(true)
+                    Judgement::Held(true)
                 } else {
-                    Verdict::Broken(format!("the share there is {share:.3}"), 0)
+                    Judgement::Broken(format!("the share there is {share:.3}"), 0)
                 }
             }
-            Must::MoveAtMost(most) => {
-                let pairs = self.ways.iter().zip(self.calm);
-                let moved = pairs.filter(|(a, b)| Case::first(a) != Case::first(b)).count();
-                let share = moved as f64 / self.ways.len().max(1) as f64;
-                let possible = !self.circumstance.troubles.is_empty();
+            Requirement::MoveAtMost(most) => {
+                let pairs = self.traces.iter().zip(self.baseline);
+                let moved = pairs.filter(|(a, b)| Case::first_member(a) != Case::first_member(b)).count();
+                let share = moved as f64 / self.traces.len().max(1) as f64;
+                let possible = !self.scenario.failures.is_empty();
                 if share <= *most {
-                    Verdict::Held(possible)
+                    Judgement::Held(possible)
                 } else {
-                    Verdict::Broken(format!("{share:.3} of the objects move"), 0)
+                    Judgement::Broken(format!("{share:.3} of the objects move"), 0)
                 }
             }
         }
     }
 
-    fn fills(&self) -> bool {
-        self.ways.iter().any(|w| w.steps.iter().any(|s| s.source.is_some()))
+    fn any_fill(&self) -> bool {
+        self.traces.iter().any(|w| w.hops.iter().any(|s| s.source.is_some()))
     }
 
-    fn unserved(&self) -> bool {
-        self.ways.iter().any(|w| w.last != Some(Final::Served))
+    fn any_unserved(&self) -> bool {
+        self.traces.iter().any(|w| w.result != Some(Final::Served))
     }
 }
--- a/routes/src/main.rs
+++ b/routes/src/main.rs
@@ -6,20 +6,20 @@
 use kelpcart_routes::expect::{self, Suite};
 use kelpcart_routes::fleet::Fleet;
 use kelpcart_routes::measure::{self, Size};
-use kelpcart_routes::world::Circumstance;
+use kelpcart_routes::world::Scenario;
 use kelpcart_routes::{diff, explain, report, search};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 #[derive(Parser)]
 #[command(about = "Checks what is expected of routes against the module that serves, without traffic.")]
-struct Line {
+struct Cli {
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum What {
+enum Command {
     /// Every expectation of the file, in every circumstance that it asks for.
     Test {
         /// The gateway's configuration, as NODE_CONFIG names it.
@@ -90,7 +90,7 @@
 }
 
 fn main() -> ExitCode {
-    match run(Line::parse().what) {
+    match run(Cli::parse().command) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(why) => {
@@ -111,26 +111,26 @@
 /// A file of expectations and its text; all faults at once.
 fn suite(path: &Path) -> Result<(Suite, String), String> {
     let (text, file) = (read(path)?, path.display());
-    let told = |all: Vec<expect::Unusable>| -> String {
+    let told = |all: Vec<expect::SuiteError>| -> String {
         all.iter().map(|why| format!("{file}: {why}")).collect::<Vec<_>>().join("\n")
     };
     let suite = Suite::read(&text).map_err(told)?;
     Ok((suite, text))
 }
 
-fn run(what: What) -> Result<bool, String> {
+fn run(what: Command) -> Result<bool, String> {
     match what {
-        What::Schema => {
+        Command::Schema => {
             println!("{}", Suite::schema());
             Ok(true)
         }
-        What::Check { config: path } => {
-            let fleet = Fleet::of(&config(&path)?);
+        Command::Check { config: path } => {
+            let fleet = Fleet::from_config(&config(&path)?);
             println!("{} members, {} rules: it can be used", fleet.members.len(), fleet.names.rules.len());
             Ok(true)
         }
-        What::Diff { old, new, routes, objects, json } => {
-            let (old, new) = (Fleet::of(&config(&old)?), Fleet::of(&config(&new)?));
+        Command::Diff { old, new, routes, objects, json } => {
+            let (old, new) = (Fleet::from_config(&config(&old)?), Fleet::from_config(&config(&new)?));
             let suite = routes.map(|path| suite(&path)).transpose()?;
             let told = diff::diff(&old, &new, suite.as_ref().map(|(s, text)| (s, text.as_str())), objects);
             print!("{}", told.text());
@@ -141,13 +141,13 @@
             // An expectation that no longer holds is a failure.
             Ok(told.verdicts.iter().all(|(_, _, now)| *now))
         }
-        What::Explain { config: path, rule, object, zone, with, purged, after, json } => {
-            let fleet = Fleet::of(&config(&path)?);
-            let (rule, object) = (fleet.rule(&rule)?, u64::from_str_radix(&object, 16));
+        Command::Explain { config: path, rule, object, zone, with, purged, after, json } => {
+            let fleet = Fleet::from_config(&config(&path)?);
+            let (rule, object) = (fleet.rule_index(&rule)?, u64::from_str_radix(&object, 16));
             let object = object.map_err(|_| "--object is not hex digits".to_owned())?;
-            let zone = zone.map_or(Ok(fleet.settings.zone), |z| fleet.zone(&z))?;
-            let troubles = with.iter().map(|w| fleet.trouble(w)).collect::<Result<_, _>>()?;
-            let circumstance = Circumstance { troubles, purged, list_late: false };
+            let zone = zone.map_or(Ok(fleet.settings.zone), |z| fleet.zone_index(&z))?;
+            let troubles = with.iter().map(|w| fleet.parse_failure(w)).collect::<Result<_, _>>()?;
+            let circumstance = Scenario { failures: troubles, purged, list_late: false };
             let told = explain::explain(&fleet, zone, &circumstance, rule, object, after);
             print!("{}", told.text(&fleet));
             if let Some(path) = json {
@@ -156,8 +156,8 @@
             }
             Ok(true)
         }
-        What::Measure { config: path, json } => {
-            let base = Fleet::of(&config(&path)?);
+        Command::Measure { config: path, json } => {
+            let base = Fleet::from_config(&config(&path)?);
             let size = |members, expectations, search| Size { members, expectations, search };
             let sizes = [
                 size(25, 50, 1),
@@ -176,8 +176,8 @@
             }
             Ok(true)
         }
-        What::Test { config: path, routes, search: most, json, junit } => {
-            let fleet = Fleet::of(&config(&path)?);
+        Command::Test { config: path, routes, search: most, json, junit } => {
+            let fleet = Fleet::from_config(&config(&path)?);
             let (suite, text) = suite(&routes)?;
             let file = routes.display().to_string();
             let all = search::run(&fleet, &suite, &text, most);
@@ -187,7 +187,7 @@
             };
             json.map(|path| write(&path, report::json(&all).to_string())).transpose()?;
             junit.map(|path| write(&path, report::junit(&all, &file))).transpose()?;
-            Ok(all.iter().all(search::Outcome::passes))
+            Ok(all.iter().all(search::ExpectationResult::passes))
         }
     }
 }
--- a/routes/src/report.rs
+++ b/routes/src/report.rs
@@ -1,15 +1,15 @@
 //! Tells the verdicts: for people, as JSON, and as JUnit XML for machines that show tests.
 
-use crate::search::{Found, Outcome};
+use crate::search::{ExpectationResult, Verdict};
 use serde_json::{Value, json};
 
 /// What is wrong with one, in a line or more; empty where it holds.
-fn told(found: &Found) -> String {
+fn describe(found: &Verdict) -> String {
     match found {
-        Found::Held => String::new(),
-        Found::Vacuous => "never put to the test: nothing that could break it can occur".to_owned(),
-        Found::Unusable(why) => why.clone(),
-        Found::Broken { troubles, why, object, steps } => {
+        Verdict::Held => String::new(),
+        Verdict::Vacuous => "never put to the test: nothing that could break it can occur".to_owned(),
+        Verdict::Unusable(why) => why.clone(),
+        Verdict::Broken { failures: troubles, why, object, trace: steps } => {
             let with = |(name, trouble): &(String, _)| format!("{name} {trouble:?}").to_lowercase();
             let troubles: Vec<String> = troubles.iter().map(with).collect();
             let when = if troubles.is_empty() {
@@ -22,20 +22,20 @@
     }
 }
 
-fn word(found: &Found) -> &'static str {
+fn label(found: &Verdict) -> &'static str {
     match found {
-        Found::Held => "holds",
-        Found::Broken { .. } => "BROKEN",
-        Found::Vacuous => "VACUOUS",
-        Found::Unusable(_) => "UNUSABLE",
+        Verdict::Held => "holds",
+        Verdict::Broken { .. } => "BROKEN",
+        Verdict::Vacuous => "VACUOUS",
+        Verdict::Unusable(_) => "UNUSABLE",
     }
 }
 
-pub fn text(all: &[Outcome], file: &str) -> String {
+pub fn text(all: &[ExpectationResult], file: &str) -> String {
     let mut out = String::new();
     for o in all {
-        out.push_str(&format!("{:9} {} ({} circumstances)\n", word(&o.found), o.name, o.tried));
-        let told = told(&o.found);
+        out.push_str(&format!("{:9} {} ({} circumstances)\n", label(&o.verdict), o.name, o.tried));
+        let told = describe(&o.verdict);
         if !told.is_empty() {
             out.push_str(&format!("          {file}:{}: {told}\n", o.line));
         }
@@ -45,8 +45,8 @@
     out
 }
 
-pub fn json(all: &[Outcome]) -> Value {
-    let one = |o: &Outcome| json!({"name": o.name, "line": o.line, "verdict": word(&o.found).to_lowercase(), "told": told(&o.found), "circumstances": o.tried});
+pub fn json(all: &[ExpectationResult]) -> Value {
+    let one = |o: &ExpectationResult| json!({"name": o.name, "line": o.line, "verdict": label(&o.verdict).to_lowercase(), "told": describe(&o.verdict), "circumstances": o.tried});
     json!({"expectations": all.iter().map(one).collect::<Vec<_>>(), "failed": all.iter().filter(|o| !o.passes()).count()})
 }
 
@@ -66,7 +66,7 @@
     out
 }
 
-pub fn junit(all: &[Outcome], suite: &str) -> String {
+pub fn junit(all: &[ExpectationResult], suite: &str) -> String {
     let bad = all.iter().filter(|o| !o.passes()).count();
     let mut out = format!(
         "<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n<testsuite name=\"{}\" tests=\"{}\" failures=\"{bad}\">\n",
@@ -78,7 +78,7 @@
         if o.passes() {
             out.push_str(&format!("  <testcase name=\"{name}\"/>\n"));
         } else {
-            let (kind, told) = (word(&o.found).to_lowercase(), escaped(&told(&o.found)));
+            let (kind, told) = (label(&o.verdict).to_lowercase(), escaped(&describe(&o.verdict)));
             out.push_str(&format!(
                 "  <testcase name=\"{name}\"><failure type=\"{kind}\">{told}</failure></testcase>\n"
             ));
--- a/routes/tests/broken.rs
+++ b/routes/tests/broken.rs
@@ -139,7 +139,7 @@
     for (path, value) in changes {
         *all.pointer_mut(path).unwrap() = value.clone();
     }
-    Fleet::of(&Config::read(&all.to_string()).unwrap())
+    Fleet::from_config(&Config::read(&all.to_string()).unwrap())
 }
 
 /// The names of those that do not hold.
--- a/routes/tests/suites.rs
+++ b/routes/tests/suites.rs
@@ -2,10 +2,10 @@
 //! the test is told, and the verdict is the same each time.
 
 use kelpcart_gateway::config::Config;
-use kelpcart_routes::expect::{Suite, Trouble};
+use kelpcart_routes::expect::{FailureMode, Suite};
 use kelpcart_routes::fleet::Fleet;
 use kelpcart_routes::report;
-use kelpcart_routes::search::{self, Found, Outcome};
+use kelpcart_routes::search::{self, ExpectationResult, Verdict};
 use quickcheck::{Gen, QuickCheck};
 use serde_json::{Value, json};
 
@@ -19,7 +19,7 @@
     for (path, value) in changes {
         *all.pointer_mut(path).unwrap() = value.clone();
     }
-    Fleet::of(&Config::read(&all.to_string()).unwrap())
+    Fleet::from_config(&Config::read(&all.to_string()).unwrap())
 }
 
 /// A fleet of so many boxes, parents and one origin, all in one zone.
@@ -34,13 +34,13 @@
     fleet(&[("/known/items/0/roster/endpoints", json!(all))])
 }
 
-fn run(fleet: &Fleet, expectations: Value, most: Option<usize>) -> Vec<Outcome> {
+fn run(fleet: &Fleet, expectations: Value, most: Option<usize>) -> Vec<ExpectationResult> {
     let text = json!({"hosts": {"host1.example.org": "here"}, "expectations": expectations}).to_string();
     search::run(fleet, &Suite::read(&text).unwrap(), &text, most)
 }
 
-fn one(fleet: &Fleet, expectation: Value) -> Found {
-    run(fleet, json!([expectation]), None).remove(0).found
+fn one(fleet: &Fleet, expectation: Value) -> Verdict {
+    run(fleet, json!([expectation]), None).remove(0).verdict
 }
 
 fn expect(rule: &str, search: usize, must: Value) -> Value {
@@ -52,7 +52,7 @@
     let text = example("routes.json");
     let suite = Suite::read(&text).unwrap();
     let all = search::run(&fleet(&[]), &suite, &text, None);
-    assert!(all.iter().all(Outcome::passes), "{}", report::text(&all, "routes.json"));
+    assert!(all.iter().all(ExpectationResult::passes), "{}", report::text(&all, "routes.json"));
     // Without direct hops, what both boxes' absence leaves is nothing.
     let edited = fleet(&[("/settings/FamilyInfo/BypassAllowed", json!(false))]);
     let all = search::run(&edited, &suite, &text, None);
@@ -65,14 +65,18 @@
     let edited = fleet(&[("/settings/FamilyInfo/BypassAllowed", json!(false))]);
     let mut served = expect("segment", 1, json!({"be_served": true}));
     served["troubles"] = json!(["draining"]);
-    assert_eq!(one(&edited, served.clone()), Found::Held);
+    assert_eq!(one(&edited, served.clone()), Verdict::Held);
     served["search"] = json!(2);
-    let Found::Broken { troubles, why, .. } = one(&edited, served.clone()) else { panic!("not found") };
-    let both = [("box-a".to_owned(), Trouble::Draining), ("box-b".to_owned(), Trouble::Draining)];
+    let Verdict::Broken { failures: troubles, why, .. } = one(&edited, served.clone()) else {
+        panic!("not found")
+    };
+    let both = [("box-a".to_owned(), FailureMode::Draining), ("box-b".to_owned(), FailureMode::Draining)];
     assert_eq!(troubles, both);
     assert!(why.contains("rejected"), "{why}");
     // Before the edit the two boxes are no trouble: others are the first to be.
-    let Found::Broken { troubles, .. } = one(&fleet(&[]), served) else { panic!("parent and origin") };
+    let Verdict::Broken { failures: troubles, .. } = one(&fleet(&[]), served) else {
+        panic!("parent and origin")
+    };
     assert_ne!(troubles, both);
 }
 
@@ -80,7 +84,9 @@
 fn the_least_circumstance_is_the_one_that_is_told() {
     // One down parent is enough, though two are searched.
     let must = json!({"fill_only_from": {"names": ["parent"]}});
-    let Found::Broken { troubles, steps, .. } = one(&fleet(&[]), expect("segment", 2, must)) else {
+    let Verdict::Broken { failures: troubles, trace: steps, .. } =
+        one(&fleet(&[]), expect("segment", 2, must))
+    else {
         panic!()
     };
     assert_eq!(troubles.len(), 1, "{troubles:?}");
@@ -91,18 +97,18 @@
 #[test]
 fn an_unrepeatable_txn_keeps_its_rule_and_the_opposite_is_seen() {
     let held = one(&fleet(&[]), expect("commit", 2, json!({"never_again_once_it_may_have_run": true})));
-    assert_eq!(held, Found::Held);
+    assert_eq!(held, Verdict::Held);
     // A repeatable one does go on: the same expectation about it is broken.
     let mut other = expect("segment", 1, json!({"never_again_once_it_may_have_run": true}));
     other["troubles"] = json!(["failing"]);
-    assert!(matches!(one(&fleet(&[]), other), Found::Broken { .. }));
+    assert!(matches!(one(&fleet(&[]), other), Verdict::Broken { .. }));
     let mut aborted = expect("commit", 0, json!({"be_aborted": true}));
     aborted["while"] = json!({"members": {"silent": {"kind": "origin"}}});
     // The first of all: later ones are told at once that the origin is silent, and have not run.
     aborted["about"]["objects"] = json!(1);
-    assert_eq!(one(&fleet(&[]), aborted.clone()), Found::Held);
+    assert_eq!(one(&fleet(&[]), aborted.clone()), Verdict::Held);
     aborted["must"] = json!({"be_rejected": true});
-    assert!(matches!(one(&fleet(&[]), aborted), Found::Broken { .. }));
+    assert!(matches!(one(&fleet(&[]), aborted), Verdict::Broken { .. }));
 }
 
 #[test]
@@ -110,9 +116,9 @@
     let nobody = json!({"never_go_to": {"trouble": "full"}});
     let mut e = expect("segment", 1, nobody);
     e["troubles"] = json!(["down"]);
-    assert_eq!(one(&fleet(&[]), e), Found::Vacuous);
+    assert_eq!(one(&fleet(&[]), e), Verdict::Vacuous);
     // Nothing is ever left unserved here, so that nothing can be rejected.
-    assert_eq!(one(&fleet(&[]), expect("segment", 0, json!({"be_rejected": true}))), Found::Vacuous);
+    assert_eq!(one(&fleet(&[]), expect("segment", 0, json!({"be_rejected": true}))), Verdict::Vacuous);
 }
 
 #[test]
@@ -137,7 +143,7 @@
 #[test]
 fn what_is_not_there_is_told_with_the_likely_name() {
     let told = |e: Value| match one(&fleet(&[]), e) {
-        Found::Unusable(why) => why,
+        Verdict::Unusable(why) => why,
         other => panic!("{other:?}"),
     };
     assert_eq!(
@@ -195,22 +201,22 @@
         let fleet = large(boxes, 2);
         let mut e = expect("segment", 1, json!({"never_go_to": {"trouble": "draining"}}));
         e["while"] = json!({"members": {"draining": {"names": ["box-0"]}}});
-        assert_eq!(one(&fleet, e.clone()), Found::Held, "{boxes}");
+        assert_eq!(one(&fleet, e.clone()), Verdict::Held, "{boxes}");
         // Told of it late, the gateway still goes there: the expectation says so.
         e["while"]["list_late"] = json!(true);
-        assert!(matches!(one(&fleet, e), Found::Broken { .. }), "{boxes}");
+        assert!(matches!(one(&fleet, e), Verdict::Broken { .. }), "{boxes}");
     }
 }
 
 #[test]
 fn a_purge_bounds_the_age_of_what_is_asked_for_in_every_circumstance() {
-    use kelpcart_routes::world::{Circumstance, World};
+    use kelpcart_routes::world::{Scenario, World};
     let fleet = large(4, 2);
-    let circumstance = Circumstance { purged: true, ..Circumstance::default() };
+    let circumstance = Scenario { purged: true, ..Scenario::default() };
     let mut world = World::new(&fleet, fleet.settings.zone, &circumstance);
     for object in 1..20 {
-        let way = world.ask(0, object);
-        assert!(!way.steps.is_empty() && way.steps.iter().all(|s| s.oldest.is_some()), "{way:?}");
+        let way = world.run_txn(0, object);
+        assert!(!way.hops.is_empty() && way.hops.iter().all(|s| s.max_age.is_some()), "{way:?}");
     }
 }
 
@@ -218,12 +224,12 @@
 /// and is filled from the first parent of which the same holds.
 fn told_is_done(cases: Vec<(u8, u8, u8, u64)>) -> bool {
     use kelpcart_routes::explain::explain;
-    use kelpcart_routes::world::Circumstance;
+    use kelpcart_routes::world::Scenario;
     let fleet = large(5, 3);
     cases.into_iter().all(|(a, b, trouble, object)| {
-        let all = [Trouble::Down, Trouble::Draining, Trouble::Silent, Trouble::Full];
+        let all = [FailureMode::Down, FailureMode::Draining, FailureMode::Silent, FailureMode::Full];
         let troubles = [a, b].map(|i| (usize::from(i) % fleet.members.len(), all[usize::from(trouble) % 4]));
-        let circumstance = Circumstance { troubles: troubles.into(), ..Circumstance::default() };
+        let circumstance = Scenario { failures: troubles.into(), ..Scenario::default() };
         let told = explain(&fleet, fleet.settings.zone, &circumstance, 0, object, 30);
         let fits = |s: &&kelpcart::explain::MemberExplanation| {
             let by_weight = s.weight.is_none_or(|w| w / 100.0 > told.reasons.fraction);
@@ -231,11 +237,11 @@
             up && !s.cold_budget_spent && by_weight
         };
         let name = |i: usize| fleet.members[i].id.clone();
-        let Some(first) = told.way.steps.first() else { return true };
+        let Some(first) = told.trace.hops.first() else { return true };
         let cache = told.reasons.caches.iter().find(fits).map(|s| s.member.clone());
         let parent = told.reasons.parents.iter().find(fits).map(|s| s.member.clone());
         // A trial may go to a silent one; and without a cache it goes straight to the parent.
-        let trial = |i: usize| circumstance.troubles.get(&i) == Some(&Trouble::Silent);
+        let trial = |i: usize| circumstance.failures.get(&i) == Some(&FailureMode::Silent);
         let to_cache = cache.is_none_or(|c| c == name(first.member)) || trial(first.member);
         let from_parent = first.source.is_none_or(|s| parent.is_none_or(|p| p == name(s)) || trial(s));
         to_cache && from_parent
@@ -254,16 +260,16 @@
 #[test]
 fn an_explanation_names_what_speaks_against_each() {
     use kelpcart_routes::explain::explain;
-    use kelpcart_routes::world::Circumstance;
+    use kelpcart_routes::world::Scenario;
     let fleet = large(3, 2);
-    let troubles = ["box-0=draining", "parent-1=silent"].map(|t| fleet.trouble(t).unwrap()).into();
-    let circumstance = Circumstance { troubles, purged: true, ..Circumstance::default() };
+    let troubles = ["box-0=draining", "parent-1=silent"].map(|t| fleet.parse_failure(t).unwrap()).into();
+    let circumstance = Scenario { failures: troubles, purged: true, ..Scenario::default() };
     let told = explain(&fleet, fleet.settings.zone, &circumstance, 0, 77, 40);
     let text = told.text(&fleet);
     assert!(text.contains("box-0: draining") && text.contains("parent-1: silent"), "{text}");
     assert!(text.contains("no copy older than") && text.contains("served"), "{text}");
-    assert!(fleet.trouble("box-9=down").unwrap_err().contains("did you mean box-"));
-    assert!(fleet.trouble("box-0=tired").unwrap_err().contains("no trouble"));
+    assert!(fleet.parse_failure("box-9=down").unwrap_err().contains("did you mean box-"));
+    assert!(fleet.parse_failure("box-0=tired").unwrap_err().contains("no trouble"));
 }
 
 #[test]
@@ -298,18 +304,18 @@
     e["while"] = json!({"members": {"returned": {"names": ["parent-1"]}}});
     e["about"]["objects"] = json!(60);
     // At the standby share some of its objects still go there, though most go to the other.
-    let Found::Broken { why, .. } = one(&fleet, e.clone()) else { panic!("none goes there") };
+    let Verdict::Broken { why, .. } = one(&fleet, e.clone()) else { panic!("none goes there") };
     assert!(why.contains("parent-1"), "{why}");
     // Had it never been away, it would have about half of them.
-    use kelpcart_routes::world::{Circumstance, World};
-    let fills = |trouble: Option<Trouble>| {
+    use kelpcart_routes::world::{Scenario, World};
+    let fills = |trouble: Option<FailureMode>| {
         let at = fleet.members.iter().position(|m| &*m.id == "parent-1").unwrap();
         let troubles = trouble.map(|t| (at, t)).into_iter().collect();
-        let circumstance = Circumstance { troubles, ..Circumstance::default() };
+        let circumstance = Scenario { failures: troubles, ..Scenario::default() };
         let mut world = World::new(&fleet, fleet.settings.zone, &circumstance);
-        let filled = |i: &u64| world.ask(0, i * 7_919).steps.iter().any(|s| s.source == Some(at));
+        let filled = |i: &u64| world.run_txn(0, i * 7_919).hops.iter().any(|s| s.source == Some(at));
         (1..200u64).filter(filled).count()
     };
-    let (calm, returned) = (fills(None), fills(Some(Trouble::Returned)));
+    let (calm, returned) = (fills(None), fills(Some(FailureMode::Returned)));
     assert!(calm > 70 && returned < calm, "{calm} {returned}");
 }
