--- a/failover/examples/measure.rs
+++ b/failover/examples/measure.rs
@@ -1,7 +1,8 @@
-//! The decision in common beside other ways to fail over, on zones of a formula that bear only so much: what is served,
-//! as a share of the best table for the true state (a linear programme), how far a zone is pushed beyond what it bears,
-//! how often shares turn, and what crosses. Prints a table; `--json FILE` gives the same figures, `--seed N` other noise.
-//! Exits non-zero where zones hand on to each other in a ring under the decision in common.
+//! Compares the shared decision with other failover policies on simulated zones of limited capacity: the worth served, as
+//! a share of the best table for the true state (a linear program), the highest utilization of a zone that receives
+//! load, how often shares reverse direction, and how much crosses zones. Prints a table; `--json FILE` writes the same
+//! figures, `--seed N` changes the noise. Exits non-zero if zones forward to each other in a ring under the shared
+//! decision.
 
 use kelpcart::{Span, Time};
 use kelpcart_failover::decide::{Decider, Report};
@@ -15,8 +16,8 @@
 use serde_json::{Value, json};
 use std::process::ExitCode;
 
-const KINDS: [(TxnClass, f64, f64); 2] = [
-    // What a zone's txns are: kind, part, worth of one.
+/// The txns of a zone: class, share of the load, worth of one txn.
+const CLASSES: [(TxnClass, f64, f64); 2] = [
     (TxnClass { importance: 5, write: false }, 0.8, 1.0),
     (TxnClass { importance: 9, write: true }, 0.2, 3.0),
 ];
@@ -25,90 +26,90 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Policy {
-    InCommon,
-    /// Each zone for itself: half of its own goes to the next one while its hops go wrong.
+    Shared,
+    /// Each zone decides alone: it moves half of its load per step to the next zone while its hops go wrong.
     Alone,
-    /// All of it to the nearest zone whose check passes, and all back at once.
+    /// All load moves to the nearest zone whose health check passes, and all returns at once.
     Hard,
-    /// A tenth always goes to the next one.
+    /// A tenth of the load always goes to the next zone.
     Static,
 }
 
 const POLICIES: [(Policy, &str); 4] = [
-    (Policy::InCommon, "in common"),
+    (Policy::Shared, "in common"),
     (Policy::Alone, "alone"),
     (Policy::Hard, "hard failover"),
     (Policy::Static, "static split"),
 ];
 
-struct Day {
+struct Case {
     name: &'static str,
-    bears: Vec<f64>,
+    capacity_per_s: Vec<f64>,
     loads: Vec<f64>,
-    liars: usize,
-    /// The part of a zone's hops that goes wrong whatever its load, at a step.
+    false_reporters: usize,
+    /// The share of a zone's hops that goes wrong at a step, independent of its load.
     bad: fn(zone: usize, step: usize) -> f64,
 }
 
-fn days() -> Vec<Day> {
-    let day = |name, bears: &[f64], loads: &[f64], liars, bad| Day {
+fn cases() -> Vec<Case> {
+    let case = |name, capacity_per_s: &[f64], loads: &[f64], false_reporters, bad| Case {
         name,
-        bears: bears.to_vec(),
+        capacity_per_s: capacity_per_s.to_vec(),
         loads: loads.to_vec(),
-        liars,
+        false_reporters,
         bad,
     };
     vec![
-        day("calm", &[100.0; 3], &[60.0; 3], 0, |_, _| 0.01),
-        day("dark, back at half", &[100.0; 3], &[60.0; 3], 0, |z, s| {
+        case("calm", &[100.0; 3], &[60.0; 3], 0, |_, _| 0.01),
+        case("dark, back at half", &[100.0; 3], &[60.0; 3], 0, |z, s| {
             if z == 0 && (20..120).contains(&s) { 1.0 } else { 0.01 }
         }),
-        day("slow, not dead", &[100.0; 3], &[60.0; 3], 0, |z, s| if z == 0 && s > 20 { 0.3 } else { 0.01 }),
-        day(
+        case("slow, not dead", &[100.0; 3], &[60.0; 3], 0, |z, s| if z == 0 && s > 20 { 0.3 } else { 0.01 }),
+        case(
             "brown-out",
             &[100.0, 70.0, 70.0],
             &[60.0; 3],
             0,
             |z, s| if z == 0 && s > 20 { 0.9 } else { 0.01 },
         ),
-        day(
+        case(
             "flaps each 3 s",
             &[100.0; 3],
             &[60.0; 3],
             0,
             |z, s| if z == 0 && s / 6 % 2 == 1 { 1.0 } else { 0.01 },
         ),
-        day("a third lies", &[100.0; 3], &[60.0; 3], GATEWAYS / 3, |_, _| 0.01),
-        day("sizes 1 to 16", &[320.0, 80.0, 20.0], &[150.0, 50.0, 12.0], 0, |z, s| {
+        case("a third lies", &[100.0; 3], &[60.0; 3], GATEWAYS / 3, |_, _| 0.01),
+        case("sizes 1 to 16", &[320.0, 80.0, 20.0], &[150.0, 50.0, 12.0], 0, |z, s| {
             if z == 2 && (20..120).contains(&s) { 1.0 } else { 0.01 }
         }),
-        day("the large one dark", &[320.0, 80.0, 20.0], &[150.0, 50.0, 12.0], 0, |z, s| {
+        case("the large one dark", &[320.0, 80.0, 20.0], &[150.0, 50.0, 12.0], 0, |z, s| {
             if z == 0 && (20..120).contains(&s) { 1.0 } else { 0.01 }
         }),
-        day("all overloaded", &[50.0; 3], &[60.0, 70.0, 80.0], 0, |_, _| 0.01),
+        case("all overloaded", &[50.0; 3], &[60.0, 70.0, 80.0], 0, |_, _| 0.01),
     ]
 }
 
-/// The most worth that any table could serve in the true state.
-fn best(day: &Day, bad: &[f64]) -> f64 {
-    let n = day.bears.len();
+/// The highest worth that any table could serve in the true state.
+fn best(case: &Case, bad: &[f64]) -> f64 {
+    let n = case.capacity_per_s.len();
     let mut problem = Problem::new(OptimizationDirection::Maximize);
     let mut into = vec![Vec::new(); n];
-    for (load, _) in day.loads.iter().zip(0..) {
-        for (_, part, worth) in KINDS {
+    for (load, _) in case.loads.iter().zip(0..) {
+        for (_, share, worth) in CLASSES {
             let mut from = Vec::new();
             for (to, into) in into.iter_mut().enumerate() {
                 let var = problem.add_var(worth * (1.0 - bad[to]), (0.0, f64::INFINITY));
                 from.push((var, 1.0));
                 into.push((var, 1.0));
             }
-            problem.add_constraint(&from[..], ComparisonOp::Le, load * part);
+            problem.add_constraint(&from[..], ComparisonOp::Le, load * share);
         }
     }
     for (to, into) in into.into_iter().enumerate() {
-        problem.add_constraint(&into[..], ComparisonOp::Le, day.bears[to]);
+        problem.add_constraint(&into[..], ComparisonOp::Le, case.capacity_per_s[to]);
     }
-    // It has an answer always: to serve nothing fits.
+    // The program is always feasible: serving nothing satisfies it.
     match problem.solve() {
         Ok(SolveOutcome::Solution(best)) => best.objective(),
         _ => 0.0,
@@ -118,81 +119,89 @@
 struct Figures {
     served: f64,
     of_best: f64,
-    most: f64,
+    max_utilization: f64,
     crossing: f64,
-    turns: usize,
+    reversals: usize,
     rings: usize,
 }
 
-fn play(day: &Day, policy: Policy, seed: u64) -> Figures {
-    let n = day.bears.len();
+fn simulate(case: &Case, policy: Policy, seed: u64) -> Figures {
+    let n = case.capacity_per_s.len();
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let near = |z: usize| (1..n).map(|k| format!("z{}", (z + k) % n)).collect::<Vec<_>>();
     let zones: Vec<Value> = (0..n).map(|z| json!({"name": format!("z{z}"), "near": near(z)})).collect();
-    let file = Failover::read(&json!({"zones": zones}).to_string()).expect("a file that fits");
+    let settings = Failover::read(&json!({"zones": zones}).to_string()).expect("valid settings");
     let mut now = Time::from_micros(1_000_000);
-    let mut decider = Decider::new(&file, &day.bears, 1, now);
+    let mut decider = Decider::new(&settings, &case.capacity_per_s, 1, now);
     let mut table = Table::all_local(1, 0);
-    let (mut served, mut asked, mut best_of_all, mut crossing, mut most) = (0.0, 0.0, 0.0, 0.0, 0.0f64);
-    let (mut last, mut way, mut turns, mut ring) = (vec![0.0; n], vec![0.0f64; n], 0, 0);
+    let (mut served, mut asked, mut best_of_all, mut crossing, mut max_utilization) =
+        (0.0, 0.0, 0.0, 0.0, 0.0f64);
+    let (mut last, mut direction, mut reversals, mut ring_count) = (vec![0.0; n], vec![0.0f64; n], 0, 0);
     for s in 0..STEPS {
         now += Span::from_millis(500);
-        let own: Vec<f64> = (0..n).map(|z| (day.bad)(z, s)).collect();
+        let own: Vec<f64> = (0..n).map(|z| (case.bad)(z, s)).collect();
         let mut rates = vec![0.0; n];
-        for (z, load) in day.loads.iter().enumerate() {
-            for (kind, part, _) in KINDS {
+        for (z, load) in case.loads.iter().enumerate() {
+            for (class, share, _) in CLASSES {
                 for (to, rate) in rates.iter_mut().enumerate() {
-                    *rate += load * part * table.share((z, kind), to);
+                    *rate += load * share * table.share((z, class), to);
                 }
             }
         }
         let bad: Vec<f64> = (0..n)
             .map(|z| {
-                let over = if rates[z] > day.bears[z] { 1.0 - day.bears[z] / rates[z] } else { 0.0 };
+                let over = if rates[z] > case.capacity_per_s[z] {
+                    1.0 - case.capacity_per_s[z] / rates[z]
+                } else {
+                    0.0
+                };
                 (own[z] + over).min(1.0)
             })
             .collect();
-        for (z, load) in day.loads.iter().enumerate() {
-            for (kind, part, worth) in KINDS {
-                asked += load * part * worth;
+        for (z, load) in case.loads.iter().enumerate() {
+            for (class, share, worth) in CLASSES {
+                asked += load * share * worth;
                 for (to, bad) in bad.iter().enumerate() {
-                    let goes = load * part * table.share((z, kind), to);
-                    served += goes * worth * (1.0 - bad);
-                    crossing += if to == z { 0.0 } else { goes };
+                    let sent = load * share * table.share((z, class), to);
+                    served += sent * worth * (1.0 - bad);
+                    crossing += if to == z { 0.0 } else { sent };
                 }
             }
         }
-        best_of_all += best(day, &own);
+        best_of_all += best(case, &own);
         for z in 0..n {
-            // Beyond what it bears, by what others send: its own are there without any decision.
-            if rates[z] > day.loads[z] + 1e-6 {
-                most = most.max(rates[z] / day.bears[z]);
+            // Utilization caused by other zones' load: a zone's own load is there without any decision.
+            if rates[z] > case.loads[z] + 1e-6 {
+                max_utilization = max_utilization.max(rates[z] / case.capacity_per_s[z]);
             }
-            let away = table.away_share((z, KINDS[0].0));
-            let by: f64 = away - last[z];
-            if by.abs() > 0.1 {
-                turns += usize::from(way[z] != 0.0 && by.signum() != way[z].signum());
-                (way[z], last[z]) = (by, away);
+            let away = table.away_share((z, CLASSES[0].0));
+            let delta: f64 = away - last[z];
+            if delta.abs() > 0.1 {
+                reversals += usize::from(direction[z] != 0.0 && delta.signum() != direction[z].signum());
+                (direction[z], last[z]) = (delta, away);
             }
         }
         match policy {
-            Policy::InCommon => {
+            Policy::Shared => {
                 for g in 0..GATEWAYS {
-                    let lies = g < day.liars;
+                    let reports_falsely = g < case.false_reporters;
                     let report = Report {
                         hops: (0..n)
                             .map(|z| {
                                 let hops = rates[z] / GATEWAYS as f64 * 0.5;
-                                let seen =
-                                    if lies { 1.0 - bad[z] } else { bad[z] * rng.random_range(0.7..1.3) };
+                                let seen = if reports_falsely {
+                                    1.0 - bad[z]
+                                } else {
+                                    bad[z] * rng.random_range(0.7..1.3)
+                                };
                                 (z, Evidence { hops, bad: hops * seen.min(1.0) })
                             })
                             .collect(),
                         loads: (0..n)
                             .flat_map(|z| {
-                                KINDS.map(|(kind, part, _)| Load {
-                                    from: (z, kind),
-                                    per_s: day.loads[z] * part / GATEWAYS as f64,
+                                CLASSES.map(|(class, share, _)| Load {
+                                    from: (z, class),
+                                    per_s: case.loads[z] * share / GATEWAYS as f64,
                                     kb: 10.0,
                                 })
                             })
@@ -203,37 +212,37 @@
                 }
                 decider.tick(now);
                 table = decider.table().clone();
-                ring += relay_zones(&table).len();
+                ring_count += relay_zones(&table).len();
             }
-            _ => table = other(policy, &table, &bad, &own, s),
+            _ => table = baseline_table(policy, &table, &bad, &own, s),
         }
     }
     Figures {
         served: served / asked,
         of_best: served / best_of_all,
-        most,
-        crossing: crossing / (STEPS as f64 * day.loads.iter().sum::<f64>()),
-        turns,
-        rings: ring,
+        max_utilization,
+        crossing: crossing / (STEPS as f64 * case.loads.iter().sum::<f64>()),
+        reversals,
+        rings: ring_count,
     }
 }
 
-/// The other ways see what is true at once, which none of them would.
-fn other(policy: Policy, before: &Table, bad: &[f64], own: &[f64], step: usize) -> Table {
+/// The tables of the other policies, which see the true state at once, unlike in practice.
+fn baseline_table(policy: Policy, before: &Table, bad: &[f64], own: &[f64], step: usize) -> Table {
     let n = bad.len();
     let mut table = Table::all_local(1, step as u64);
     for z in 0..n {
-        for (kind, ..) in KINDS {
-            let part = match policy {
+        for (class, ..) in CLASSES {
+            let share = match policy {
                 Policy::Alone => {
-                    let away = before.away_share((z, kind));
+                    let away = before.away_share((z, class));
                     if bad[z] > 0.05 { (away + 0.5).min(1.0) } else { (away - 0.5).max(0.0) }
                 }
                 Policy::Hard => f64::from(u8::from(own[z] > 0.5)),
                 _ => 0.1,
             };
             let to = (1..n).map(|k| (z + k) % n).find(|&t| policy != Policy::Hard || own[t] <= 0.5);
-            table.set((z, kind), to.map(|to| (to, part)));
+            table.set((z, class), to.map(|to| (to, share)));
         }
     }
     table
@@ -247,17 +256,17 @@
         "{:22}{:16}{:>8}{:>9}{:>10}{:>9}{:>7}",
         "day", "policy", "served", "of best", "most of", "crosses", "turns"
     );
-    let (mut rows, mut ring) = (Vec::new(), 0);
-    for day in days() {
+    let (mut rows, mut ring_count) = (Vec::new(), 0);
+    for case in cases() {
         for (policy, name) in POLICIES {
-            let f = play(&day, policy, seed);
+            let f = simulate(&case, policy, seed);
             println!(
                 "{:22}{:16}{:>8.3}{:>9.3}{:>10.2}{:>9.3}{:>7}",
-                day.name, name, f.served, f.of_best, f.most, f.crossing, f.turns
+                case.name, name, f.served, f.of_best, f.max_utilization, f.crossing, f.reversals
             );
-            ring += f.rings;
-            rows.push(json!({"day": day.name, "policy": name, "served": f.served, "of_best": f.of_best,
-                "most_of_what_a_zone_bears": f.most, "crosses": f.crossing, "turns": f.turns, "rings": f.rings}));
+            ring_count += f.rings;
+            rows.push(json!({"day": case.name, "policy": name, "served": f.served, "of_best": f.of_best,
+                "most_of_what_a_zone_bears": f.max_utilization, "crosses": f.crossing, "turns": f.reversals, "rings": f.rings}));
         }
     }
     if let Some(path) = after("--json") {
@@ -267,5 +276,5 @@
             return ExitCode::from(2);
         }
     }
-    ExitCode::from(u8::from(ring > 0))
+    ExitCode::from(u8::from(ring_count > 0))
 }
--- a/failover/src/health.rs
+++ b/failover/src/health.rs
@@ -1,23 +1,25 @@
-//! How much of a zone may be used: falls as fast as hops go wrong, and returns slowly once they have long gone well, in
-//! the way of the source's weights of parents. Must never rise by more than a step, nor before the zone was sound for
-//! the time that the file says.
+//! The usable share of a zone. It falls by capped steps while hops go wrong and recovers slowly once the zone has been
+//! healthy for the hold time, in the same way as the weights of fill parents.
+//!
+//! Invariant: the share never rises by more than one step at a time, nor before the zone has been healthy for
+//! `sound_ms`.
 
 use crate::evidence::Estimate;
 use crate::settings::Steps;
 use kelpcart::{Span, Time};
 
-/// A part of bad hops that is nothing out of the ordinary.
+/// Up to this share of bad hops a zone is healthy.
 const MAX_NORMAL_BAD_SHARE: f64 = 0.05;
-/// From this part on a zone is of no use.
+/// From this share of bad hops on, a zone is unusable.
 const UNUSABLE_BAD_SHARE: f64 = 0.5;
-/// A zone that is not used gives no evidence: after the time that a sound one has to wait it is tried with this part.
+/// A zone without traffic yields no evidence, so after `sound_ms` it is probed with this share.
 const PROBE_SHARE: f64 = 0.02;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Health {
     /// 0 to 1.
     pub usable_share: f64,
-    /// Since when nothing out of the ordinary was seen.
+    /// Start of the current healthy period; none while the zone is unhealthy.
     healthy_since: Option<Time>,
     last_change: Time,
 }
@@ -27,7 +29,7 @@
         Health { usable_share: 1.0, healthy_since: Some(now), last_change: now }
     }
 
-    /// Takes in what was estimated; at most one step in each interval.
+    /// Applies an estimate; makes at most one step per interval.
     pub fn step(&mut self, now: Time, estimate: Option<Estimate>, steps: &Steps) {
         let Some(estimate) = estimate else {
             if self.usable_share < PROBE_SHARE && now - self.last_change >= Span::from_millis(steps.sound_ms)
@@ -36,11 +38,11 @@
             }
             return;
         };
-        let bad = estimate.bad_share;
-        if bad <= MAX_NORMAL_BAD_SHARE {
+        let bad_share = estimate.bad_share;
+        if bad_share <= MAX_NORMAL_BAD_SHARE {
             let since = *self.healthy_since.get_or_insert(now);
-            let rested = now - since >= Span::from_millis(steps.sound_ms);
-            if rested
+            let held_long_enough = now - since >= Span::from_millis(steps.sound_ms);
+            if held_long_enough
                 && self.usable_share < 1.0
                 && now - self.last_change >= Span::from_millis(steps.every_ms)
             {
@@ -50,25 +52,25 @@
             return;
         }
         self.healthy_since = None;
-        let wanted =
-            ((UNUSABLE_BAD_SHARE - bad) / (UNUSABLE_BAD_SHARE - MAX_NORMAL_BAD_SHARE)).clamp(0.0, 1.0);
-        if wanted < self.usable_share && now - self.last_change >= Span::from_millis(steps.every_ms) {
-            self.usable_share = wanted.max(self.usable_share - steps.away);
+        let target =
+            ((UNUSABLE_BAD_SHARE - bad_share) / (UNUSABLE_BAD_SHARE - MAX_NORMAL_BAD_SHARE)).clamp(0.0, 1.0);
+        if target < self.usable_share && now - self.last_change >= Span::from_millis(steps.every_ms) {
+            self.usable_share = target.max(self.usable_share - steps.away);
             self.last_change = now;
         }
     }
 
-    /// A part of bad hops that is nothing out of the ordinary.
-    pub fn is_normal(bad: f64) -> bool {
-        bad <= MAX_NORMAL_BAD_SHARE
+    /// Whether a share of bad hops is within the normal range.
+    pub fn is_normal(bad_share: f64) -> bool {
+        bad_share <= MAX_NORMAL_BAD_SHARE
     }
 
-    /// From such a part on a zone is of no use, whatever its load.
-    pub fn is_unusable(bad: f64) -> bool {
-        bad >= UNUSABLE_BAD_SHARE
+    /// Whether a share of bad hops makes a zone unusable, whatever its load.
+    pub fn is_unusable(bad_share: f64) -> bool {
+        bad_share >= UNUSABLE_BAD_SHARE
     }
 
-    /// It has come back with nothing: what is cold is used by a step only.
+    /// The zone has returned with cold caches: its usable share is cut to at most one step back.
     pub fn mark_cold(&mut self, now: Time, steps: &Steps) {
         self.usable_share = self.usable_share.min(steps.back);
         (self.healthy_since, self.last_change) = (Some(now), now);
@@ -81,21 +83,21 @@
     use quickcheck::quickcheck;
 
     quickcheck! {
-        fn it_falls_and_rises_by_capped_steps_and_rises_only_when_long_sound(bad: Vec<u8>) -> bool {
+        fn the_share_moves_by_capped_steps_and_rises_only_after_the_hold_time(samples: Vec<u8>) -> bool {
             let steps = Steps { sound_ms: 2_000, ..Steps::default() };
             let (mut health, mut now) = (Health::new(Time::default()), Time::default());
-            let mut trouble = Time::default();
-            for b in bad {
+            let mut last_unhealthy = Time::default();
+            for b in samples {
                 now += Span::from_millis(250);
-                let bad = f64::from(b % 64) / 63.0 * if b > 128 { 1.0 } else { 0.05 };
+                let bad_share = f64::from(b % 64) / 63.0 * if b > 128 { 1.0 } else { 0.05 };
                 let before = health.usable_share;
-                health.step(now, Some(Estimate { bad_share: bad, hops: 100.0 }), &steps);
-                let by = health.usable_share - before;
-                if bad > MAX_NORMAL_BAD_SHARE {
-                    trouble = now;
+                health.step(now, Some(Estimate { bad_share, hops: 100.0 }), &steps);
+                let delta = health.usable_share - before;
+                if bad_share > MAX_NORMAL_BAD_SHARE {
+                    last_unhealthy = now;
                 }
-                let rose_early = by > 1e-9 && now - trouble < Span::from_millis(2_000);
-                if by > steps.back + 1e-9 || by < -steps.away - 1e-9 || rose_early {
+                let rose_early = delta > 1e-9 && now - last_unhealthy < Span::from_millis(2_000);
+                if delta > steps.back + 1e-9 || delta < -steps.away - 1e-9 || rose_early {
                     return false;
                 }
             }
@@ -104,7 +106,7 @@
     }
 
     #[test]
-    fn a_zone_that_is_given_up_is_tried_again() {
+    fn an_unused_zone_is_probed_after_the_hold_time() {
         let steps = Steps::default();
         let (mut health, mut now) = (Health::new(Time::default()), Time::default());
         for _ in 0..10 {
@@ -113,7 +115,7 @@
         }
         assert_eq!(health.usable_share, 0.0);
         health.step(now, None, &steps);
-        assert_eq!(health.usable_share, 0.0, "not at once");
+        assert_eq!(health.usable_share, 0.0, "no probe before the hold time");
         health.step(now + Span::from_millis(steps.sound_ms), None, &steps);
         assert_eq!(health.usable_share, PROBE_SHARE);
     }
--- a/failover/src/lib.rs
+++ b/failover/src/lib.rs
@@ -1,6 +1,7 @@
-//! What the gateways of a region decide in common about zones: how healthy each is by what serving showed, which part of
-//! a zone's txns goes to which other one, and where unrepeatable txns are at home. Without I/O and clock. Must never
-//! decide on a txn: the module does, and what is decided here reaches it as plain shares.
+//! Shared failover decisions of a region's gateways: zone health from measured traffic, the share of each zone's txns
+//! that is sent to other zones, and the region that holds the lease for unrepeatable txns. No I/O and no clock.
+//!
+//! Invariant: this crate never routes a single txn; the decision module does, and receives only shares from here.
 
 pub mod decide;
 pub mod evidence;
--- a/failover/src/settings.rs
+++ b/failover/src/settings.rs
@@ -1,5 +1,5 @@
-//! Owns what operators write of zones and regions, and its checks: a file that can't be used is told by the path of the
-//! field and what is wrong with it. Must never hold a decision; what is not written has the value that stands here.
+//! The operator's failover settings and their validation. An error names the path of the field and what is wrong with
+//! it. Fields that are absent take the defaults defined here.
 
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -22,25 +22,25 @@
 #[serde(deny_unknown_fields)]
 pub struct Zone {
     pub name: String,
-    /// Other zones, the nearest first; what is not named is never sent to from here.
+    /// Other zones, nearest first. Txns of this zone are never sent to a zone that is not listed.
     pub near: Vec<String>,
 }
 
-/// How fast shares move. The parts are of a zone's txns.
+/// How fast shares move. Shares are fractions of a zone's txns.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Steps {
-    /// One step is made this often.
+    /// Interval between steps.
     pub every_ms: u64,
-    /// Away from a zone in one step, at most.
+    /// Largest share moved away from a zone in one step.
     pub away: f64,
-    /// Back to it in one step, at most.
+    /// Largest share moved back to a zone in one step.
     pub back: f64,
-    /// A zone has to be sound for this time before anything returns.
+    /// Hold time: how long a zone has to be healthy before any share returns to it.
     pub sound_ms: u64,
-    /// A table holds for this time; without a fresh one gateways narrow towards near.
+    /// How long a table is valid; without a newer one, gateways then reduce in steps the shares sent to other zones.
     pub holds_ms: u64,
-    /// The part of what a zone has shown to bear that is used of it.
+    /// The fraction of a zone's observed capacity that is planned for use.
     pub head_room: f64,
 }
 
@@ -50,13 +50,13 @@
     }
 }
 
-/// What may cross between zones.
+/// Limits on traffic between zones.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Crossing {
-    /// KB a second out of one zone; absent: not counted.
+    /// KB per second out of one zone; absent: no limit.
     pub kb_per_s: Option<f64>,
-    /// The part of it that only the most important may use.
+    /// The fraction of it reserved for txns of the highest importance.
     pub reserve: f64,
 }
 
@@ -82,34 +82,42 @@
     }
 
     fn check(&self) -> Result<(), SettingsError> {
-        let need = |is: bool, field: &str, what: &'static str| {
-            if is { Ok(()) } else { Err(SettingsError::Field(field.to_owned(), what)) }
+        let require = |holds: bool, field: &str, message: &'static str| {
+            if holds { Ok(()) } else { Err(SettingsError::Field(field.to_owned(), message)) }
         };
-        need((1..=MAX_ZONES).contains(&self.zones.len()), "zones", "1 to 64 are wanted")?;
+        require((1..=MAX_ZONES).contains(&self.zones.len()), "zones", "must have 1 to 64 entries")?;
         let names: BTreeSet<&str> = self.zones.iter().map(|z| z.name.as_str()).collect();
-        need(names.len() == self.zones.len(), "zones", "two have one name")?;
+        require(names.len() == self.zones.len(), "zones", "two zones have the same name")?;
         for (i, zone) in self.zones.iter().enumerate() {
             let near: BTreeSet<&str> = zone.near.iter().map(String::as_str).collect();
             let field = format!("zones[{i}].near");
-            need(near.len() == zone.near.len(), &field, "names a zone twice")?;
-            need(near.is_subset(&names), &field, "names a zone that there is not")?;
-            need(!near.contains(zone.name.as_str()), &field, "names the zone itself")?;
+            require(near.len() == zone.near.len(), &field, "lists a zone twice")?;
+            require(near.is_subset(&names), &field, "lists an unknown zone")?;
+            require(!near.contains(zone.name.as_str()), &field, "lists the zone itself")?;
         }
         let s = &self.steps;
-        let part = |p: f64| p > 0.0 && p <= 1.0;
-        need(s.every_ms >= 50, "steps.every_ms", "50 at the least")?;
-        need(part(s.away), "steps.away", "above 0, 1 at most")?;
-        need(part(s.back) && s.back <= s.away, "steps.back", "above 0, steps.away at most")?;
-        need(s.holds_ms >= 2 * s.every_ms, "steps.holds_ms", "twice steps.every_ms at the least")?;
-        need(part(s.head_room), "steps.head_room", "above 0, 1 at most")?;
+        let is_share = |p: f64| p > 0.0 && p <= 1.0;
+        require(s.every_ms >= 50, "steps.every_ms", "must be at least 50")?;
+        require(is_share(s.away), "steps.away", "must be above 0 and at most 1")?;
+        require(
+            is_share(s.back) && s.back <= s.away,
+            "steps.back",
+            "must be above 0 and at most steps.away",
+        )?;
+        require(s.holds_ms >= 2 * s.every_ms, "steps.holds_ms", "must be at least twice steps.every_ms")?;
+        require(is_share(s.head_room), "steps.head_room", "must be above 0 and at most 1")?;
         let c = &self.crossing;
-        need(c.kb_per_s.is_none_or(|kb| kb.is_finite() && kb >= 0.0), "crossing.kb_per_s", "0 or above")?;
-        need((0.0..=1.0).contains(&c.reserve), "crossing.reserve", "0 to 1")
+        require(
+            c.kb_per_s.is_none_or(|kb| kb.is_finite() && kb >= 0.0),
+            "crossing.kb_per_s",
+            "must be 0 or more",
+        )?;
+        require((0.0..=1.0).contains(&c.reserve), "crossing.reserve", "must be from 0 to 1")
     }
 
-    /// For each zone the others by nearness, as places among the zones.
+    /// For each zone the indexes of the other zones, nearest first.
     pub fn zones_by_distance(&self) -> Vec<Vec<usize>> {
-        let place = |name: &String| self.zones.iter().position(|z| z.name == *name);
-        self.zones.iter().map(|z| z.near.iter().filter_map(place).collect()).collect()
+        let index = |name: &String| self.zones.iter().position(|z| z.name == *name);
+        self.zones.iter().map(|z| z.near.iter().filter_map(index).collect()).collect()
     }
 }
--- a/failover/tests/decide.rs
+++ b/failover/tests/decide.rs
@@ -1,5 +1,5 @@
-//! The decision for a region against zones that bear only so much, in simulated time: what moves, how far, how often it
-//! turns, and what a lie, a flap or a hand does. All servers are a formula.
+//! The decision of a region on simulated zones of limited capacity, in simulated time: what moves, how far, how often it
+//! reverses, and the effect of false reports, flapping zones and manual overrides. Servers are modelled by a formula.
 
 use kelpcart::{Span, Time};
 use kelpcart_failover::decide::{Change, Decider, ManualOverride, Report};
@@ -11,56 +11,57 @@
 use std::collections::BTreeMap;
 
 const READ: TxnClass = TxnClass { importance: 5, write: false };
-const BOOK: TxnClass = TxnClass { importance: 9, write: true };
+const WRITE: TxnClass = TxnClass { importance: 9, write: true };
 const STEP: Span = Span::from_millis(500);
 const GATEWAYS: usize = 12;
 
 struct World {
     now: Time,
     decider: Decider,
-    /// Txns a second that each zone truly bears, and how many of them are books.
-    bears: Vec<f64>,
+    /// True capacity of each zone in txns per second.
+    capacity_per_s: Vec<f64>,
     loads: Vec<f64>,
-    /// The part of hops into a zone that goes wrong whatever the load.
+    /// The share of hops into a zone that goes wrong independent of its load.
     bad: Vec<f64>,
-    /// So many gateways report the opposite of what they see.
-    liars: usize,
-    /// By step: served, asked, and the most that a zone had of what it bears.
+    /// Number of gateways that report the opposite of what they measure.
+    false_reporters: usize,
+    /// By step: txns per second served and offered.
     served: Vec<(f64, f64)>,
-    most: f64,
-    /// Of each zone: the part of its own that leaves, by step.
+    /// Highest utilization of a zone that received other zones' load.
+    max_utilization: f64,
+    /// By zone and step: the share of its own reads that leaves it.
     away: Vec<Vec<f64>>,
 }
 
 impl World {
-    fn new(bears: &[f64], loads: &[f64]) -> World {
-        let n = bears.len();
+    fn new(capacity_per_s: &[f64], loads: &[f64]) -> World {
+        let n = capacity_per_s.len();
         let near = |z: usize| (1..n).map(|k| format!("z{}", (z + k) % n)).collect::<Vec<_>>();
         let zones: Vec<_> = (0..n).map(|z| json!({"name": format!("z{z}"), "near": near(z)})).collect();
-        let file =
+        let settings =
             Failover::read(&json!({"zones": zones, "steps": {"sound_ms": 4_000}}).to_string()).unwrap();
         let now = Time::from_micros(1_000_000);
         World {
             now,
-            decider: Decider::new(&file, bears, 1, now),
-            bears: bears.to_vec(),
+            decider: Decider::new(&settings, capacity_per_s, 1, now),
+            capacity_per_s: capacity_per_s.to_vec(),
             loads: loads.to_vec(),
             bad: vec![0.01; n],
-            liars: 0,
+            false_reporters: 0,
             served: Vec::new(),
-            most: 0.0,
+            max_utilization: 0.0,
             away: vec![Vec::new(); n],
         }
     }
 
-    /// What each zone has by the present table.
+    /// The load of each zone by the current table.
     fn rates(&self) -> Vec<f64> {
         let table = self.decider.table();
-        let mut rates = vec![0.0; self.bears.len()];
+        let mut rates = vec![0.0; self.capacity_per_s.len()];
         for (z, load) in self.loads.iter().enumerate() {
             for (to, rate) in rates.iter_mut().enumerate() {
-                let part = 0.8 * table.share((z, READ), to) + 0.2 * table.share((z, BOOK), to);
-                *rate += load * part;
+                let share = 0.8 * table.share((z, READ), to) + 0.2 * table.share((z, WRITE), to);
+                *rate += load * share;
             }
         }
         rates
@@ -72,7 +73,11 @@
             let rates = self.rates();
             let bad: Vec<f64> = (0..rates.len())
                 .map(|z| {
-                    let over = if rates[z] > self.bears[z] { 1.0 - self.bears[z] / rates[z] } else { 0.0 };
+                    let over = if rates[z] > self.capacity_per_s[z] {
+                        1.0 - self.capacity_per_s[z] / rates[z]
+                    } else {
+                        0.0
+                    };
                     (self.bad[z] + over).min(1.0)
                 })
                 .collect();
@@ -80,20 +85,23 @@
             self.served.push((served, self.loads.iter().sum()));
             for (z, rate) in rates.iter().enumerate().filter(|(z, _)| self.bad[*z] < 0.5) {
                 if *rate > self.loads[z] + 1e-6 {
-                    self.most = self.most.max(rate / self.bears[z]);
+                    self.max_utilization = self.max_utilization.max(rate / self.capacity_per_s[z]);
                 }
             }
             for g in 0..GATEWAYS {
-                let lies = g < self.liars;
+                let reports_falsely = g < self.false_reporters;
                 let of = |z: usize| {
                     let hops = rates[z] / GATEWAYS as f64 * 0.5;
-                    let seen = if lies { 1.0 - bad[z] } else { bad[z] };
+                    let seen = if reports_falsely { 1.0 - bad[z] } else { bad[z] };
                     (z, Evidence { hops, bad: hops * seen })
                 };
                 let load = |(z, load): (usize, &f64)| {
-                    let one =
-                        |kind, part| Load { from: (z, kind), per_s: load * part / GATEWAYS as f64, kb: 10.0 };
-                    [one(READ, 0.8), one(BOOK, 0.2)]
+                    let one = |kind, share| Load {
+                        from: (z, kind),
+                        per_s: load * share / GATEWAYS as f64,
+                        kb: 10.0,
+                    };
+                    [one(READ, 0.8), one(WRITE, 0.2)]
                 };
                 let report = Report {
                     hops: (0..rates.len()).map(of).collect(),
@@ -105,81 +113,83 @@
             let now = self.now;
             self.decider.tick(now);
             assert!(relay_zones(self.decider.table()).is_empty());
-            for z in 0..self.bears.len() {
+            for z in 0..self.capacity_per_s.len() {
                 let away = self.decider.table().away_share((z, READ));
                 self.away[z].push(away);
             }
         }
     }
 
-    /// How often the part that leaves a zone turns by more than a tenth: trials of a zone that is not used are smaller.
-    fn turns(&self, zone: usize, from: usize) -> usize {
-        let (mut last, mut way, mut turns) = (self.away[zone][from], 0.0f64, 0);
-        for &part in &self.away[zone][from..] {
-            let by = part - last;
-            if by.abs() > 0.1 {
-                turns += usize::from(way != 0.0 && by.signum() != way.signum());
-                (way, last) = (by, part);
+    /// How often the share that leaves a zone reverses by more than a tenth; probes of an unused zone are smaller.
+    fn reversals(&self, zone: usize, from: usize) -> usize {
+        let (mut last, mut direction, mut reversals) = (self.away[zone][from], 0.0f64, 0);
+        for &share in &self.away[zone][from..] {
+            let delta = share - last;
+            if delta.abs() > 0.1 {
+                reversals += usize::from(direction != 0.0 && delta.signum() != direction.signum());
+                (direction, last) = (delta, share);
             }
         }
-        turns
+        reversals
     }
 
-    fn share(&self, from: usize) -> f64 {
-        let part = &self.served[from..];
-        part.iter().map(|s| s.0).sum::<f64>() / part.iter().map(|s| s.1).sum::<f64>()
+    /// Share of the offered load that was served since a step.
+    fn served_share(&self, from: usize) -> f64 {
+        let steps = &self.served[from..];
+        steps.iter().map(|s| s.0).sum::<f64>() / steps.iter().map(|s| s.1).sum::<f64>()
     }
 }
 
 #[test]
-fn a_dark_zone_is_left_by_steps_and_returned_to_slowly() {
+fn a_dark_zone_is_drained_by_steps_and_refilled_slowly() {
     let mut world = World::new(&[100.0, 100.0, 100.0], &[60.0, 60.0, 60.0]);
     world.run(10_000);
-    assert!(world.away.iter().flatten().all(|a| *a == 0.0), "calm: all stays near");
+    assert!(world.away.iter().flatten().all(|a| *a == 0.0), "all stays local without failures");
     world.bad[0] = 1.0;
-    let dark = world.served.len();
+    let failed_at = world.served.len();
     world.run(20_000);
-    let gone = (dark..world.away[0].len()).find(|&i| world.away[0][i] > 0.95).unwrap() - dark;
-    assert!(gone <= 8, "left after {gone} steps");
-    assert!(world.most <= 1.0, "the others had {} of what they bear", world.most);
-    assert!(world.share(dark + 10) > 0.95, "{}", world.share(dark + 10));
+    let drained_after =
+        (failed_at..world.away[0].len()).find(|&i| world.away[0][i] > 0.95).unwrap() - failed_at;
+    assert!(drained_after <= 8, "drained after {drained_after} steps");
+    assert!(world.max_utilization <= 1.0, "utilization of the other zones was {}", world.max_utilization);
+    assert!(world.served_share(failed_at + 10) > 0.95, "{}", world.served_share(failed_at + 10));
     world.bad[0] = 0.01;
-    let back = world.served.len();
+    let recovered_at = world.served.len();
     world.run(60_000);
     assert!(world.away[0].last().is_some_and(|a| *a < 0.01), "{:?}", world.away[0].last());
-    let fastest = world.away[0][back..].windows(2).map(|w| w[0] - w[1]).fold(0.0, f64::max);
-    assert!(fastest <= 0.25 + 1e-9 && world.turns(0, back) == 0);
-    assert!(world.share(back) > 0.95, "{}", world.share(back));
+    let fastest = world.away[0][recovered_at..].windows(2).map(|w| w[0] - w[1]).fold(0.0, f64::max);
+    assert!(fastest <= 0.25 + 1e-9 && world.reversals(0, recovered_at) == 0);
+    assert!(world.served_share(recovered_at) > 0.95, "{}", world.served_share(recovered_at));
 }
 
-/// What leaves one zone would make the next one ill: only as much goes as that one has shown to bear.
+/// Load that leaves one zone would overload the next: only as much is moved as that zone was observed to serve.
 #[test]
-fn a_brown_out_does_not_go_round() {
+fn a_brown_out_does_not_cascade() {
     let mut world = World::new(&[100.0, 70.0, 70.0], &[60.0, 60.0, 60.0]);
     world.run(10_000);
     world.bad[0] = 0.9;
-    let ill = world.served.len();
+    let failed_at = world.served.len();
     world.run(60_000);
-    // What it bears is found out by steps of two hundredths, and seen when it is passed.
-    assert!(world.most <= 1.08, "{}", world.most);
-    // The others keep their own; what leaves the ill one follows the little room that is found for it.
-    let turns = [0, 1, 2].map(|z| world.turns(z, ill));
-    assert!(turns[0] <= 12 && turns[1] + turns[2] <= 2, "{turns:?} turns in a minute");
-    // Two zones bear 140, and 120 are their own.
+    // Capacity is probed in steps of 2 %, so it is exceeded slightly before that is noticed.
+    assert!(world.max_utilization <= 1.08, "{}", world.max_utilization);
+    // The other zones keep their own load; what leaves the failing one follows the little spare capacity found.
+    let reversals = [0, 1, 2].map(|z| world.reversals(z, failed_at));
+    assert!(reversals[0] <= 12 && reversals[1] + reversals[2] <= 2, "{reversals:?} reversals in a minute");
+    // The two healthy zones have a capacity of 140, of which their own load takes 120.
     let served = world.served.last().unwrap().0;
     assert!(served >= 120.0 * 0.95, "{served}");
 }
 
 #[test]
-fn a_third_that_lies_moves_nothing() {
+fn false_reports_of_a_third_move_nothing() {
     let mut world = World::new(&[100.0, 100.0, 100.0], &[60.0, 60.0, 60.0]);
-    world.liars = GATEWAYS / 3;
+    world.false_reporters = GATEWAYS / 3;
     world.run(30_000);
     assert!(world.away.iter().flatten().all(|a| *a == 0.0));
 }
 
 #[test]
-fn a_zone_that_flaps_is_left_and_stays_left() {
+fn a_flapping_zone_is_drained_and_stays_drained() {
     let mut world = World::new(&[100.0, 100.0, 100.0], &[60.0, 60.0, 60.0]);
     world.run(5_000);
     let from = world.served.len();
@@ -187,55 +197,55 @@
         world.bad[0] = if round % 2 == 0 { 1.0 } else { 0.01 };
         world.run(3_000);
     }
-    assert!(world.turns(0, from) <= 4, "{} turns in a minute", world.turns(0, from));
-    assert!(world.share(from + 12) > 0.85, "{}", world.share(from + 12));
+    assert!(world.reversals(0, from) <= 4, "{} reversals in a minute", world.reversals(0, from));
+    assert!(world.served_share(from + 12) > 0.85, "{}", world.served_share(from + 12));
 }
 
 #[test]
-fn a_drain_by_hand_during_a_failure_keeps_the_rest_within_what_it_bears() {
+fn a_manual_drain_during_a_failure_keeps_the_other_zones_within_capacity() {
     let mut world = World::new(&[100.0, 100.0, 200.0], &[60.0, 60.0, 60.0]);
     world.run(5_000);
     let now = world.now;
-    let hand = Some(ManualOverride::Drain { since: now, over: Span::from_millis(10_000) });
-    let (before, dry) = (world.decider.table().clone(), world.decider.dry_run(now, 1, hand));
-    assert_eq!(*world.decider.table(), before, "a dry run moves nothing");
+    let drain = Some(ManualOverride::Drain { since: now, over: Span::from_millis(10_000) });
+    let (before, dry) = (world.decider.table().clone(), world.decider.dry_run(now, 1, drain));
+    assert_eq!(*world.decider.table(), before, "a dry run changes nothing");
     assert!(dry.reasons().any(|r| r.zone == 1 && matches!(r.change, Change::Override(_))));
-    world.decider.set_override(now, 1, hand);
+    world.decider.set_override(now, 1, drain);
     world.run(3_000);
     world.bad[0] = 1.0;
     world.run(30_000);
     assert!(world.away[1].last().is_some_and(|a| *a > 0.99), "{:?}", world.away[1].last());
-    assert!(world.most <= 1.0, "{}", world.most);
+    assert!(world.max_utilization <= 1.0, "{}", world.max_utilization);
     assert!(world.decider.reasons().any(|r| r.zone == 0 && matches!(r.change, Change::Degraded { .. })));
     world.decider.set_override(world.now, 1, None);
     world.bad[0] = 0.01;
     world.run(60_000);
     let last: Vec<f64> = world.away.iter().filter_map(|a| a.last().copied()).collect();
-    assert!(last.iter().all(|a| *a < 0.02), "all is near again: {last:?}");
+    assert!(last.iter().all(|a| *a < 0.02), "all is local again: {last:?}");
 }
 
 #[test]
-fn where_all_is_overloaded_each_zone_keeps_its_own_and_says_what_has_no_place() {
+fn when_all_zones_are_overloaded_each_keeps_its_load_and_reports_the_unplaced_rest() {
     let mut world = World::new(&[50.0, 50.0, 50.0], &[60.0, 70.0, 80.0]);
     world.run(20_000);
-    assert!(world.away.iter().flatten().all(|a| *a == 0.0), "nobody hands on what nobody bears");
-    let named: BTreeMap<usize, bool> = world
+    assert!(world.away.iter().flatten().all(|a| *a == 0.0), "nothing is sent where nobody has capacity");
+    let unplaced: BTreeMap<usize, bool> = world
         .decider
         .reasons()
         .filter_map(|r| if let Change::Unplaced(n) = r.change { Some((r.zone, n > 0.0)) } else { None })
         .collect();
-    assert_eq!(named, BTreeMap::from([(0, true), (1, true), (2, true)]));
+    assert_eq!(unplaced, BTreeMap::from([(0, true), (1, true), (2, true)]));
 }
 
-/// What the deciding group's members carry is the same for the same reports.
+/// Replicas of the decision must reach the same table from the same reports.
 #[test]
 fn the_same_reports_give_the_same_tables() {
-    let play = || {
+    let simulate = || {
         let mut world = World::new(&[100.0, 70.0, 90.0], &[60.0, 50.0, 40.0]);
         world.run(3_000);
         world.bad[1] = 0.7;
         world.run(9_000);
         world.decider.table().clone()
     };
-    assert_eq!(play(), play());
+    assert_eq!(simulate(), simulate());
 }
--- a/failover/tests/plan.rs
+++ b/failover/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Shares for all zones at once, on random loads and rooms: what has to hold of each table and of each step.
+//! Planning for all zones at once, on random loads and capacities: invariants of each table and of each step.
 
 use kelpcart_failover::plan::{Load, PlanInput, Target, Zone, relay_zones, step, target};
 use kelpcart_failover::settings::{Crossing, Steps};
@@ -22,9 +22,9 @@
         let mut loads = Vec::new();
         for (z, size) in sizes.iter().enumerate() {
             for (importance, write) in [(9, true), (5, false), (2, false)] {
-                let kind = TxnClass { importance, write };
+                let class = TxnClass { importance, write };
                 let kb = 1.0 + part(g) * 50.0;
-                loads.push(Load { from: (z, kind), per_s: part(g) * size * 0.5, kb });
+                loads.push(Load { from: (z, class), per_s: part(g) * size * 0.5, kb });
             }
         }
         let use_of_it = |g: &mut Gen| [0.0, 0.3, 1.0, 1.0, 1.0][usize::arbitrary(g) % 5];
@@ -40,7 +40,7 @@
 }
 
 impl Case {
-    fn view<'a>(&'a self, steps: &'a Steps) -> PlanInput<'a> {
+    fn input<'a>(&'a self, steps: &'a Steps) -> PlanInput<'a> {
         PlanInput {
             loads: &self.loads,
             zones: &self.zones,
@@ -50,118 +50,119 @@
         }
     }
 
-    fn room(&self, z: usize, steps: &Steps) -> f64 {
+    fn capacity(&self, z: usize, steps: &Steps) -> f64 {
         self.zones[z].capacity_per_s * self.zones[z].usable_share * steps.head_room
     }
 
-    /// What each zone has by a table.
-    fn has(&self, table: &Table) -> Vec<f64> {
-        let mut has = vec![0.0; self.zones.len()];
+    /// The load of each zone by a table.
+    fn zone_loads(&self, table: &Table) -> Vec<f64> {
+        let mut zone_loads = vec![0.0; self.zones.len()];
         for load in &self.loads {
-            for (to, has) in has.iter_mut().enumerate() {
-                *has += load.per_s * table.share(load.from, to);
+            for (to, zone_load) in zone_loads.iter_mut().enumerate() {
+                *zone_load += load.per_s * table.share(load.from, to);
             }
         }
-        has
+        zone_loads
     }
 
-    fn wanted(&self, steps: &Steps) -> Target {
-        target(&self.view(steps), 1, 1)
+    fn target(&self, steps: &Steps) -> Target {
+        target(&self.input(steps), 1, 1)
     }
 }
 
 quickcheck! {
-    fn nothing_is_sent_beyond_what_a_zone_bears_and_no_zone_both_sends_and_gets(case: Case) -> bool {
+    fn no_zone_is_sent_more_than_its_capacity_and_none_both_sends_and_receives(case: Case) -> bool {
         let steps = Steps::default();
-        let wanted = case.wanted(&steps);
-        let has = case.has(&wanted.table);
-        let gets: Vec<bool> = (0..has.len()).map(|z| wanted.table.remote_shares().any(|l| l.1 == z)).collect();
-        let fits = (0..has.len()).all(|z| !gets[z] || has[z] <= case.room(z, &steps) + 1e-6);
-        fits && relay_zones(&wanted.table).is_empty()
+        let target = case.target(&steps);
+        let loads = case.zone_loads(&target.table);
+        let receives: Vec<bool> = (0..loads.len()).map(|z| target.table.remote_shares().any(|l| l.1 == z)).collect();
+        let fits = (0..loads.len()).all(|z| !receives[z] || loads[z] <= case.capacity(z, &steps) + 1e-6);
+        fits && relay_zones(&target.table).is_empty()
     }
 
-    fn only_what_a_zone_cannot_serve_leaves_it_and_what_is_not_placed_had_no_place(case: Case) -> bool {
+    fn only_excess_load_leaves_a_zone_and_only_unplaceable_load_stays_unplaced(case: Case) -> bool {
         let steps = Steps::default();
-        let wanted = case.wanted(&steps);
-        let has = case.has(&wanted.table);
+        let target = case.target(&steps);
+        let loads = case.zone_loads(&target.table);
         case.zones.iter().enumerate().all(|(z, _)| {
             let own: f64 = case.loads.iter().filter(|l| l.from.0 == z).map(|l| l.per_s).sum();
-            let away: f64 = wanted.table.remote_shares().filter(|l| l.0.0 == z).map(|l| {
+            let away: f64 = target.table.remote_shares().filter(|l| l.0.0 == z).map(|l| {
                 l.2 * case.loads.iter().find(|x| x.from == l.0).map_or(0.0, |x| x.per_s)
             }).sum();
-            let unplaced: f64 = wanted.unplaced.iter().filter(|u| u.0.0 == z).map(|u| u.1).sum();
-            let room = case.room(z, &steps);
-            // Its own members are full before anything leaves, and nobody near has room where something is left over.
-            let full = away + unplaced < 1e-6 || own - away - unplaced >= room - 1e-6;
-            let no_room = unplaced < 1e-6 || case.crossing.kb_per_s.is_some()
-                || case.near[z].iter().all(|&to| has[to] >= case.room(to, &steps) - 1e-6
-                    || wanted.table.remote_shares().any(|l| l.0.0 == to) || wanted.unplaced.iter().any(|u| u.0.0 == to));
-            full && no_room && away <= own - own.min(room) + 1e-6
+            let unplaced: f64 = target.unplaced.iter().filter(|u| u.0.0 == z).map(|u| u.1).sum();
+            let capacity = case.capacity(z, &steps);
+            // The zone's own members are full before anything leaves, and where load is unplaced no zone in reach has
+            // spare capacity.
+            let full = away + unplaced < 1e-6 || own - away - unplaced >= capacity - 1e-6;
+            let no_spare_capacity = unplaced < 1e-6 || case.crossing.kb_per_s.is_some()
+                || case.near[z].iter().all(|&to| loads[to] >= case.capacity(to, &steps) - 1e-6
+                    || target.table.remote_shares().any(|l| l.0.0 == to) || target.unplaced.iter().any(|u| u.0.0 == to));
+            full && no_spare_capacity && away <= own - own.min(capacity) + 1e-6
         })
     }
 
-    fn what_crosses_keeps_to_its_bytes_and_the_reserve_is_for_the_dearest(case: Case) -> bool {
+    fn cross_zone_traffic_keeps_its_limit_and_the_reserve_is_for_the_highest_importance(case: Case) -> bool {
         let steps = Steps::default();
-        let wanted = case.wanted(&steps);
+        let target = case.target(&steps);
         let Some(all) = case.crossing.kb_per_s else { return true };
         let mut crossed = BTreeMap::<usize, (f64, f64)>::new();
-        for (from, _, part) in wanted.table.remote_shares() {
+        for (from, _, part) in target.table.remote_shares() {
             let load = case.loads.iter().find(|l| l.from == from).unwrap();
             let kb = part * load.per_s * load.kb;
             let of = crossed.entry(from.0).or_default();
             of.0 += kb;
             of.1 += if from.1.importance < 9 { kb } else { 0.0 };
         }
-        crossed.values().all(|(kb, cheap)| *kb <= all + 1e-6 && *cheap <= all * (1.0 - case.crossing.reserve) + 1e-6)
+        crossed.values().all(|(kb, unreserved)| *kb <= all + 1e-6 && *unreserved <= all * (1.0 - case.crossing.reserve) + 1e-6)
     }
 
-    /// Step after step a table comes to what is wanted and stays there: each step capped, no zone sends and gets, no zone
-    /// gets more by a step than it bears, and the way there never turns.
-    fn a_table_comes_to_what_is_wanted_by_capped_steps(before: Case, after: Case) -> bool {
+    /// The table converges to the target and stays there: each step is capped, no zone both sends and receives, no step
+    /// sends a zone more than its capacity, and the distance to the target never grows.
+    fn a_table_converges_to_the_target_by_capped_steps(before: Case, after: Case) -> bool {
         let steps = Steps::default();
-        // The same zones, other loads and health.
+        // The same loads and zones, with other capacities and health.
         let mut case = before.clone();
         let n = before.zones.len();
         case.zones = (0..n).map(|z| after.zones[z % after.zones.len()]).collect();
-        let (first, wanted) = (before.wanted(&steps).table, case.wanted(&steps).table);
+        let (first, target) = (before.target(&steps).table, case.target(&steps).table);
         let (mut table, mut distance) = (first, f64::INFINITY);
         for _ in 0..400 {
-            let next = step(&table, &wanted, &case.view(&steps));
+            let next = step(&table, &target, &case.input(&steps));
             if next.distance(&table) > steps.away * 2.0 + 1e-6 || !relay_zones(&next).is_empty() {
-                println!("a step of {} or a ring {:?}", next.distance(&table), relay_zones(&next));
+                println!("step of {}, relay zones {:?}", next.distance(&table), relay_zones(&next));
                 return false;
             }
-            let (was, has) = (case.has(&table), case.has(&next));
+            let (was, loads) = (case.zone_loads(&table), case.zone_loads(&next));
             for z in 0..n {
                 let more = next.remote_shares().any(|l| l.1 == z && l.2 > table.share(l.0, z) + 1e-9);
-                if more && has[z] > case.room(z, &steps) + 1e-6 && has[z] > was[z] + 1e-6 {
-                    println!("zone {z} has {} of {}", has[z], case.room(z, &steps));
+                if more && loads[z] > case.capacity(z, &steps) + 1e-6 && loads[z] > was[z] + 1e-6 {
+                    println!("zone {z}: load {}, capacity {}", loads[z], case.capacity(z, &steps));
                     return false;
                 }
             }
-            let left = next.distance(&wanted);
+            let left = next.distance(&target);
             if left > distance + 1e-6 {
-                println!("it turns: {distance} to {left}");
+                println!("distance grew from {distance} to {left}");
                 return false;
             }
             (table, distance) = (next, left);
         }
         if distance >= 1e-6 {
-            println!("still {distance} away: {table:?}\n{wanted:?}\n{:?} {:?}", case.zones, case.has(&table));
+            println!("still at distance {distance}: {table:?}\n{target:?}\n{:?} {:?}", case.zones, case.zone_loads(&table));
         }
-        distance < 1e-6 && case.has(&table).iter().zip(case.has(&wanted)).all(|(a, b)| (a - b).abs() < 1e-3)
+        distance < 1e-6 && case.zone_loads(&table).iter().zip(case.zone_loads(&target)).all(|(a, b)| (a - b).abs() < 1e-3)
     }
 }
 
 #[test]
-fn what_matters_more_keeps_its_place_and_finds_the_nearest_first() {
-    let kind = |importance, write| TxnClass { importance, write };
+fn higher_importance_stays_local_and_the_excess_goes_to_the_nearest_zone() {
+    let class = |importance, write| TxnClass { importance, write };
     let loads = [
-        Load { from: (0, kind(9, true)), per_s: 40.0, kb: 1.0 },
-        Load { from: (0, kind(5, false)), per_s: 40.0, kb: 5.0 },
-        Load { from: (0, kind(2, false)), per_s: 40.0, kb: 50.0 },
-        Load { from: (1, kind(5, false)), per_s: 60.0, kb: 5.0 },
-        Load { from: (2, kind(5, false)), per_s: 10.0, kb: 5.0 },
+        Load { from: (0, class(9, true)), per_s: 40.0, kb: 1.0 },
+        Load { from: (0, class(5, false)), per_s: 40.0, kb: 5.0 },
+        Load { from: (0, class(2, false)), per_s: 40.0, kb: 50.0 },
+        Load { from: (1, class(5, false)), per_s: 60.0, kb: 5.0 },
+        Load { from: (2, class(5, false)), per_s: 10.0, kb: 5.0 },
     ];
     let zones = [
         Zone { capacity_per_s: 60.0, usable_share: 1.0 },
@@ -170,16 +171,22 @@
     ];
     let steps = Steps { head_room: 1.0, ..Steps::default() };
     let near = [vec![1, 2], vec![0, 2], vec![1, 0]];
-    let view = PlanInput {
+    let input = PlanInput {
         loads: &loads,
         zones: &zones,
         by_distance: &near,
         crossing: &Crossing::default(),
         steps: &steps,
     };
-    let wanted = target(&view, 1, 1);
-    assert_eq!(wanted.table.away_share((0, kind(9, true))), 0.0);
-    assert!((wanted.table.share((0, kind(5, false)), 1) - 0.5).abs() < 1e-9, "twenty find room next door");
-    assert!((wanted.table.share((0, kind(2, false)), 2) - 1.0).abs() < 1e-9, "the rest goes further");
-    assert!(wanted.unplaced.is_empty());
+    let target = target(&input, 1, 1);
+    assert_eq!(target.table.away_share((0, class(9, true))), 0.0);
+    assert!(
+        (target.table.share((0, class(5, false)), 1) - 0.5).abs() < 1e-9,
+        "twenty fit into the nearest zone"
+    );
+    assert!(
+        (target.table.share((0, class(2, false)), 2) - 1.0).abs() < 1e-9,
+        "the rest goes to the next nearest zone"
+    );
+    assert!(target.unplaced.is_empty());
 }
