--- a/routes/src/diff.rs
+++ b/routes/src/diff.rs
@@ -1,6 +1,6 @@
-//! What changes between two configurations: which share of objects has another first cache or first parent, in calm and
-//! with each one member down, and which expectations change their verdict. What moves runs cold: each moved object is a
-//! fill that was none before. Pure.
+//! Compares two configurations: the share of objects whose first cache or first parent changes, without failures and with
+//! each single member down, and the expectations whose verdict changes. Each moved object is cold at its new place and
+//! costs an additional fill. Pure.
 
 use crate::expect::{FailureMode, Suite};
 use crate::fleet::Fleet;
@@ -11,15 +11,17 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// Shares of the objects of a rule, 0 to 1.
+/// Shares of a rule's objects that change, 0 to 1.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MovedShares {
     pub rule: String,
-    /// The member that is down in both; none: calm.
+    /// The member that is down in both configurations, if any.
     pub down: Option<String>,
+    /// Another first cache.
     pub cache: f64,
+    /// Another first parent.
     pub parent: f64,
-    /// Not served in the new one, though served in the old.
+    /// Served by the old configuration but not by the new one.
     pub lost: f64,
 }
 
@@ -28,16 +30,16 @@
     pub added: Vec<String>,
     pub removed: Vec<String>,
     pub moved: Vec<MovedShares>,
-    /// By name, whether it passed before and passes now; only those that differ.
+    /// Expectations whose verdict differs: name, passed before, passes now.
     pub verdicts: Vec<(String, bool, bool)>,
 }
 
 fn traces(fleet: &Fleet, rule: usize, down: Option<&str>, objects: u64) -> Vec<Trace> {
-    let at = |name: &str| fleet.members.iter().position(|m| &*m.id == name);
-    let troubles: BTreeMap<usize, FailureMode> =
-        down.and_then(at).map(|i| (i, FailureMode::Down)).into_iter().collect();
-    let circumstance = Scenario { failures: troubles, ..Scenario::default() };
-    let mut world = World::from_state(&InitialState::new(fleet, fleet.settings.zone), fleet, &circumstance);
+    let index = |name: &str| fleet.members.iter().position(|m| &*m.id == name);
+    let failures: BTreeMap<usize, FailureMode> =
+        down.and_then(index).map(|i| (i, FailureMode::Down)).into_iter().collect();
+    let scenario = Scenario { failures, ..Scenario::default() };
+    let mut world = World::from_state(&InitialState::new(fleet, fleet.settings.zone), fleet, &scenario);
     (1..=objects).map(|i| world.run_txn(rule, i.wrapping_mul(0x9e37_79b9_7f4a_7c15))).collect()
 }
 
@@ -54,27 +56,27 @@
     let first = |fleet: &Fleet, w: &Trace| id(fleet, w.hops.first().map(|s| s.member));
     let source = |fleet: &Fleet, w: &Trace| id(fleet, w.hops.first().and_then(|s| s.source));
     let served = |w: &Trace| w.result == Some(crate::world::Final::Served);
-    let share = |differs: &dyn Fn(&Trace, &Trace) -> bool| {
+    let share_of = |differs: &dyn Fn(&Trace, &Trace) -> bool| {
         before.iter().zip(&after).filter(|(a, b)| differs(a, b)).count() as f64 / objects.max(1) as f64
     };
     Some(MovedShares {
         rule: rule.to_owned(),
         down: down.map(str::to_owned),
-        cache: share(&|a, b| first(old, a) != first(new, b)),
-        parent: share(&|a, b| source(old, a) != source(new, b)),
-        lost: share(&|a, b| served(a) && !served(b)),
+        cache: share_of(&|a, b| first(old, a) != first(new, b)),
+        parent: share_of(&|a, b| source(old, a) != source(new, b)),
+        lost: share_of(&|a, b| served(a) && !served(b)),
     })
 }
 
-/// `suite`: its text, too.
+/// Compares two fleets; `suite` is the suite and its text.
 pub fn diff(old: &Fleet, new: &Fleet, suite: Option<(&Suite, &str)>, objects: u64) -> Diff {
     let names = |f: &Fleet| -> Vec<String> { f.members.iter().map(|m| m.id.to_string()).collect() };
     let (before, after) = (names(old), names(new));
     let not_in = |of: &[String], all: &[String]| of.iter().filter(|n| !all.contains(n)).cloned().collect();
     let both = before.iter().filter(|n| after.contains(n)).map(|n| Some(n.as_str()));
-    let downs: Vec<Option<&str>> = [None].into_iter().chain(both).collect();
+    let down_members: Vec<Option<&str>> = [None].into_iter().chain(both).collect();
     let cases: Vec<(&String, Option<&str>)> =
-        new.names.rules.iter().flat_map(|rule| downs.iter().map(move |down| (rule, *down))).collect();
+        new.names.rules.iter().flat_map(|rule| down_members.iter().map(move |down| (rule, *down))).collect();
     let moved =
         cases.par_iter().filter_map(|(rule, down)| share_moved(old, new, rule, *down, objects)).collect();
     let passes = |fleet: &Fleet, (suite, text): (&Suite, &str)| -> Vec<(String, bool)> {
@@ -107,8 +109,8 @@
             ));
         }
         for (name, before, now) in &self.verdicts {
-            let word = |is: &bool| if *is { "holds" } else { "fails" };
-            out.push_str(&format!("{name}: {} before, {} now\n", word(before), word(now)));
+            let label = |passes: &bool| if *passes { "holds" } else { "fails" };
+            out.push_str(&format!("{name}: {} before, {} now\n", label(before), label(now)));
         }
         out
     }
--- a/routes/src/expect.rs
+++ b/routes/src/expect.rs
@@ -1,5 +1,6 @@
-//! Owns the form of the file of expectations and its checks: each fault is told by the expectation's name or place. Must
-//! never give a value that was not written a meaning of its own.
+//! The format of the expectations file and its validation. Each error names the expectation or the position.
+//!
+//! Invariant: an absent value never gets a meaning beyond its documented default.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -8,7 +9,7 @@
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Suite {
-    /// Hosts and the zones they are near: a txn from there is one of a gateway in that zone.
+    /// Hosts and their zones: a txn from a host is handled by a gateway in its zone.
     #[serde(default)]
     pub hosts: BTreeMap<String, String>,
     pub expectations: Vec<Expectation>,
@@ -19,13 +20,13 @@
 pub struct Expectation {
     pub name: String,
     pub about: Subject,
-    /// What holds in every circumstance that is tried.
+    /// Conditions that hold in every scenario that is tried.
     #[serde(default, rename = "while")]
     pub given: Conditions,
-    /// So many members beside those may be in trouble at once, in any way.
+    /// The largest number of further members that fail at the same time.
     #[serde(default = "default_search")]
     pub search: usize,
-    /// The ways in which they may be.
+    /// The failure modes that are tried on them.
     #[serde(default = "default_failure_modes")]
     pub troubles: BTreeSet<FailureMode>,
     pub must: Requirement,
@@ -43,14 +44,14 @@
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "About")]
 pub struct Subject {
-    /// The remap rule by its name.
+    /// The name of the remap rule.
     pub rule: String,
-    /// One object in hex digits; absent: `objects` of them.
+    /// One object in hex digits; absent: `objects` generated ones.
     #[serde(default)]
     pub object: Option<String>,
     #[serde(default = "default_objects")]
     pub objects: usize,
-    /// A host of `hosts`, or a zone; absent: the configuration's own.
+    /// A host of `hosts`, or a zone; absent: the zone of the configuration.
     #[serde(default)]
     pub near: Option<String>,
 }
@@ -63,18 +64,18 @@
 #[serde(rename_all = "kebab-case")]
 #[schemars(rename = "Trouble")]
 pub enum FailureMode {
-    /// Gone from the list.
+    /// Removed from the member list.
     Down,
     Draining,
-    /// It has just started.
+    /// Has just started.
     Cold,
-    /// It was gone and is back, cold and empty.
+    /// Was gone and is back, cold and empty.
     Returned,
-    /// Listed as up, and answers nothing.
+    /// Listed as up, but does not answer.
     Silent,
-    /// It turns all away.
+    /// Turns all requests away.
     Full,
-    /// Its answers are errors, and the txn may have run.
+    /// Answers with errors, and the txn may have run.
     Failing,
 }
 
@@ -82,15 +83,15 @@
 #[serde(default, deny_unknown_fields)]
 #[schemars(rename = "Given")]
 pub struct Conditions {
-    /// Members in trouble, by what they are in.
+    /// Failed members, by failure mode.
     pub members: BTreeMap<FailureMode, MemberSelector>,
-    /// The object was purged just before.
+    /// The object was purged just before the txn.
     pub purged: bool,
-    /// Not more than so many milliseconds after the list said so, the gateway may still go by the one before.
+    /// The gateway still uses the previous member list, which does not show the failures yet.
     pub list_late: bool,
 }
 
-/// Members by what is written of them: all of it has to fit.
+/// Selects members by their attributes; all that are given have to match.
 #[derive(Clone, Debug, Default, Deserialize, JsonSchema, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 #[schemars(rename = "Chosen")]
@@ -99,7 +100,7 @@
     pub kind: Option<String>,
     pub zone: Option<String>,
     pub cell: Option<u64>,
-    /// In this trouble in the circumstance.
+    /// The member's failure mode in the scenario.
     pub trouble: Option<FailureMode>,
 }
 
@@ -108,28 +109,29 @@
 #[schemars(rename = "Must")]
 pub enum Requirement {
     NeverGoTo(MemberSelector),
-    /// The first hop, where there is one.
+    /// The first hop, if there is one, goes to such a member.
     GoFirstTo(MemberSelector),
     FillOnlyFrom(MemberSelector),
     NeverFillFrom(MemberSelector),
     StayInZone(String),
     AtMostHops(u32),
-    /// No hop after one that may have run.
+    /// No further hop after one that may have run the txn.
     NeverAgainOnceItMayHaveRun(bool),
-    /// What is not served ends so.
+    /// Txns that are not served are rejected.
     BeRejected(bool),
+    /// Txns that are not served are aborted.
     BeAborted(bool),
     BeServed(bool),
     ComeBackWithinMs(u64),
-    /// Every object has one first parent, whatever gateway asks.
+    /// Each object is filled from the same first parent by the gateways of all zones.
     HaveOneHome(bool),
-    /// The share of objects whose first hop goes there.
+    /// The share of objects whose first hop goes to such members.
     ShareBetween {
         of: MemberSelector,
         least: f64,
         most: f64,
     },
-    /// The share of objects whose first hop changes when the members in trouble are.
+    /// The share of objects whose first hop differs from that without failures.
     MoveAtMost(f64),
 }
 
@@ -141,74 +143,74 @@
     Expectation { line: usize, name: String, why: String },
 }
 
-/// The line on which an expectation's name stands, from 1.
+/// The line with the expectation's name, from 1.
 pub fn line_of(text: &str, name: &str) -> usize {
-    let written = serde_json::to_string(name).unwrap_or_default();
-    let named = |line: &str| line.contains("\"name\"") && line.contains(&written);
-    text.lines().position(named).map_or(1, |i| i + 1)
+    let quoted_name = serde_json::to_string(name).unwrap_or_default();
+    let has_name = |line: &str| line.contains("\"name\"") && line.contains(&quoted_name);
+    text.lines().position(has_name).map_or(1, |i| i + 1)
 }
 
 impl Suite {
-    /// All faults of the file, or the suite.
+    /// Parses and validates a suite; returns all errors of the file.
     pub fn read(text: &str) -> Result<Suite, Vec<SuiteError>> {
         let suite: Suite = serde_json::from_str(text).map_err(|e| {
             let why = e.to_string();
             let why = why.split(" at line ").next().unwrap_or_default().to_owned();
             vec![SuiteError::Syntax { line: e.line(), column: e.column(), why }]
         })?;
-        let mut faults = Vec::new();
+        let mut errors = Vec::new();
         let mut names = BTreeSet::new();
         for e in &suite.expectations {
-            let mut fault = |why: String| {
+            let mut error = |why: String| {
                 let (line, name) = (line_of(text, &e.name), e.name.clone());
-                faults.push(SuiteError::Expectation { line, name, why });
+                errors.push(SuiteError::Expectation { line, name, why });
             };
             if e.name.trim().is_empty() {
-                fault("a name is empty".to_owned());
+                error("name is empty".to_owned());
             }
             if !names.insert(&e.name) {
-                fault("another expectation has this name".to_owned());
+                error("another expectation has the same name".to_owned());
             }
             if e.search > 3 {
-                fault(format!("search is {}, 3 at the most", e.search));
+                error(format!("search is {}, must be at most 3", e.search));
             }
             if !(1..=10_000).contains(&e.about.objects) {
-                fault(format!("objects is {}, between 1 and 10000", e.about.objects));
+                error(format!("objects is {}, must be between 1 and 10000", e.about.objects));
             }
-            let hex = |o: &str| u64::from_str_radix(o, 16).is_ok();
-            if e.about.object.as_deref().is_some_and(|o| !hex(o)) {
-                fault("object is not hex digits".to_owned());
+            let is_hex = |o: &str| u64::from_str_radix(o, 16).is_ok();
+            if e.about.object.as_deref().is_some_and(|o| !is_hex(o)) {
+                error("object is not hex digits".to_owned());
             }
-            let share = |s: f64| (0.0..=1.0).contains(&s);
+            let is_share = |s: f64| (0.0..=1.0).contains(&s);
             match &e.must {
                 Requirement::ShareBetween { least, most, .. }
-                    if !share(*least) || !share(*most) || least > most =>
+                    if !is_share(*least) || !is_share(*most) || least > most =>
                 {
-                    fault("least and most are shares from 0 to 1, in this order".to_owned());
+                    error("least and most must be shares from 0 to 1, least not above most".to_owned());
                 }
-                Requirement::MoveAtMost(part) if !share(*part) => {
-                    fault("a share lies between 0 and 1".to_owned())
+                Requirement::MoveAtMost(share) if !is_share(*share) => {
+                    error("move_at_most must be a share from 0 to 1".to_owned())
                 }
-                Requirement::NeverAgainOnceItMayHaveRun(is)
-                | Requirement::BeRejected(is)
-                | Requirement::BeAborted(is)
-                | Requirement::BeServed(is)
-                | Requirement::HaveOneHome(is)
-                    if !is =>
+                Requirement::NeverAgainOnceItMayHaveRun(value)
+                | Requirement::BeRejected(value)
+                | Requirement::BeAborted(value)
+                | Requirement::BeServed(value)
+                | Requirement::HaveOneHome(value)
+                    if !value =>
                 {
-                    fault("false says nothing: name what must hold instead".to_owned());
+                    error("false is not a requirement: state what must hold instead".to_owned());
                 }
                 _ => {}
             }
         }
         if suite.expectations.is_empty() {
-            faults.push(SuiteError::Syntax {
+            errors.push(SuiteError::Syntax {
                 line: 1,
                 column: 1,
-                why: "no expectation stands in it".to_owned(),
+                why: "the file has no expectations".to_owned(),
             });
         }
-        if faults.is_empty() { Ok(suite) } else { Err(faults) }
+        if errors.is_empty() { Ok(suite) } else { Err(errors) }
     }
 
     pub fn schema() -> String {
--- a/routes/src/explain.rs
+++ b/routes/src/explain.rs
@@ -1,4 +1,4 @@
-//! Why one txn goes where it goes in one circumstance, in the module's own words, and the whole way it takes.
+//! Explains the route of one txn in one scenario: the module's own reasons, and the trace of the simulated txn.
 
 use crate::fleet::Fleet;
 use crate::world::{Final, Scenario, Trace, World};
@@ -11,16 +11,16 @@
     pub trace: Trace,
 }
 
-/// `after`: so many other txns of the rule come first, so that what only hops can tell is known.
+/// Explains one txn. `after` other txns of the rule run first, so that the gateway knows what only hops reveal.
 pub fn explain(
     fleet: &Fleet,
     zone: usize,
-    circumstance: &Scenario,
+    scenario: &Scenario,
     rule: usize,
     object: u64,
     after: u64,
 ) -> TxnExplanation {
-    let mut world = World::new(fleet, zone, circumstance);
+    let mut world = World::new(fleet, zone, scenario);
     for other in 1..=after {
         world.run_txn(rule, other.wrapping_mul(0x9e37_79b9_7f4a_7c15));
     }
@@ -28,7 +28,7 @@
     TxnExplanation { reasons, trace: world.run_txn(rule, object) }
 }
 
-/// What speaks against a member; empty where nothing does.
+/// The reasons that exclude a member; empty if there are none.
 fn objections(s: &MemberExplanation, fraction: f64) -> Vec<String> {
     let mut all = Vec::new();
     match s.state {
@@ -51,15 +51,15 @@
     all
 }
 
-fn describe_trace(fleet: &Fleet, way: &Trace) -> Vec<String> {
+fn describe_trace(fleet: &Fleet, trace: &Trace) -> Vec<String> {
     let name = |i: usize| &*fleet.members[i].id;
-    let step = |s: &crate::world::TraceHop| {
+    let hop = |s: &crate::world::TraceHop| {
         let from = s.source.map_or(String::new(), |s| format!(", filled from {}", name(s)));
-        let oldest =
+        let max_age =
             s.max_age.map_or(String::new(), |o| format!(", no copy older than {} ms", o.as_micros() / 1_000));
-        format!("hop to {}{from}{oldest}: {:?}", name(s.member), s.status).to_lowercase()
+        format!("hop to {}{from}{max_age}: {:?}", name(s.member), s.status).to_lowercase()
     };
-    let last = match way.result {
+    let result = match trace.result {
         Some(Final::Served) => "served".to_owned(),
         Some(Final::Rejected(wait)) => {
             let wait =
@@ -69,7 +69,7 @@
         Some(Final::Aborted) => "aborted".to_owned(),
         None => "no final answer".to_owned(),
     };
-    way.hops.iter().map(step).chain([last]).collect()
+    trace.hops.iter().map(hop).chain([result]).collect()
 }
 
 impl TxnExplanation {
@@ -79,15 +79,15 @@
         for (what, all) in [("caches", &r.caches), ("parents", &r.parents), ("origin", &r.origins)] {
             out.push_str(&format!("{what}, in the object's order:\n"));
             for s in all {
-                let against = objections(s, r.fraction);
-                let told = if against.is_empty() { "fits".to_owned() } else { against.join("; ") };
-                out.push_str(&format!("  {}: {told}\n", s.member));
+                let objections = objections(s, r.fraction);
+                let text = if objections.is_empty() { "fits".to_owned() } else { objections.join("; ") };
+                out.push_str(&format!("  {}: {text}\n", s.member));
             }
         }
         if r.origin_failing {
-            out.push_str("the origin is held to be sick: parents are asked for what they hold\n");
+            out.push_str("the origin is considered failing: parents are asked only for cached copies\n");
         }
-        out.push_str("the way it takes:\n");
+        out.push_str("trace:\n");
         describe_trace(fleet, &self.trace).iter().for_each(|step| out.push_str(&format!("  {step}\n")));
         out
     }
--- a/routes/src/fleet.rs
+++ b/routes/src/fleet.rs
@@ -1,5 +1,6 @@
-//! The configuration as an expectation sees it: settings, names and members; and what is chosen of them. Must never guess:
-//! a name that is nowhere is a fault, with the nearest that there is.
+//! The configured members, settings and names that expectations refer to, and the selection of members.
+//!
+//! Invariant: names are never guessed; an unknown name is an error that suggests the nearest known one.
 
 use crate::expect::{Conditions, Expectation, FailureMode, MemberSelector, Requirement, Suite};
 use kelpcart::interface::{Member, MemberState, Settings};
@@ -18,8 +19,8 @@
     pub fn from_config(config: &Config) -> Fleet {
         let mut members: BTreeMap<String, Member> = BTreeMap::new();
         for event in &config.initial_events {
-            let DiscoveryEvent::Roster { snapshot: whole, list } = event else { continue };
-            if *whole {
+            let DiscoveryEvent::Roster { snapshot, list } = event else { continue };
+            if *snapshot {
                 members.clear();
             }
             for listed in list {
@@ -31,24 +32,24 @@
         Fleet { settings, names, members: members.into_values().collect(), seed: config.seed }
     }
 
-    pub fn matches(&self, chosen: &MemberSelector, member: &Member, trouble: Option<FailureMode>) -> bool {
-        let place = |named: &Option<String>, all: &[String], is: usize| {
-            named.as_ref().is_none_or(|n| all.iter().position(|a| a == n) == Some(is))
+    pub fn matches(&self, selector: &MemberSelector, member: &Member, failure: Option<FailureMode>) -> bool {
+        let name_matches = |named: &Option<String>, all: &[String], index: usize| {
+            named.as_ref().is_none_or(|n| all.iter().position(|a| a == n) == Some(index))
         };
-        chosen.names.as_ref().is_none_or(|names| names.contains(&*member.id))
-            && place(&chosen.kind, &self.names.kinds, member.kind)
-            && place(&chosen.zone, &self.names.zones, member.zone)
-            && chosen.cell.is_none_or(|cell| cell == member.cell)
-            && chosen.trouble.is_none_or(|t| trouble == Some(t))
+        selector.names.as_ref().is_none_or(|names| names.contains(&*member.id))
+            && name_matches(&selector.kind, &self.names.kinds, member.kind)
+            && name_matches(&selector.zone, &self.names.zones, member.zone)
+            && selector.cell.is_none_or(|cell| cell == member.cell)
+            && selector.trouble.is_none_or(|t| failure == Some(t))
     }
 
-    /// The members that are chosen whatever trouble they are in.
-    pub fn select<'a>(&'a self, chosen: &'a MemberSelector) -> impl Iterator<Item = usize> + 'a {
-        let any = MemberSelector { trouble: None, ..chosen.clone() };
-        (0..self.members.len()).filter(move |&i| self.matches(&any, &self.members[i], None))
+    /// The members that match, whatever their failure mode.
+    pub fn select<'a>(&'a self, selector: &'a MemberSelector) -> impl Iterator<Item = usize> + 'a {
+        let any_mode = MemberSelector { trouble: None, ..selector.clone() };
+        (0..self.members.len()).filter(move |&i| self.matches(&any_mode, &self.members[i], None))
     }
 
-    /// The zone from which an expectation's txns come.
+    /// The zone that the expectation's txns come from.
     pub fn client_zone(&self, suite: &Suite, e: &Expectation) -> Result<usize, String> {
         let Some(near) = &e.about.near else { return Ok(self.settings.zone) };
         let zone = suite.hosts.get(near).unwrap_or(near);
@@ -72,24 +73,24 @@
         })
     }
 
-    /// A member and its trouble, as NAME=TROUBLE.
+    /// Parses a member and its failure mode from NAME=TROUBLE.
     pub fn parse_failure(&self, text: &str) -> Result<(usize, FailureMode), String> {
-        let (name, word) = text.split_once('=').ok_or_else(|| format!("{text} is not NAME=TROUBLE"))?;
+        let (name, mode) = text.split_once('=').ok_or_else(|| format!("{text} is not NAME=TROUBLE"))?;
         let ids: Vec<String> = self.members.iter().map(|m| m.id.to_string()).collect();
         self.check_name("member", name, &ids)?;
-        let trouble = serde_json::from_value(word.into());
-        let trouble = trouble.map_err(|_| {
-            format!("{word} is no trouble: down, draining, cold, returned, silent, full, failing")
+        let failure = serde_json::from_value(mode.into());
+        let failure = failure.map_err(|_| {
+            format!("{mode} is no trouble: down, draining, cold, returned, silent, full, failing")
         })?;
-        Ok((ids.iter().position(|id| id == name).unwrap_or(0), trouble))
+        Ok((ids.iter().position(|id| id == name).unwrap_or(0), failure))
     }
 
-    /// Everything that is named has to be there.
+    /// Checks that everything the expectation names exists.
     pub fn check(&self, suite: &Suite, e: &Expectation) -> Result<(), String> {
         self.rule_index(&e.about.rule)?;
         self.client_zone(suite, e)?;
         let Conditions { members, .. } = &e.given;
-        let of_must = match &e.must {
+        let in_requirement = match &e.must {
             Requirement::NeverGoTo(c)
             | Requirement::GoFirstTo(c)
             | Requirement::FillOnlyFrom(c)
@@ -97,37 +98,37 @@
             Requirement::ShareBetween { of, .. } => Some(of),
             _ => None,
         };
-        for chosen in members.values().chain(of_must) {
-            self.check_selector(chosen)?;
+        for selector in members.values().chain(in_requirement) {
+            self.check_selector(selector)?;
         }
         if let Requirement::StayInZone(zone) = &e.must {
             self.check_name("zone", zone, &self.names.zones)?;
         }
-        for (trouble, chosen) in members {
-            if self.select(chosen).next().is_none() {
-                return Err(format!("no member can be {trouble:?}: none is chosen").to_lowercase());
+        for (failure, selector) in members {
+            if self.select(selector).next().is_none() {
+                return Err(format!("no member can be {failure:?}: none is chosen").to_lowercase());
             }
         }
         Ok(())
     }
 
-    fn check_selector(&self, chosen: &MemberSelector) -> Result<(), String> {
+    fn check_selector(&self, selector: &MemberSelector) -> Result<(), String> {
         let ids: Vec<String> = self.members.iter().map(|m| m.id.to_string()).collect();
-        for name in chosen.names.iter().flatten() {
+        for name in selector.names.iter().flatten() {
             self.check_name("member", name, &ids)?;
         }
-        if let Some(kind) = &chosen.kind {
+        if let Some(kind) = &selector.kind {
             self.check_name("kind", kind, &self.names.kinds)?;
         }
-        if let Some(zone) = &chosen.zone {
+        if let Some(zone) = &selector.zone {
             self.check_name("zone", zone, &self.names.zones)?;
         }
         Ok(())
     }
 
     fn check_name(&self, what: &str, name: &str, all: &[String]) -> Result<(), String> {
-        let there = all.iter().any(|a| a == name);
-        if there {
+        let exists = all.iter().any(|a| a == name);
+        if exists {
             Ok(())
         } else {
             Err(format!("the configuration has no {what} {name}{}", suggestion(name, all)))
@@ -135,14 +136,14 @@
     }
 }
 
-/// The likely name, where one is near.
+/// A hint with the most similar name, if one is similar enough.
 fn suggestion(name: &str, all: &[String]) -> String {
     let best = all.iter().map(|a| (edit_distance(name, a), a)).min();
-    let near = best.filter(|(d, _)| *d <= name.chars().count().div_ceil(3));
-    near.map_or(String::new(), |(_, a)| format!("; did you mean {a}?"))
+    let similar = best.filter(|(d, _)| *d <= name.chars().count().div_ceil(3));
+    similar.map_or(String::new(), |(_, a)| format!("; did you mean {a}?"))
 }
 
-/// Letters to change, add or leave out (Levenshtein, 1966).
+/// Levenshtein distance (1966).
 fn edit_distance(a: &str, b: &str) -> usize {
     let b: Vec<char> = b.chars().collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
@@ -164,7 +165,7 @@
     use quickcheck::quickcheck;
 
     quickcheck! {
-        fn a_distance_is_symmetric_and_zero_only_for_the_same(a: String, b: String) -> bool {
+        fn edit_distance_is_symmetric_and_zero_only_for_equal_strings(a: String, b: String) -> bool {
             edit_distance(&a, &b) == edit_distance(&b, &a) && (edit_distance(&a, &b) == 0) == (a == b)
         }
     }
--- a/routes/src/judge.rs
+++ b/routes/src/judge.rs
@@ -1,5 +1,5 @@
-//! Says whether an expectation held in one circumstance, and whether it was put to the test at all. Pure: ways in, verdict
-//! out.
+//! Decides whether an expectation held in one scenario, and whether the scenario exercised it at all. Pure: traces in,
+//! judgement out.
 
 use crate::expect::{MemberSelector, Requirement};
 use crate::fleet::Fleet;
@@ -8,9 +8,9 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Judgement {
-    /// `true`: something happened that could have broken it.
+    /// `true`: exercised, i.e. something happened that could have broken it.
     Held(bool),
-    /// Why, and the way that shows it, by its place.
+    /// The reason, and the index of the trace that shows it.
     Broken(String, usize),
 }
 
@@ -18,115 +18,119 @@
     pub fleet: &'a Fleet,
     pub scenario: &'a Scenario,
     pub traces: &'a [Trace],
-    /// The same txns with nobody in trouble.
+    /// The same txns without failures.
     pub baseline: &'a [Trace],
-    /// The first fill sources that gateways of other zones choose, in the order of the ways.
+    /// The first fill sources that gateways of other zones choose, in the order of the traces.
     pub other_zones: &'a [Vec<Option<usize>>],
 }
 
 impl Case<'_> {
-    fn matches(&self, chosen: &MemberSelector, i: usize) -> bool {
-        let trouble = self.scenario.failures.get(&i).copied();
-        self.fleet.matches(chosen, &self.fleet.members[i], trouble)
+    fn matches(&self, selector: &MemberSelector, i: usize) -> bool {
+        let failure = self.scenario.failures.get(&i).copied();
+        self.fleet.matches(selector, &self.fleet.members[i], failure)
     }
 
     fn name(&self, i: usize) -> &str {
         &self.fleet.members[i].id
     }
 
-    /// Some member of the circumstance is one of these.
-    fn any_match(&self, chosen: &MemberSelector) -> bool {
-        (0..self.fleet.members.len()).any(|i| self.matches(chosen, i))
+    /// Whether some member of the scenario matches.
+    fn any_match(&self, selector: &MemberSelector) -> bool {
+        (0..self.fleet.members.len()).any(|i| self.matches(selector, i))
     }
 
-    /// Each way's steps; the first that breaks it. Exercised where anything was tried and `possible` says so.
+    /// Checks each trace and reports the first that breaks the expectation. It is exercised if there was any hop and
+    /// `possible` is set.
     fn check_each(&self, possible: bool, breaks: impl Fn(&Trace) -> Option<String>) -> Judgement {
-        let found = self.traces.iter().enumerate().find_map(|(at, way)| Some((breaks(way)?, at)));
+        let found = self.traces.iter().enumerate().find_map(|(index, trace)| Some((breaks(trace)?, index)));
         let tried = self.traces.iter().any(|w| !w.hops.is_empty());
-        found.map_or(Judgement::Held(possible && tried), |(why, at)| Judgement::Broken(why, at))
+        found.map_or(Judgement::Held(possible && tried), |(why, index)| Judgement::Broken(why, index))
     }
 
-    fn first_member(way: &Trace) -> Option<usize> {
-        way.hops.first().map(|s| s.member)
+    fn first_member(trace: &Trace) -> Option<usize> {
+        trace.hops.first().map(|s| s.member)
     }
 
-    pub fn judge(&self, must: &Requirement) -> Judgement {
-        // A txn without a final answer breaks a rule whatever is expected.
-        if let Some(at) = self.traces.iter().position(|w| w.result.is_none()) {
-            return Judgement::Broken("it has no final answer".to_owned(), at);
+    pub fn judge(&self, requirement: &Requirement) -> Judgement {
+        // A txn without a final answer breaks every expectation.
+        if let Some(index) = self.traces.iter().position(|w| w.result.is_none()) {
+            return Judgement::Broken("it has no final answer".to_owned(), index);
         }
-        match must {
-            Requirement::NeverGoTo(chosen) => self.check_each(self.any_match(chosen), |way| {
-                let step = way.hops.iter().find(|s| self.matches(chosen, s.member))?;
-                Some(format!("it goes to {}", self.name(step.member)))
+        match requirement {
+            Requirement::NeverGoTo(selector) => self.check_each(self.any_match(selector), |trace| {
+                let hop = trace.hops.iter().find(|s| self.matches(selector, s.member))?;
+                Some(format!("it goes to {}", self.name(hop.member)))
             }),
-            Requirement::GoFirstTo(chosen) => self.check_each(self.any_match(chosen), |way| {
-                let first = Case::first_member(way).filter(|&m| !self.matches(chosen, m))?;
-                Some(format!("it goes to {} first", self.name(first)))
+            Requirement::GoFirstTo(selector) => self.check_each(self.any_match(selector), |trace| {
+                let member = Case::first_member(trace).filter(|&m| !self.matches(selector, m))?;
+                Some(format!("it goes to {} first", self.name(member)))
             }),
-            Requirement::FillOnlyFrom(chosen) => self.check_each(self.any_fill(), |way| {
-                let source = way.hops.iter().filter_map(|s| s.source).find(|&s| !self.matches(chosen, s))?;
+            Requirement::FillOnlyFrom(selector) => self.check_each(self.any_fill(), |trace| {
+                let source =
+                    trace.hops.iter().filter_map(|s| s.source).find(|&s| !self.matches(selector, s))?;
                 Some(format!("it is filled from {}", self.name(source)))
             }),
-            Requirement::NeverFillFrom(chosen) => {
-                self.check_each(self.any_fill() && self.any_match(chosen), |way| {
+            Requirement::NeverFillFrom(selector) => {
+                self.check_each(self.any_fill() && self.any_match(selector), |trace| {
                     let source =
-                        way.hops.iter().filter_map(|s| s.source).find(|&s| self.matches(chosen, s))?;
+                        trace.hops.iter().filter_map(|s| s.source).find(|&s| self.matches(selector, s))?;
                     Some(format!("it is filled from {}", self.name(source)))
                 })
             }
-            Requirement::StayInZone(zone) => self.check_each(true, |way| {
-                let chosen = MemberSelector { zone: Some(zone.clone()), ..MemberSelector::default() };
-                let step = way.hops.iter().find(|s| !self.matches(&chosen, s.member))?;
-                Some(format!("it goes to {}, which is elsewhere", self.name(step.member)))
+            Requirement::StayInZone(zone) => self.check_each(true, |trace| {
+                let selector = MemberSelector { zone: Some(zone.clone()), ..MemberSelector::default() };
+                let hop = trace.hops.iter().find(|s| !self.matches(&selector, s.member))?;
+                Some(format!("it goes to {}, which is elsewhere", self.name(hop.member)))
             }),
-            Requirement::AtMostHops(most) => self.check_each(true, |way| {
-                let n = way.hops.len();
+            Requirement::AtMostHops(most) => self.check_each(true, |trace| {
+                let n = trace.hops.len();
                 (n > *most as usize).then(|| format!("it takes {n} hops"))
             }),
             Requirement::NeverAgainOnceItMayHaveRun(_) => {
-                let may = self.traces.iter().any(|w| w.hops.iter().any(|s| !s.status.proves_not_run()));
-                self.check_each(may, |way| {
-                    let at = way.hops.iter().position(|s| !s.status.proves_not_run())?;
-                    let next = way.hops.get(at + 1)?;
+                let may_have_run =
+                    self.traces.iter().any(|w| w.hops.iter().any(|s| !s.status.proves_not_run()));
+                self.check_each(may_have_run, |trace| {
+                    let index = trace.hops.iter().position(|s| !s.status.proves_not_run())?;
+                    let next = trace.hops.get(index + 1)?;
                     Some(format!("it goes on to {} after it may have run", self.name(next.member)))
                 })
             }
-            Requirement::BeRejected(_) => self.check_each(self.any_unserved(), |way| {
-                (way.result == Some(Final::Aborted)).then(|| "it is aborted".to_owned())
+            Requirement::BeRejected(_) => self.check_each(self.any_unserved(), |trace| {
+                (trace.result == Some(Final::Aborted)).then(|| "it is aborted".to_owned())
             }),
-            Requirement::BeAborted(_) => self.check_each(self.any_unserved(), |way| {
-                matches!(way.result, Some(Final::Rejected(_))).then(|| "it is rejected".to_owned())
+            Requirement::BeAborted(_) => self.check_each(self.any_unserved(), |trace| {
+                matches!(trace.result, Some(Final::Rejected(_))).then(|| "it is rejected".to_owned())
             }),
-            Requirement::BeServed(_) => self.check_each(true, |way| {
-                (way.result != Some(Final::Served))
-                    .then(|| format!("it ends {:?}", way.result).to_lowercase())
+            Requirement::BeServed(_) => self.check_each(true, |trace| {
+                (trace.result != Some(Final::Served))
+                    .then(|| format!("it ends {:?}", trace.result).to_lowercase())
             }),
             Requirement::ComeBackWithinMs(most) => {
-                self.check_each(self.any_unserved(), |way| match way.result {
+                self.check_each(self.any_unserved(), |trace| match trace.result {
                     Some(Final::Rejected(Some(wait))) if wait <= Span::from_millis(*most) => None,
                     Some(Final::Rejected(wait)) => Some(format!("it is told to come back after {wait:?}")),
                     _ => None,
                 })
             }
             Requirement::HaveOneHome(_) => {
-                let homes = |way: &Trace| way.hops.first().and_then(|s| s.source);
-                let differs =
-                    |at: usize| self.other_zones.iter().any(|zone| zone[at] != homes(&self.traces[at]));
-                match (0..self.traces.len()).find(|&at| differs(at)) {
-                    Some(at) => {
-                        Judgement::Broken("gateways of two zones fill it from two places".to_owned(), at)
+                let fill_source = |trace: &Trace| trace.hops.first().and_then(|s| s.source);
+                let differs = |index: usize| {
+                    self.other_zones.iter().any(|zone| zone[index] != fill_source(&self.traces[index]))
+                };
+                match (0..self.traces.len()).find(|&index| differs(index)) {
+                    Some(index) => {
+                        Judgement::Broken("gateways of two zones fill it from two places".to_owned(), index)
                     }
                     None => Judgement::Held(!self.other_zones.is_empty() && self.any_fill()),
                 }
             }
             Requirement::ShareBetween { of, least, most } => {
-                let there = self
+                let matching = self
                     .traces
                     .iter()
                     .filter(|w| Case::first_member(w).is_some_and(|m| self.matches(of, m)))
                     .count();
-                let share = there as f64 / self.traces.len().max(1) as f64;
+                let share = matching as f64 / self.traces.len().max(1) as f64;
                 let fits = share >= *least && share <= *most;
                 if fits {
                     Judgement::Held(true)
--- a/routes/src/lib.rs
+++ b/routes/src/lib.rs
@@ -1,7 +1,7 @@
-//! Routing tests: what operators expect of routes, checked without traffic against the configuration as written, on the
-//! very module that serves. `expect` is the file, `fleet` the members it speaks of, `world` plays one circumstance,
-//! `judge` says whether an expectation held in it, `search` looks for a circumstance that breaks it, `report` tells.
-//! Nothing here does I/O but the program.
+//! Routing tests: checks the operators' routing expectations against a configuration, without traffic, on the decision
+//! module that also serves. `expect` is the expectations file, `fleet` the configured members, `world` simulates one
+//! scenario, `judge` decides whether an expectation held in it, `search` looks for a counterexample, and `report`
+//! renders the verdicts. Only the binary does I/O.
 
 pub mod diff;
 pub mod expect;
--- a/routes/src/main.rs
+++ b/routes/src/main.rs
@@ -1,5 +1,5 @@
-//! `kelpcart-routes`: checks a configuration and what is expected of its routes, without traffic.
-//! Exits with 0 if all hold, 1 if one does not, 2 if a file can't be used.
+//! `kelpcart-routes`: checks a configuration against routing expectations, without traffic.
+//! Exit code 0: all expectations hold; 1: one does not; 2: a file is invalid or cannot be read.
 
 use clap::{Parser, Subcommand};
 use kelpcart_gateway::config::Config;
@@ -12,7 +12,7 @@
 use std::process::ExitCode;
 
 #[derive(Parser)]
-#[command(about = "Checks what is expected of routes against the module that serves, without traffic.")]
+#[command(about = "Checks routing expectations against the real decision module, without traffic.")]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -20,72 +20,73 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Every expectation of the file, in every circumstance that it asks for.
+    /// Check every expectation of the file, in every scenario that it asks for.
     Test {
-        /// The gateway's configuration, as NODE_CONFIG names it.
+        /// The gateway's configuration file, as in NODE_CONFIG.
         #[arg(long)]
         config: PathBuf,
         #[arg(long)]
         routes: PathBuf,
-        /// No more members in trouble at once than this, whatever the file says.
+        /// Upper bound of the members that fail at the same time; overrides larger values of the file.
         #[arg(long)]
         search: Option<usize>,
-        /// The verdicts as JSON, and as JUnit XML, too.
+        /// Also write the verdicts to this file as JSON.
         #[arg(long)]
         json: Option<PathBuf>,
+        /// Also write the verdicts to this file as JUnit XML.
         #[arg(long)]
         junit: Option<PathBuf>,
     },
-    /// The configuration alone.
+    /// Check the configuration alone.
     Check {
         #[arg(long)]
         config: PathBuf,
     },
-    /// What moves between two configurations, in calm and with each one member down.
+    /// Show what moves between two configurations, without failures and with each single member down.
     Diff {
         old: PathBuf,
         new: PathBuf,
-        /// Expectations whose verdict is compared, too.
+        /// Expectations file whose verdicts are also compared.
         #[arg(long)]
         routes: Option<PathBuf>,
-        /// Objects of each rule.
+        /// Number of objects per rule.
         #[arg(long, default_value_t = 500)]
         objects: u64,
         #[arg(long)]
         json: Option<PathBuf>,
     },
-    /// Why one txn goes where it goes, and its whole way.
+    /// Explain the route of one txn and show its trace.
     Explain {
         #[arg(long)]
         config: PathBuf,
         #[arg(long)]
         rule: String,
-        /// In hex digits.
+        /// The object in hex digits.
         #[arg(long)]
         object: String,
-        /// The zone that it comes from; else the configuration's own.
+        /// The zone that the txn comes from; default: the zone of the configuration.
         #[arg(long)]
         zone: Option<String>,
-        /// Members in trouble: NAME=down, draining, cold, returned, silent, full or failing; as often as there are.
+        /// A failed member, as NAME=down, draining, cold, returned, silent, full or failing; repeatable.
         #[arg(long)]
         with: Vec<String>,
-        /// The object was purged just now.
+        /// The object was purged just before the txn.
         #[arg(long)]
         purged: bool,
-        /// So many other txns come first, so that what only hops can tell is known.
+        /// Number of other txns that run first, so that the gateway knows what only hops reveal.
         #[arg(long, default_value_t = 0)]
         after: u64,
         #[arg(long)]
         json: Option<PathBuf>,
     },
-    /// How long searches of growing size take on this machine, with the configuration's rules.
+    /// Measure how long searches of growing size take on this machine, with the configuration's rules.
     Measure {
         #[arg(long)]
         config: PathBuf,
         #[arg(long)]
         json: Option<PathBuf>,
     },
-    /// The schema of the file of expectations.
+    /// Print the JSON schema of the expectations file.
     Schema,
 }
 
@@ -108,50 +109,54 @@
     Config::read(&read(path)?).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-/// A file of expectations and its text; all faults at once.
+/// Reads an expectations file and returns it with its text; reports all errors of the file.
 fn suite(path: &Path) -> Result<(Suite, String), String> {
     let (text, file) = (read(path)?, path.display());
-    let told = |all: Vec<expect::SuiteError>| -> String {
+    let join = |all: Vec<expect::SuiteError>| -> String {
         all.iter().map(|why| format!("{file}: {why}")).collect::<Vec<_>>().join("\n")
     };
-    let suite = Suite::read(&text).map_err(told)?;
+    let suite = Suite::read(&text).map_err(join)?;
     Ok((suite, text))
 }
 
-fn run(what: Command) -> Result<bool, String> {
-    match what {
+fn run(command: Command) -> Result<bool, String> {
+    match command {
         Command::Schema => {
             println!("{}", Suite::schema());
             Ok(true)
         }
         Command::Check { config: path } => {
             let fleet = Fleet::from_config(&config(&path)?);
-            println!("{} members, {} rules: it can be used", fleet.members.len(), fleet.names.rules.len());
+            println!(
+                "{} members, {} rules: configuration is valid",
+                fleet.members.len(),
+                fleet.names.rules.len()
+            );
             Ok(true)
         }
         Command::Diff { old, new, routes, objects, json } => {
             let (old, new) = (Fleet::from_config(&config(&old)?), Fleet::from_config(&config(&new)?));
             let suite = routes.map(|path| suite(&path)).transpose()?;
-            let told = diff::diff(&old, &new, suite.as_ref().map(|(s, text)| (s, text.as_str())), objects);
-            print!("{}", told.text());
+            let diff = diff::diff(&old, &new, suite.as_ref().map(|(s, text)| (s, text.as_str())), objects);
+            print!("{}", diff.text());
             if let Some(path) = json {
-                std::fs::write(&path, told.json().to_string())
+                std::fs::write(&path, diff.json().to_string())
                     .map_err(|e| format!("{}: {e}", path.display()))?;
             }
-            // An expectation that no longer holds is a failure.
-            Ok(told.verdicts.iter().all(|(_, _, now)| *now))
+            // An expectation that no longer holds makes the command fail.
+            Ok(diff.verdicts.iter().all(|(_, _, now)| *now))
         }
         Command::Explain { config: path, rule, object, zone, with, purged, after, json } => {
             let fleet = Fleet::from_config(&config(&path)?);
             let (rule, object) = (fleet.rule_index(&rule)?, u64::from_str_radix(&object, 16));
             let object = object.map_err(|_| "--object is not hex digits".to_owned())?;
             let zone = zone.map_or(Ok(fleet.settings.zone), |z| fleet.zone_index(&z))?;
-            let troubles = with.iter().map(|w| fleet.parse_failure(w)).collect::<Result<_, _>>()?;
-            let circumstance = Scenario { failures: troubles, purged, list_late: false };
-            let told = explain::explain(&fleet, zone, &circumstance, rule, object, after);
-            print!("{}", told.text(&fleet));
+            let failures = with.iter().map(|w| fleet.parse_failure(w)).collect::<Result<_, _>>()?;
+            let scenario = Scenario { failures, purged, list_late: false };
+            let explanation = explain::explain(&fleet, zone, &scenario, rule, object, after);
+            print!("{}", explanation.text(&fleet));
             if let Some(path) = json {
-                let text = told.json(&fleet).to_string();
+                let text = explanation.json(&fleet).to_string();
                 std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))?;
             }
             Ok(true)
@@ -176,11 +181,11 @@
             }
             Ok(true)
         }
-        Command::Test { config: path, routes, search: most, json, junit } => {
+        Command::Test { config: path, routes, search: max_search, json, junit } => {
             let fleet = Fleet::from_config(&config(&path)?);
             let (suite, text) = suite(&routes)?;
             let file = routes.display().to_string();
-            let all = search::run(&fleet, &suite, &text, most);
+            let all = search::run(&fleet, &suite, &text, max_search);
             print!("{}", report::text(&all, &file));
             let write = |path: &PathBuf, text: String| {
                 std::fs::write(path, text).map_err(|e| format!("{}: {e}", path.display()))
--- a/routes/src/measure.rs
+++ b/routes/src/measure.rs
@@ -1,4 +1,4 @@
-//! How long a search takes: made-up fleets and suites of growing size. Simulated members only; times are of this machine.
+//! Benchmarks the search on generated fleets and suites of growing size. Members are simulated; times depend on the machine.
 
 use crate::expect::Suite;
 use crate::fleet::Fleet;
@@ -16,7 +16,8 @@
     pub search: usize,
 }
 
-/// The configuration's rules with so many members: nine boxes in ten over its zones, the rest parents, one origin.
+/// A fleet with the configuration's rules and the given number of members: one origin, one parent in ten, and boxes,
+/// spread over the zones.
 pub fn fleet(base: &Fleet, members: usize) -> Fleet {
     let (parent, origin) = (base.settings.parent_kind, base.settings.origin_kind);
     let edge = (0..base.names.kinds.len()).find(|k| Some(*k) != parent && Some(*k) != origin).unwrap_or(0);
@@ -44,7 +45,7 @@
 
 pub fn suite(base: &Fleet, size: Size) -> String {
     let rules = &base.names.rules;
-    let musts = [
+    let requirements = [
         json!({"never_go_to": {"trouble": "draining"}}),
         json!({"at_most_hops": 6}),
         json!({"never_fill_from": {"trouble": "down"}}),
@@ -53,12 +54,12 @@
     ];
     let one = |i: usize| {
         json!({"name": format!("expectation {i}"), "about": {"rule": rules[i % rules.len()], "objects": 4},
-            "troubles": ["down", "draining"], "search": size.search, "must": musts[i % musts.len()]})
+            "troubles": ["down", "draining"], "search": size.search, "must": requirements[i % requirements.len()]})
     };
     json!({"expectations": (0..size.expectations).map(one).collect::<Vec<_>>()}).to_string()
 }
 
-/// Seconds, and the circumstances tried.
+/// Returns the seconds taken and the number of scenarios tried.
 pub fn run(base: &Fleet, size: Size) -> Result<(f64, u64), String> {
     let (fleet, text) = (fleet(base, size.members), suite(base, size));
     let suite = Suite::read(&text).map_err(|all| format!("{all:?}"))?;
@@ -67,7 +68,7 @@
     Ok((began.elapsed().as_secs_f64(), all.iter().map(|o| o.tried).sum()))
 }
 
-/// A row for each size, and the same as JSON.
+/// Returns a table with a row per size, and the same as JSON.
 pub fn table(base: &Fleet, sizes: &[Size]) -> Result<(String, Value), String> {
     let mut out = String::from("members expectations search circumstances seconds\n");
     let mut rows = Vec::new();
--- a/routes/src/report.rs
+++ b/routes/src/report.rs
@@ -1,29 +1,29 @@
-//! Tells the verdicts: for people, as JSON, and as JUnit XML for machines that show tests.
+//! Renders the verdicts as text, as JSON, and as JUnit XML for CI systems.
 
 use crate::search::{ExpectationResult, Verdict};
 use serde_json::{Value, json};
 
-/// What is wrong with one, in a line or more; empty where it holds.
-fn describe(found: &Verdict) -> String {
-    match found {
+/// Describes why an expectation fails; empty if it holds.
+fn describe(verdict: &Verdict) -> String {
+    match verdict {
         Verdict::Held => String::new(),
         Verdict::Vacuous => "never put to the test: nothing that could break it can occur".to_owned(),
         Verdict::Unusable(why) => why.clone(),
-        Verdict::Broken { failures: troubles, why, object, trace: steps } => {
-            let with = |(name, trouble): &(String, _)| format!("{name} {trouble:?}").to_lowercase();
-            let troubles: Vec<String> = troubles.iter().map(with).collect();
-            let when = if troubles.is_empty() {
+        Verdict::Broken { failures, why, object, trace } => {
+            let with = |(name, failure): &(String, _)| format!("{name} {failure:?}").to_lowercase();
+            let failures: Vec<String> = failures.iter().map(with).collect();
+            let when = if failures.is_empty() {
                 "with nobody in trouble".to_owned()
             } else {
-                format!("with {}", troubles.join(", "))
+                format!("with {}", failures.join(", "))
             };
-            format!("{why}, {when}; object {object:016x}: {}", steps.join("; "))
+            format!("{why}, {when}; object {object:016x}: {}", trace.join("; "))
         }
     }
 }
 
-fn label(found: &Verdict) -> &'static str {
-    match found {
+fn label(verdict: &Verdict) -> &'static str {
+    match verdict {
         Verdict::Held => "holds",
         Verdict::Broken { .. } => "BROKEN",
         Verdict::Vacuous => "VACUOUS",
@@ -35,13 +35,13 @@
     let mut out = String::new();
     for o in all {
         out.push_str(&format!("{:9} {} ({} circumstances)\n", label(&o.verdict), o.name, o.tried));
-        let told = describe(&o.verdict);
-        if !told.is_empty() {
-            out.push_str(&format!("          {file}:{}: {told}\n", o.line));
+        let text = describe(&o.verdict);
+        if !text.is_empty() {
+            out.push_str(&format!("          {file}:{}: {text}\n", o.line));
         }
     }
-    let bad = all.iter().filter(|o| !o.passes()).count();
-    out.push_str(&format!("{} passed, {bad} failed\n", all.len() - bad));
+    let failed = all.iter().filter(|o| !o.passes()).count();
+    out.push_str(&format!("{} passed, {failed} failed\n", all.len() - failed));
     out
 }
 
@@ -58,7 +58,7 @@
             '<' => out.push_str("&lt;"),
             '>' => out.push_str("&gt;"),
             '"' => out.push_str("&quot;"),
-            // XML 1.0, section 2.2: these may not stand in a document at all.
+            // XML 1.0, section 2.2: control characters are not allowed in a document, even escaped.
             c if c < ' ' && c != '\n' && c != '\t' => out.push(' '),
             c => out.push(c),
         }
@@ -67,9 +67,9 @@
 }
 
 pub fn junit(all: &[ExpectationResult], suite: &str) -> String {
-    let bad = all.iter().filter(|o| !o.passes()).count();
+    let failed = all.iter().filter(|o| !o.passes()).count();
     let mut out = format!(
-        "<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n<testsuite name=\"{}\" tests=\"{}\" failures=\"{bad}\">\n",
+        "<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n<testsuite name=\"{}\" tests=\"{}\" failures=\"{failed}\">\n",
         escaped(suite),
         all.len()
     );
@@ -78,9 +78,9 @@
         if o.passes() {
             out.push_str(&format!("  <testcase name=\"{name}\"/>\n"));
         } else {
-            let (kind, told) = (label(&o.verdict).to_lowercase(), escaped(&describe(&o.verdict)));
+            let (kind, text) = (label(&o.verdict).to_lowercase(), escaped(&describe(&o.verdict)));
             out.push_str(&format!(
-                "  <testcase name=\"{name}\"><failure type=\"{kind}\">{told}</failure></testcase>\n"
+                "  <testcase name=\"{name}\"><failure type=\"{kind}\">{text}</failure></testcase>\n"
             ));
         }
     }
--- a/routes/src/world.rs
+++ b/routes/src/world.rs
@@ -1,5 +1,7 @@
-//! Plays one circumstance on the real module: the list, the troubles, then txns one by one, each to its final answer. Owns
-//! simulated time. Must never decide in the module's place: it only answers hops as their member's trouble says.
+//! Simulates one scenario on the real decision module: the member list, the failures, then txns one by one, each to its
+//! final answer. Owns the simulated time.
+//!
+//! Invariant: it makes no routing decision; it only answers hops according to the failure mode of their member.
 
 use crate::expect::FailureMode;
 use crate::fleet::Fleet;
@@ -10,12 +12,12 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Which members are in trouble, and what else holds.
+/// The failed members by index, and the other conditions.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Scenario {
     pub failures: BTreeMap<usize, FailureMode>,
     pub purged: bool,
-    /// The gateway's list does not say so yet.
+    /// The gateway's member list does not show the failures yet.
     pub list_late: bool,
 }
 
@@ -34,19 +36,19 @@
     Aborted,
 }
 
-/// A txn's whole way.
+/// All hops of a txn and its result.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trace {
     pub object: u64,
     pub hops: Vec<TraceHop>,
-    /// None within the bound on decisions: that is a fault of its own.
+    /// None if there is no final answer within `MAX_DECISIONS`, which is an error in itself.
     pub result: Option<Final>,
 }
 
 const START_US: u64 = 1_000_000_000;
-/// A txn and the next are this far apart: nothing is out when one begins.
+/// Interval between txns; long enough that nothing is outstanding when the next one starts.
 const TXN_INTERVAL: Span = Span::from_millis(400);
-/// No txn has more decisions than this.
+/// Upper bound of the decisions on one txn.
 const MAX_DECISIONS: usize = 64;
 const ANSWER_DELAY: Span = Span::from_millis(20);
 
@@ -59,7 +61,7 @@
     next_txn: TxnId,
 }
 
-/// A gateway that knows the list and has met nothing yet: the start of every circumstance.
+/// A gateway that has the member list and has handled no txn: the start of every scenario.
 #[derive(Clone)]
 pub struct InitialState {
     now: Time,
@@ -82,17 +84,17 @@
 }
 
 impl<'a> World<'a> {
-    pub fn new(fleet: &'a Fleet, zone: usize, circumstance: &'a Scenario) -> World<'a> {
-        World::from_state(&InitialState::new(fleet, zone), fleet, circumstance)
+    pub fn new(fleet: &'a Fleet, zone: usize, scenario: &'a Scenario) -> World<'a> {
+        World::from_state(&InitialState::new(fleet, zone), fleet, scenario)
     }
 
-    /// The circumstance on top of what was calm.
-    pub fn from_state(calm: &InitialState, fleet: &'a Fleet, circumstance: &'a Scenario) -> World<'a> {
-        let InitialState { now, gateway, by_id } = calm.clone();
-        let mut world = World { fleet, now, gateway, scenario: circumstance, by_id, next_txn: 1 };
-        if !circumstance.list_late {
-            // What is back was gone before.
-            let returned = circumstance.failures.iter().filter(|(_, t)| **t == FailureMode::Returned);
+    /// Applies the scenario to an initial state.
+    pub fn from_state(initial: &InitialState, fleet: &'a Fleet, scenario: &'a Scenario) -> World<'a> {
+        let InitialState { now, gateway, by_id } = initial.clone();
+        let mut world = World { fleet, now, gateway, scenario, by_id, next_txn: 1 };
+        if !scenario.list_late {
+            // A returned member was gone before.
+            let returned = scenario.failures.iter().filter(|(_, t)| **t == FailureMode::Returned);
             let gone: Vec<Member> =
                 returned.filter_map(|(&i, _)| world.member_update(i, FailureMode::Down)).collect();
             if !gone.is_empty() {
@@ -100,20 +102,20 @@
                 world.now += TXN_INTERVAL;
                 world.drain_decisions();
             }
-            let news = circumstance
+            let updates = scenario
                 .failures
                 .iter()
-                .filter_map(|(&i, &trouble)| world.member_update(i, trouble))
+                .filter_map(|(&i, &failure)| world.member_update(i, failure))
                 .collect();
-            world.gateway.update_members(world.now, false, news);
+            world.gateway.update_members(world.now, false, updates);
         }
         world
     }
 
-    /// What the list says of a member in trouble; nothing where it does not know.
-    fn member_update(&self, i: usize, trouble: FailureMode) -> Option<Member> {
+    /// The update of the member list for a failure mode; none if the list does not show it.
+    fn member_update(&self, i: usize, failure: FailureMode) -> Option<Member> {
         let member = self.fleet.members[i].clone();
-        match trouble {
+        match failure {
             FailureMode::Down => Some(Member { state: MemberState::Gone, ..member }),
             FailureMode::Draining => Some(Member { state: MemberState::Draining, ..member }),
             FailureMode::Cold | FailureMode::Returned => Some(Member { started: Some(self.now), ..member }),
@@ -125,21 +127,22 @@
         while self.gateway.poll(self.now).is_some() {}
     }
 
-    /// How a hop ends: its member's trouble, then its source's.
+    /// The outcome of a hop by the failure mode of its member, then of its fill source.
     fn hop_result(
         &self,
         member: usize,
         source: Option<usize>,
         fill: Option<&Fill>,
     ) -> (HopStatus, Option<CacheStatus>) {
-        let trouble = |i: usize| self.scenario.failures.get(&i).copied();
-        match trouble(member) {
+        let failure = |i: usize| self.scenario.failures.get(&i).copied();
+        match failure(member) {
             Some(FailureMode::Down) => (HopStatus::Unreachable, None),
             Some(FailureMode::Silent) => (HopStatus::TimedOut, None),
             Some(FailureMode::Full) => (HopStatus::TurnedAway, None),
             Some(FailureMode::Failing) => (HopStatus::Errored, None),
-            _ => match source.map(|s| (s, trouble(s))) {
-                // Nothing is kept anywhere yet, the worst case for routes: who is asked only for what it holds lacks it.
+            _ => match source.map(|s| (s, failure(s))) {
+                // All caches are empty, the worst case for routing: a member that is asked only for a cached copy lacks
+                // it.
                 None if fill
                     .is_some_and(|f| f.only_if_cached && f.source == self.fleet.members[member].id) =>
                 {
@@ -161,75 +164,76 @@
 
     fn make_txn(&self, rule: usize, object: u64) -> Txn {
         let (id, group, write) = (self.next_txn, object % 256, self.fleet.settings.rules[rule].is_write);
-        let left = self.fleet.settings.rules[rule].sla * 4.0;
+        let time_left = self.fleet.settings.rules[rule].sla * 4.0;
         let size = (self.fleet.settings.client_rate > 0.0).then_some(1.0);
-        Txn { id, rule, object, group, part: 0, is_write: write, size, time_left: left, max_age: None }
+        Txn { id, rule, object, group, part: 0, is_write: write, size, time_left, max_age: None }
     }
 
-    /// What the module has to say of a txn that would come now.
+    /// The module's explanation for a txn that would arrive now.
     pub fn explain(&mut self, rule: usize, object: u64) -> Explanation {
-        // The moment at which `ask` would bring it.
+        // The time at which `run_txn` would submit it.
         let now = self.now + TXN_INTERVAL;
-        let mut as_then = self.gateway.clone();
-        while as_then.poll(now).is_some() {}
-        as_then.explain(now, &self.make_txn(rule, object))
+        let mut future = self.gateway.clone();
+        while future.poll(now).is_some() {}
+        future.explain(now, &self.make_txn(rule, object))
     }
 
-    /// One txn from its coming to its final answer.
+    /// Runs one txn from its arrival to its final answer.
     pub fn run_txn(&mut self, rule: usize, object: u64) -> Trace {
         self.now += TXN_INTERVAL;
         self.drain_decisions();
         let txn = self.make_txn(rule, object);
-        let (id, left) = (txn.id, txn.time_left);
+        let (id, time_left) = (txn.id, txn.time_left);
         self.next_txn += 1;
         if self.scenario.purged {
             self.gateway.purge(self.now, PrefixSet::object(object), Span::ZERO);
         }
         self.gateway.submit(self.now, txn);
-        let mut way = Trace { object, hops: Vec::new(), result: None };
+        let mut trace = Trace { object, hops: Vec::new(), result: None };
         for _ in 0..MAX_DECISIONS {
             match self.gateway.poll(self.now) {
                 Some(Decision::Hop { txn, member, fill, .. }) if txn == id => {
-                    let Some(&member) = self.by_id.get(&member) else { return way };
+                    let Some(&member) = self.by_id.get(&member) else { return trace };
                     let source = fill.as_ref().and_then(|f| self.by_id.get(&f.source)).copied();
                     let source = source.filter(|&s| s != member);
-                    let (end, note) = self.hop_result(member, source, fill.as_ref());
-                    let (hop, closed) = (way.hops.len() as u32, end == HopStatus::Completed);
-                    let oldest = fill.and_then(|f| f.max_age);
-                    way.hops.push(TraceHop { member, source, max_age: oldest, status: end });
-                    let took = if end == HopStatus::TimedOut { left * 0.25 } else { ANSWER_DELAY };
-                    self.now += took;
+                    let (status, cache_status) = self.hop_result(member, source, fill.as_ref());
+                    let (hop, completed) = (trace.hops.len() as u32, status == HopStatus::Completed);
+                    let max_age = fill.and_then(|f| f.max_age);
+                    trace.hops.push(TraceHop { member, source, max_age, status });
+                    let duration =
+                        if status == HopStatus::TimedOut { time_left * 0.25 } else { ANSWER_DELAY };
+                    self.now += duration;
                     let (first_byte, load) = (Some(ANSWER_DELAY), LoadReport::default());
                     self.gateway.record_outcome(
                         self.now,
                         Outcome {
                             txn,
                             hop,
-                            status: end,
-                            duration: took,
-                            answered: closed,
-                            cache_status: note,
+                            status,
+                            duration,
+                            answered: completed,
+                            cache_status,
                             first_byte,
                             load,
                         },
                     );
-                    if closed {
-                        way.result = Some(Final::Served);
-                        return way;
+                    if completed {
+                        trace.result = Some(Final::Served);
+                        return trace;
                     }
                 }
-                Some(Decision::Reject { txn, retry_after: come_back }) if txn == id => {
-                    way.result = Some(Final::Rejected(come_back));
-                    return way;
+                Some(Decision::Reject { txn, retry_after }) if txn == id => {
+                    trace.result = Some(Final::Rejected(retry_after));
+                    return trace;
                 }
                 Some(Decision::Abort { txn }) if txn == id => {
-                    way.result = Some(Final::Aborted);
-                    return way;
+                    trace.result = Some(Final::Aborted);
+                    return trace;
                 }
                 Some(_) => {}
-                None => return way,
+                None => return trace,
             }
         }
-        way
+        trace
     }
 }
--- a/routes/tests/broken.rs
+++ b/routes/tests/broken.rs
@@ -1,5 +1,5 @@
-//! Configurations broken on purpose, against one suite: how many are caught, by the expectation that is meant for them,
-//! with nobody, one and two members in trouble. Prints the shares.
+//! Runs one suite against deliberately broken configurations: each must be caught by the expectation meant for it. Prints
+//! how many are caught with no, one and two failed members.
 
 use kelpcart_gateway::config::Config;
 use kelpcart_routes::expect::Suite;
@@ -78,7 +78,7 @@
         }
     };
     let set = |i: usize, field: &str, value: Value| -> (&'static str, Value) {
-        // Paths live as long as the test.
+        // Leaked, so that the paths live as long as the test.
         (Box::leak(format!("{LIST}/{i}/{field}").into_boxed_str()), value)
     };
     let gone = |i: usize| set(i, "status", json!("removed"));
@@ -142,29 +142,29 @@
     Fleet::from_config(&Config::read(&all.to_string()).unwrap())
 }
 
-/// The names of those that do not hold.
-fn fail(fleet: &Fleet, most: usize) -> Vec<String> {
+/// The names of the expectations that do not hold.
+fn failed(fleet: &Fleet, max_search: usize) -> Vec<String> {
     let text = suite();
-    let all = search::run(fleet, &Suite::read(&text).unwrap(), &text, Some(most));
+    let all = search::run(fleet, &Suite::read(&text).unwrap(), &text, Some(max_search));
     all.into_iter().filter(|o| !o.passes()).map(|o| o.name).collect()
 }
 
 #[test]
 fn every_broken_configuration_is_caught_by_the_expectation_meant_for_it() {
-    assert_eq!(fail(&fleet(&[]), 2), Vec::<String>::new(), "the unbroken one fails falsely");
+    assert_eq!(failed(&fleet(&[]), 2), Vec::<String>::new(), "false failure on the unbroken configuration");
     let (mut caught, mut missed, edits) = ([0; 3], Vec::new(), edits());
     for (name, changes, meant) in &edits {
         let broken = fleet(changes);
-        for (most, n) in caught.iter_mut().enumerate() {
-            let failed = fail(&broken, most);
-            let named = failed.iter().any(|f| f == meant);
-            *n += usize::from(named);
-            if most == 2 && !named {
-                missed.push(format!("{name}: {failed:?}"));
+        for (max_search, n) in caught.iter_mut().enumerate() {
+            let names = failed(&broken, max_search);
+            let found = names.iter().any(|f| f == meant);
+            *n += usize::from(found);
+            if max_search == 2 && !found {
+                missed.push(format!("{name}: {names:?}"));
             }
         }
     }
-    println!("of {} caught with 0, 1 and 2 in trouble: {caught:?}", edits.len());
+    println!("of {} caught with 0, 1 and 2 failed members: {caught:?}", edits.len());
     assert!(missed.is_empty(), "{missed:#?}");
     assert!(edits.len() >= 30 && caught[0] < caught[2]);
 }
--- a/routes/tests/suites.rs
+++ b/routes/tests/suites.rs
@@ -1,5 +1,5 @@
-//! Suites against configurations: what breaks only with two members in trouble is found and named, what can't be put to
-//! the test is told, and the verdict is the same each time.
+//! Suites against configurations: failures that need two failed members are found and named, vacuous expectations are
+//! reported, and verdicts are reproducible.
 
 use kelpcart_gateway::config::Config;
 use kelpcart_routes::expect::{FailureMode, Suite};
@@ -13,7 +13,7 @@
     std::fs::read_to_string(format!("{}/../examples/{name}", env!("CARGO_MANIFEST_DIR"))).unwrap()
 }
 
-/// The example's configuration with some values changed by their paths.
+/// The example configuration with the values at some paths changed.
 fn fleet(changes: &[(&str, Value)]) -> Fleet {
     let mut all: Value = serde_json::from_str(&example("config.json")).unwrap();
     for (path, value) in changes {
@@ -22,7 +22,7 @@
     Fleet::from_config(&Config::read(&all.to_string()).unwrap())
 }
 
-/// A fleet of so many boxes, parents and one origin, all in one zone.
+/// A fleet with the given numbers of boxes and parents and one origin, all in one zone.
 fn large(boxes: usize, parents: usize) -> Fleet {
     let member = |name: String, kind: &str| {
         json!({"name": name, "address": "127.0.0.1:1", "zone": "here", "type": kind, "group": 0, "status": "up",
@@ -34,9 +34,9 @@
     fleet(&[("/known/items/0/roster/endpoints", json!(all))])
 }
 
-fn run(fleet: &Fleet, expectations: Value, most: Option<usize>) -> Vec<ExpectationResult> {
+fn run(fleet: &Fleet, expectations: Value, max_search: Option<usize>) -> Vec<ExpectationResult> {
     let text = json!({"hosts": {"host1.example.org": "here"}, "expectations": expectations}).to_string();
-    search::run(fleet, &Suite::read(&text).unwrap(), &text, most)
+    search::run(fleet, &Suite::read(&text).unwrap(), &text, max_search)
 }
 
 fn one(fleet: &Fleet, expectation: Value) -> Verdict {
@@ -53,7 +53,7 @@
     let suite = Suite::read(&text).unwrap();
     let all = search::run(&fleet(&[]), &suite, &text, None);
     assert!(all.iter().all(ExpectationResult::passes), "{}", report::text(&all, "routes.json"));
-    // Without direct hops, what both boxes' absence leaves is nothing.
+    // Without direct hops, nothing can serve while both boxes are absent.
     let edited = fleet(&[("/settings/FamilyInfo/BypassAllowed", json!(false))]);
     let all = search::run(&edited, &suite, &text, None);
     let failed: Vec<&str> = all.iter().filter(|o| !o.passes()).map(|o| o.name.as_str()).collect();
@@ -61,50 +61,44 @@
 }
 
 #[test]
-fn what_breaks_only_with_two_boxes_down_together_is_found_with_both_named() {
+fn a_failure_that_needs_two_boxes_is_found_and_names_both() {
     let edited = fleet(&[("/settings/FamilyInfo/BypassAllowed", json!(false))]);
     let mut served = expect("segment", 1, json!({"be_served": true}));
     served["troubles"] = json!(["draining"]);
     assert_eq!(one(&edited, served.clone()), Verdict::Held);
     served["search"] = json!(2);
-    let Verdict::Broken { failures: troubles, why, .. } = one(&edited, served.clone()) else {
-        panic!("not found")
-    };
+    let Verdict::Broken { failures, why, .. } = one(&edited, served.clone()) else { panic!("not found") };
     let both = [("box-a".to_owned(), FailureMode::Draining), ("box-b".to_owned(), FailureMode::Draining)];
-    assert_eq!(troubles, both);
+    assert_eq!(failures, both);
     assert!(why.contains("rejected"), "{why}");
-    // Before the edit the two boxes are no trouble: others are the first to be.
-    let Verdict::Broken { failures: troubles, .. } = one(&fleet(&[]), served) else {
-        panic!("parent and origin")
-    };
-    assert_ne!(troubles, both);
+    // Without the edit the two boxes do not break it: the counterexample names other members.
+    let Verdict::Broken { failures, .. } = one(&fleet(&[]), served) else { panic!("parent and origin") };
+    assert_ne!(failures, both);
 }
 
 #[test]
-fn the_least_circumstance_is_the_one_that_is_told() {
-    // One down parent is enough, though two are searched.
+fn the_smallest_scenario_is_reported() {
+    // One parent that is down is enough, although combinations of two are searched.
     let must = json!({"fill_only_from": {"names": ["parent"]}});
-    let Verdict::Broken { failures: troubles, trace: steps, .. } =
-        one(&fleet(&[]), expect("segment", 2, must))
-    else {
+    let Verdict::Broken { failures, trace, .. } = one(&fleet(&[]), expect("segment", 2, must)) else {
         panic!()
     };
-    assert_eq!(troubles.len(), 1, "{troubles:?}");
-    assert_eq!(troubles[0].0, "parent");
-    assert!(steps.iter().any(|s| s.contains("filled from origin")), "{steps:?}");
+    assert_eq!(failures.len(), 1, "{failures:?}");
+    assert_eq!(failures[0].0, "parent");
+    assert!(trace.iter().any(|s| s.contains("filled from origin")), "{trace:?}");
 }
 
 #[test]
-fn an_unrepeatable_txn_keeps_its_rule_and_the_opposite_is_seen() {
+fn an_unrepeatable_txn_is_not_retried_and_a_violation_is_detected() {
     let held = one(&fleet(&[]), expect("commit", 2, json!({"never_again_once_it_may_have_run": true})));
     assert_eq!(held, Verdict::Held);
-    // A repeatable one does go on: the same expectation about it is broken.
+    // A repeatable txn is retried, so it breaks the same expectation.
     let mut other = expect("segment", 1, json!({"never_again_once_it_may_have_run": true}));
     other["troubles"] = json!(["failing"]);
     assert!(matches!(one(&fleet(&[]), other), Verdict::Broken { .. }));
     let mut aborted = expect("commit", 0, json!({"be_aborted": true}));
     aborted["while"] = json!({"members": {"silent": {"kind": "origin"}}});
-    // The first of all: later ones are told at once that the origin is silent, and have not run.
+    // Only the first txn: later ones are answered at once because the origin is known to be silent, and have not run.
     aborted["about"]["objects"] = json!(1);
     assert_eq!(one(&fleet(&[]), aborted.clone()), Verdict::Held);
     aborted["must"] = json!({"be_rejected": true});
@@ -112,17 +106,17 @@
 }
 
 #[test]
-fn what_is_never_put_to_the_test_fails_as_vacuous() {
+fn an_expectation_that_is_never_exercised_fails_as_vacuous() {
     let nobody = json!({"never_go_to": {"trouble": "full"}});
     let mut e = expect("segment", 1, nobody);
     e["troubles"] = json!(["down"]);
     assert_eq!(one(&fleet(&[]), e), Verdict::Vacuous);
-    // Nothing is ever left unserved here, so that nothing can be rejected.
+    // Every txn is served here, so none can be rejected.
     assert_eq!(one(&fleet(&[]), expect("segment", 0, json!({"be_rejected": true}))), Verdict::Vacuous);
 }
 
 #[test]
-fn contradictory_expectations_are_both_judged_and_one_is_named() {
+fn contradictory_expectations_are_both_judged_and_the_broken_one_is_named() {
     let all = run(
         &fleet(&[]),
         json!([
@@ -141,27 +135,27 @@
 }
 
 #[test]
-fn what_is_not_there_is_told_with_the_likely_name() {
-    let told = |e: Value| match one(&fleet(&[]), e) {
+fn an_unknown_name_is_reported_with_a_suggestion() {
+    let unusable_reason = |e: Value| match one(&fleet(&[]), e) {
         Verdict::Unusable(why) => why,
         other => panic!("{other:?}"),
     };
     assert_eq!(
-        told(expect("segmnet", 0, json!({"be_served": true}))),
+        unusable_reason(expect("segmnet", 0, json!({"be_served": true}))),
         "the configuration has no rule segmnet; did you mean segment?"
     );
-    let why = told(expect("segment", 0, json!({"never_go_to": {"names": ["box-c"]}})));
+    let why = unusable_reason(expect("segment", 0, json!({"never_go_to": {"names": ["box-c"]}})));
     assert!(why.starts_with("the configuration has no member box-c; did you mean box-"), "{why}");
     let mut far = expect("segment", 0, json!({"be_served": true}));
     far["about"]["near"] = json!("host9.example.org");
-    assert!(told(far).contains("no host and no zone"));
+    assert!(unusable_reason(far).contains("no host and no zone"));
     let mut twice = expect("segment", 0, json!({"be_served": true}));
     twice["while"] = json!({"members": {"down": {"kind": "box"}, "cold": {"names": ["box-a"]}}});
-    assert_eq!(told(twice), "box-a is in two troubles at once");
+    assert_eq!(unusable_reason(twice), "box-a is in two troubles at once");
 }
 
 #[test]
-fn faults_of_the_file_are_told_all_at_once_with_their_lines() {
+fn all_errors_of_the_file_are_reported_at_once_with_their_lines() {
     let text = "{\"expectations\": [\n{\"name\": \"a\", \"about\": {\"rule\": \"x\", \"objects\": 0}, \"must\": {\"be_served\": false}},\n\
         {\"name\": \"a\", \"about\": {\"rule\": \"x\", \"object\": \"zz\"}, \"search\": 9, \"must\": {\"move_at_most\": 2}}]}";
     let faults: Vec<String> = Suite::read(text).unwrap_err().iter().map(ToString::to_string).collect();
@@ -174,8 +168,8 @@
     assert!(unknown.unwrap_err()[0].to_string().contains("unknown variant"));
 }
 
-/// The verdict and what is told are the same whatever the order in which threads come to them.
-fn same(seed: u8) -> bool {
+/// The verdict and its report must not depend on the order in which threads finish.
+fn is_reproducible(seed: u8) -> bool {
     let fleet = large(3 + usize::from(seed % 4), 2);
     let musts = [
         json!({"be_served": true}),
@@ -183,89 +177,92 @@
         json!({"fill_only_from": {"kind": "parent"}}),
     ];
     let all = musts.map(|must| expect("segment", 2, must));
-    let told = || {
+    let rendered = || {
         format!("{:?}", run(&fleet, json!([all[0]]), None))
             + &format!("{:?}", one(&fleet, all[usize::from(seed) % 3].clone()))
     };
-    told() == told()
+    rendered() == rendered()
 }
 
 #[test]
 fn the_same_input_has_the_same_verdict() {
-    QuickCheck::new().rng(Gen::from_size_and_seed(5, 7)).tests(8).quickcheck(same as fn(u8) -> bool);
+    QuickCheck::new()
+        .rng(Gen::from_size_and_seed(5, 7))
+        .tests(8)
+        .quickcheck(is_reproducible as fn(u8) -> bool);
 }
 
 #[test]
-fn a_drained_member_is_left_in_fleets_of_every_size_and_a_late_list_is_seen() {
+fn a_drained_member_is_avoided_in_fleets_of_every_size_unless_the_list_is_late() {
     for boxes in [1, 5, 40] {
         let fleet = large(boxes, 2);
         let mut e = expect("segment", 1, json!({"never_go_to": {"trouble": "draining"}}));
         e["while"] = json!({"members": {"draining": {"names": ["box-0"]}}});
         assert_eq!(one(&fleet, e.clone()), Verdict::Held, "{boxes}");
-        // Told of it late, the gateway still goes there: the expectation says so.
+        // With a late list the gateway still goes there, and the expectation fails.
         e["while"]["list_late"] = json!(true);
         assert!(matches!(one(&fleet, e), Verdict::Broken { .. }), "{boxes}");
     }
 }
 
 #[test]
-fn a_purge_bounds_the_age_of_what_is_asked_for_in_every_circumstance() {
+fn a_purge_limits_the_age_of_requested_copies() {
     use kelpcart_routes::world::{Scenario, World};
     let fleet = large(4, 2);
-    let circumstance = Scenario { purged: true, ..Scenario::default() };
-    let mut world = World::new(&fleet, fleet.settings.zone, &circumstance);
+    let scenario = Scenario { purged: true, ..Scenario::default() };
+    let mut world = World::new(&fleet, fleet.settings.zone, &scenario);
     for object in 1..20 {
-        let way = world.run_txn(0, object);
-        assert!(!way.hops.is_empty() && way.hops.iter().all(|s| s.max_age.is_some()), "{way:?}");
+        let trace = world.run_txn(0, object);
+        assert!(!trace.hops.is_empty() && trace.hops.iter().all(|s| s.max_age.is_some()), "{trace:?}");
     }
 }
 
-/// What is told of a txn is what the module then does: the first hop goes to the first cache against which nothing speaks,
-/// and is filled from the first parent of which the same holds.
-fn told_is_done(cases: Vec<(u8, u8, u8, u64)>) -> bool {
+/// The explanation of a txn matches what the module then does: the first hop goes to the first cache without a reason
+/// against it, and is filled from the first such parent.
+fn explanation_matches(cases: Vec<(u8, u8, u8, u64)>) -> bool {
     use kelpcart_routes::explain::explain;
     use kelpcart_routes::world::Scenario;
     let fleet = large(5, 3);
     cases.into_iter().all(|(a, b, trouble, object)| {
         let all = [FailureMode::Down, FailureMode::Draining, FailureMode::Silent, FailureMode::Full];
-        let troubles = [a, b].map(|i| (usize::from(i) % fleet.members.len(), all[usize::from(trouble) % 4]));
-        let circumstance = Scenario { failures: troubles.into(), ..Scenario::default() };
-        let told = explain(&fleet, fleet.settings.zone, &circumstance, 0, object, 30);
+        let failures = [a, b].map(|i| (usize::from(i) % fleet.members.len(), all[usize::from(trouble) % 4]));
+        let scenario = Scenario { failures: failures.into(), ..Scenario::default() };
+        let explanation = explain(&fleet, fleet.settings.zone, &scenario, 0, object, 30);
         let fits = |s: &&kelpcart::explain::MemberExplanation| {
-            let by_weight = s.weight.is_none_or(|w| w / 100.0 > told.reasons.fraction);
+            let by_weight = s.weight.is_none_or(|w| w / 100.0 > explanation.reasons.fraction);
             let up = s.state == kelpcart::interface::MemberState::Up && s.ejected_until.is_none();
             up && !s.cold_budget_spent && by_weight
         };
         let name = |i: usize| fleet.members[i].id.clone();
-        let Some(first) = told.trace.hops.first() else { return true };
-        let cache = told.reasons.caches.iter().find(fits).map(|s| s.member.clone());
-        let parent = told.reasons.parents.iter().find(fits).map(|s| s.member.clone());
-        // A trial may go to a silent one; and without a cache it goes straight to the parent.
-        let trial = |i: usize| circumstance.failures.get(&i) == Some(&FailureMode::Silent);
-        let to_cache = cache.is_none_or(|c| c == name(first.member)) || trial(first.member);
-        let from_parent = first.source.is_none_or(|s| parent.is_none_or(|p| p == name(s)) || trial(s));
+        let Some(first) = explanation.trace.hops.first() else { return true };
+        let cache = explanation.reasons.caches.iter().find(fits).map(|s| s.member.clone());
+        let parent = explanation.reasons.parents.iter().find(fits).map(|s| s.member.clone());
+        // A probe may go to a silent member; without a usable cache the hop goes directly to the parent.
+        let is_probe = |i: usize| scenario.failures.get(&i) == Some(&FailureMode::Silent);
+        let to_cache = cache.is_none_or(|c| c == name(first.member)) || is_probe(first.member);
+        let from_parent = first.source.is_none_or(|s| parent.is_none_or(|p| p == name(s)) || is_probe(s));
         to_cache && from_parent
     })
 }
 
 #[test]
-fn what_is_explained_is_what_the_module_does() {
+fn the_explanation_matches_what_the_module_does() {
     type Cases = Vec<(u8, u8, u8, u64)>;
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(12, 7))
         .tests(40)
-        .quickcheck(told_is_done as fn(Cases) -> bool);
+        .quickcheck(explanation_matches as fn(Cases) -> bool);
 }
 
 #[test]
-fn an_explanation_names_what_speaks_against_each() {
+fn an_explanation_names_the_reasons_against_each_member() {
     use kelpcart_routes::explain::explain;
     use kelpcart_routes::world::Scenario;
     let fleet = large(3, 2);
-    let troubles = ["box-0=draining", "parent-1=silent"].map(|t| fleet.parse_failure(t).unwrap()).into();
-    let circumstance = Scenario { failures: troubles, purged: true, ..Scenario::default() };
-    let told = explain(&fleet, fleet.settings.zone, &circumstance, 0, 77, 40);
-    let text = told.text(&fleet);
+    let failures = ["box-0=draining", "parent-1=silent"].map(|t| fleet.parse_failure(t).unwrap()).into();
+    let scenario = Scenario { failures, purged: true, ..Scenario::default() };
+    let explanation = explain(&fleet, fleet.settings.zone, &scenario, 0, 77, 40);
+    let text = explanation.text(&fleet);
     assert!(text.contains("box-0: draining") && text.contains("parent-1: silent"), "{text}");
     assert!(text.contains("no copy older than") && text.contains("served"), "{text}");
     assert!(fleet.parse_failure("box-9=down").unwrap_err().contains("did you mean box-"));
@@ -273,49 +270,52 @@
 }
 
 #[test]
-fn a_box_more_moves_its_share_of_objects_and_no_parents() {
+fn an_added_box_moves_only_its_share_of_objects_and_no_parents() {
     use kelpcart_routes::diff::diff;
     let (old, new) = (large(4, 2), large(5, 2));
-    let told = diff(&old, &new, None, 400);
-    assert_eq!((told.added.as_slice(), told.removed.len()), (&["box-4".to_owned()][..], 0));
-    let calm = told.moved.iter().find(|m| m.rule == "segment" && m.down.is_none()).unwrap();
-    // One in five goes to the new one; who fills it does not change.
-    assert!((0.13..0.27).contains(&calm.cache) && calm.parent < 1e-9 && calm.lost < 1e-9, "{calm:?}");
-    let same = diff(&old, &old, None, 100);
-    assert!(same.moved.iter().all(|m| m.cache < 1e-9 && m.parent < 1e-9) && same.added.is_empty());
+    let changes = diff(&old, &new, None, 400);
+    assert_eq!((changes.added.as_slice(), changes.removed.len()), (&["box-4".to_owned()][..], 0));
+    let baseline = changes.moved.iter().find(|m| m.rule == "segment" && m.down.is_none()).unwrap();
+    // One object in five moves to the new box; its fill parent does not change.
+    assert!(
+        (0.13..0.27).contains(&baseline.cache) && baseline.parent < 1e-9 && baseline.lost < 1e-9,
+        "{baseline:?}"
+    );
+    let unchanged = diff(&old, &old, None, 100);
+    assert!(unchanged.moved.iter().all(|m| m.cache < 1e-9 && m.parent < 1e-9) && unchanged.added.is_empty());
 }
 
 #[test]
-fn an_edit_that_changes_a_verdict_is_named() {
+fn the_diff_names_the_expectation_whose_verdict_changes() {
     use kelpcart_routes::diff::diff;
     let text = example("routes.json");
     let suite = Suite::read(&text).unwrap();
     let edited = fleet(&[("/settings/FamilyInfo/BypassAllowed", json!(false))]);
-    let told = diff(&fleet(&[]), &edited, Some((&suite, &text)), 50);
+    let changes = diff(&fleet(&[]), &edited, Some((&suite, &text)), 50);
     let name = "a segment is served while both boxes are drained or down";
-    assert!(told.verdicts.contains(&(name.to_owned(), true, false)), "{:?}", told.verdicts);
-    assert!(told.text().contains("holds before, fails now"));
+    assert!(changes.verdicts.contains(&(name.to_owned(), true, false)), "{:?}", changes.verdicts);
+    assert!(changes.text().contains("holds before, fails now"));
 }
 
 #[test]
-fn a_parent_that_came_back_gets_its_objects_slowly_and_an_expectation_can_say_so() {
+fn a_returned_parent_gets_its_objects_back_slowly_and_an_expectation_detects_it() {
     let fleet = large(3, 2);
     let mut e = expect("segment", 0, json!({"fill_only_from": {"names": ["parent-0"]}}));
     e["while"] = json!({"members": {"returned": {"names": ["parent-1"]}}});
     e["about"]["objects"] = json!(60);
-    // At the standby share some of its objects still go there, though most go to the other.
-    let Verdict::Broken { why, .. } = one(&fleet, e.clone()) else { panic!("none goes there") };
+    // At the standby share some of its objects already go to it, though most go to the other parent.
+    let Verdict::Broken { why, .. } = one(&fleet, e.clone()) else { panic!("no fill from parent-1") };
     assert!(why.contains("parent-1"), "{why}");
-    // Had it never been away, it would have about half of them.
+    // Had it never been gone, it would fill about half of the objects.
     use kelpcart_routes::world::{Scenario, World};
-    let fills = |trouble: Option<FailureMode>| {
+    let fill_count = |failure: Option<FailureMode>| {
         let at = fleet.members.iter().position(|m| &*m.id == "parent-1").unwrap();
-        let troubles = trouble.map(|t| (at, t)).into_iter().collect();
-        let circumstance = Scenario { failures: troubles, ..Scenario::default() };
-        let mut world = World::new(&fleet, fleet.settings.zone, &circumstance);
+        let failures = failure.map(|t| (at, t)).into_iter().collect();
+        let scenario = Scenario { failures, ..Scenario::default() };
+        let mut world = World::new(&fleet, fleet.settings.zone, &scenario);
         let filled = |i: &u64| world.run_txn(0, i * 7_919).hops.iter().any(|s| s.source == Some(at));
         (1..200u64).filter(filled).count()
     };
-    let (calm, returned) = (fills(None), fills(Some(FailureMode::Returned)));
+    let (calm, returned) = (fill_count(None), fill_count(Some(FailureMode::Returned)));
     assert!(calm > 70 && returned < calm, "{calm} {returned}");
 }
