--- a/failover/src/health.rs
+++ b/failover/src/health.rs
@@ -1,5 +1,5 @@
 //! The usable share of a zone. It falls by capped steps while hops go wrong and recovers slowly once the zone has been
-//! healthy for the hold time, in the same way as the weights of fill parents.
+//! healthy for the hold time, like the weight controller of parents in the decision module.
 //!
 //! Invariant: the share never rises by more than one step at a time, nor before the zone has been healthy for
 //! `sound_ms`.
--- a/failover/tests/decide.rs
+++ b/failover/tests/decide.rs
@@ -228,7 +228,7 @@
 fn when_all_zones_are_overloaded_each_keeps_its_load_and_reports_the_unplaced_rest() {
     let mut world = World::new(&[50.0, 50.0, 50.0], &[60.0, 70.0, 80.0]);
     world.run(20_000);
-    assert!(world.away.iter().flatten().all(|a| *a == 0.0), "nothing is sent where nobody has capacity");
+    assert!(world.away.iter().flatten().all(|a| *a == 0.0), "nothing is sent where no zone has capacity");
     let unplaced: BTreeMap<usize, bool> = world
         .decider
         .reasons()
--- a/routes/tests/suites.rs
+++ b/routes/tests/suites.rs
@@ -107,8 +107,8 @@
 
 #[test]
 fn an_expectation_that_is_never_exercised_fails_as_vacuous() {
-    let nobody = json!({"never_go_to": {"trouble": "full"}});
-    let mut e = expect("segment", 1, nobody);
+    let selector = json!({"never_go_to": {"trouble": "full"}});
+    let mut e = expect("segment", 1, selector);
     e["troubles"] = json!(["down"]);
     assert_eq!(one(&fleet(&[]), e), Verdict::Vacuous);
     // Every txn is served here, so none can be rejected.
@@ -146,9 +146,9 @@
     );
     let why = unusable_reason(expect("segment", 0, json!({"never_go_to": {"names": ["box-c"]}})));
     assert!(why.starts_with("the configuration has no member box-c; did you mean box-"), "{why}");
-    let mut far = expect("segment", 0, json!({"be_served": true}));
-    far["about"]["near"] = json!("host9.example.org");
-    assert!(unusable_reason(far).contains("no host and no zone"));
+    let mut unknown_zone = expect("segment", 0, json!({"be_served": true}));
+    unknown_zone["about"]["near"] = json!("host9.example.org");
+    assert!(unusable_reason(unknown_zone).contains("no host and no zone"));
     let mut twice = expect("segment", 0, json!({"be_served": true}));
     twice["while"] = json!({"members": {"down": {"kind": "box"}, "cold": {"names": ["box-a"]}}});
     assert_eq!(unusable_reason(twice), "box-a is in two troubles at once");
@@ -316,6 +316,6 @@
         let filled = |i: &u64| world.run_txn(0, i * 7_919).hops.iter().any(|s| s.source == Some(at));
         (1..200u64).filter(filled).count()
     };
-    let (calm, returned) = (fill_count(None), fill_count(Some(FailureMode::Returned)));
-    assert!(calm > 70 && returned < calm, "{calm} {returned}");
+    let (baseline, returned) = (fill_count(None), fill_count(Some(FailureMode::Returned)));
+    assert!(baseline > 70 && returned < baseline, "{baseline} {returned}");
 }
