--- a/failover/src/decide.rs
+++ b/failover/src/decide.rs
@@ -1,51 +1,55 @@
-//! The decision for a region, step after step: reports of gateways in, a table out, with the reason for each move. One
-//! value that the deciding group's members carry alike: the same reports in the same order give the same tables. Must
-//! never read a clock, nor let one gateway's report stand for more than its weight, nor move more than a step.
+//! The replicated decision of a region: takes the gateways' reports and produces a share table at each step, with a
+//! reason for each change.
+//!
+//! Invariants: the same reports in the same order give the same tables on every replica; no clock is read; one
+//! gateway's report never counts for more than its bounded weight; no share moves by more than one step at a time.
 
-use crate::evidence::{Account, Estimate, estimate};
+use crate::evidence::{Estimate, Evidence, estimate};
 use crate::health::Health;
-use crate::plan::{Load, Target, View, Zone, step, target};
+use crate::plan::{Load, PlanInput, Target, Zone, step, target};
 use crate::settings::{Failover, Steps};
-use crate::table::{From, Table};
+use crate::table::{Flow, Table};
 use kelpcart::{Span, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Gateways whose reports are kept, and how long one says something.
-const MOST_GATEWAYS: usize = 1_024;
-const SAYS_FOR: Span = Span::from_millis(3_000);
-/// Accounts that say nothing together are kept this long.
-const GATHERS: Span = Span::from_millis(10_000);
-/// Reasons that are remembered.
-const MOST_REASONS: usize = 256;
-/// A zone that is used this much of what it has shown, and well, may bear so much more.
-const USED: f64 = 0.9;
-const PROBES: f64 = 0.02;
-/// A zone that is ill while less than this of what it has shown is used is not ill for its load.
-const BY_LOAD: f64 = 0.5;
-/// What a zone has shown is forgotten by this part a step.
-const FORGETS: f64 = 0.0005;
-/// Moves below this part of a zone's txns are not worth a reason.
-const WORTH: f64 = 0.01;
+/// Upper bound of the gateways whose reports are kept.
+const MAX_GATEWAYS: usize = 1_024;
+/// A report is used for this long.
+const REPORT_TTL: Span = Span::from_millis(3_000);
+/// Evidence that is too little for an estimate accumulates for at most this long.
+const EVIDENCE_WINDOW: Span = Span::from_millis(10_000);
+/// Upper bound of the reasons that are kept; the oldest are dropped first.
+const MAX_REASONS: usize = 256;
+/// A healthy zone at this utilization of its observed capacity may have more, which is probed.
+const PROBE_UTILIZATION: f64 = 0.9;
+/// Relative step by which the observed capacity is raised when probing.
+const CAPACITY_PROBE_STEP: f64 = 0.02;
+/// Below this utilization of the observed capacity, an unhealthy zone is not considered overloaded.
+const MIN_OVERLOAD_UTILIZATION: f64 = 0.5;
+/// The observed capacity decays by this fraction per step.
+const CAPACITY_DECAY: f64 = 0.0005;
+/// Moves of a smaller share of a zone's txns are not recorded as a reason.
+const MIN_REPORTED_MOVE: f64 = 0.01;
 
-/// What one gateway saw over its last window.
+/// The measurements of one gateway over its last window.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Its hops by the zone that they went to.
-    pub into: BTreeMap<usize, Account>,
-    /// What its clients asked for, a second.
+    /// Its hops by destination zone.
+    pub hops: BTreeMap<usize, Evidence>,
+    /// The load offered by its clients.
     pub loads: Vec<Load>,
-    /// Hops a second by zone.
+    /// Hops per second by destination zone.
     pub rates: BTreeMap<usize, f64>,
 }
 
-/// An operator's word on a zone.
+/// An operator's override for a zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Hand {
-    /// Nothing goes there any more, by and by over the span.
+pub enum ManualOverride {
+    /// Ramps the usable share down to zero over the span.
     Drain { since: Time, over: Span },
-    /// Nothing goes there from the next step on.
+    /// Sets the usable share to zero from the next step on.
     Forbid,
-    /// It is used by this part whatever is seen.
+    /// Fixes the usable share whatever the evidence.
     Pin(f64),
 }
 
@@ -54,60 +58,63 @@
     pub at: Time,
     pub version: u64,
     pub zone: usize,
-    pub what: What,
+    pub change: Change,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum What {
-    /// Hops into it go wrong by this part; it is used by that.
-    Ill {
-        bad: f64,
-        use_of_it: f64,
+pub enum Change {
+    /// Hops into the zone go wrong; the usable share was lowered.
+    Degraded {
+        bad_share: f64,
+        usable_share: f64,
     },
-    Returns {
-        use_of_it: f64,
+    /// The zone is healthy again; the usable share was raised.
+    Recovering {
+        usable_share: f64,
     },
-    Hand(Hand),
-    /// This part of its own txns of all kinds leaves it, where before it was that.
-    Leaves {
-        part: f64,
+    Override(ManualOverride),
+    /// The share of the zone's own txns, of all classes, that leaves it, and the share before.
+    ShareAway {
+        share: f64,
         before: f64,
     },
-    /// Txns a second of its own that no zone has room for.
+    /// Txns per second of its own that no zone has capacity for.
     Unplaced(f64),
 }
 
 #[derive(Clone, Debug)]
 pub struct Decider {
-    near: Vec<Vec<usize>>,
-    file: Failover,
+    by_distance: Vec<Vec<usize>>,
+    settings: Failover,
     health: Vec<Health>,
-    /// Txns a second that each zone has shown to bear.
-    shown: Vec<f64>,
-    hands: BTreeMap<usize, Hand>,
+    /// Txns per second that each zone was observed to serve.
+    observed_capacity: Vec<f64>,
+    overrides: BTreeMap<usize, ManualOverride>,
     reports: BTreeMap<u64, (Time, Report)>,
-    /// Accounts by zone and gateway since the last time that they were enough to say something, and since when.
-    gathered: Vec<(Time, BTreeMap<u64, Account>)>,
+    /// By zone: evidence per gateway since the last estimate, and the start of that period.
+    evidence: Vec<(Time, BTreeMap<u64, Evidence>)>,
     table: Table,
-    next: Time,
+    next_step: Time,
     reasons: VecDeque<Reason>,
     unplaced: BTreeMap<usize, f64>,
 }
 
 impl Decider {
-    /// `bears`: what each zone is held to bear before it has shown anything.
-    pub fn new(file: &Failover, bears: &[f64], epoch: u64, now: Time) -> Decider {
-        let zones = file.zones.len();
+    /// `capacity_per_s`: the assumed capacity of each zone before anything is observed.
+    pub fn new(settings: &Failover, capacity_per_s: &[f64], epoch: u64, now: Time) -> Decider {
+        let zones = settings.zones.len();
         Decider {
-            near: file.nearness(),
-            file: file.clone(),
+            by_distance: settings.zones_by_distance(),
+            settings: settings.clone(),
             health: vec![Health::new(now); zones],
-            shown: (0..zones).map(|z| bears.get(z).copied().unwrap_or(0.0).max(0.0)).collect(),
-            hands: BTreeMap::new(),
+            observed_capacity: (0..zones)
+                .map(|z| capacity_per_s.get(z).copied().unwrap_or(0.0).max(0.0))
+                .collect(),
+            overrides: BTreeMap::new(),
             reports: BTreeMap::new(),
-            gathered: vec![(now, BTreeMap::new()); zones],
-            table: Table::near(epoch, 0),
-            next: now,
+            evidence: vec![(now, BTreeMap::new()); zones],
+            table: Table::all_local(epoch, 0),
+            next_step: now,
             reasons: VecDeque::new(),
             unplaced: BTreeMap::new(),
         }
@@ -121,155 +128,161 @@
         self.reasons.iter()
     }
 
-    /// How much of a zone is used: by what is seen, and by the operators' hand.
-    pub fn use_of(&self, now: Time, zone: usize) -> f64 {
-        let seen = self.health.get(zone).map_or(0.0, |h| h.use_of_it);
-        match self.hands.get(&zone) {
-            None => seen,
-            Some(Hand::Forbid) => 0.0,
-            Some(Hand::Pin(part)) => part.clamp(0.0, 1.0),
-            Some(Hand::Drain { since, over }) => {
-                let left = 1.0 - ((now - *since) / *over).min(1.0);
-                seen.min(left)
+    /// The usable share of a zone by its health and the operator's override.
+    pub fn usable_share(&self, now: Time, zone: usize) -> f64 {
+        let healthy = self.health.get(zone).map_or(0.0, |h| h.usable_share);
+        match self.overrides.get(&zone) {
+            None => healthy,
+            Some(ManualOverride::Forbid) => 0.0,
+            Some(ManualOverride::Pin(share)) => share.clamp(0.0, 1.0),
+            Some(ManualOverride::Drain { since, over }) => {
+                let remaining = 1.0 - ((now - *since) / *over).min(1.0);
+                healthy.min(remaining)
             }
         }
     }
 
-    pub fn shown(&self, zone: usize) -> f64 {
-        self.shown.get(zone).copied().unwrap_or(0.0)
+    pub fn observed_capacity(&self, zone: usize) -> f64 {
+        self.observed_capacity.get(zone).copied().unwrap_or(0.0)
     }
 
     // Inputs.
 
     pub fn report(&mut self, now: Time, gateway: u64, report: Report) {
-        if self.reports.len() >= MOST_GATEWAYS && !self.reports.contains_key(&gateway) {
+        if self.reports.len() >= MAX_GATEWAYS && !self.reports.contains_key(&gateway) {
             let oldest = self.reports.iter().min_by_key(|(_, r)| r.0).map(|(g, _)| *g);
             oldest.into_iter().for_each(|g| _ = self.reports.remove(&g));
         }
-        for (&zone, account) in &report.into {
-            let sound = account.hops.is_finite() && account.bad.is_finite();
-            if let Some((_, all)) = self.gathered.get_mut(zone).filter(|_| sound)
-                && (all.len() < MOST_GATEWAYS || all.contains_key(&gateway))
+        for (&zone, evidence) in &report.hops {
+            let is_valid = evidence.hops.is_finite() && evidence.bad.is_finite();
+            if let Some((_, all)) = self.evidence.get_mut(zone).filter(|_| is_valid)
+                && (all.len() < MAX_GATEWAYS || all.contains_key(&gateway))
             {
                 let sum = all.entry(gateway).or_default();
-                (sum.hops, sum.bad) = (sum.hops + account.hops, sum.bad + account.bad);
+                (sum.hops, sum.bad) = (sum.hops + evidence.hops, sum.bad + evidence.bad);
             }
         }
         self.reports.insert(gateway, (now, report));
     }
 
-    /// `None`: what is seen counts again; it returns by steps.
-    pub fn hand(&mut self, now: Time, zone: usize, hand: Option<Hand>) {
+    /// Sets or clears an override. With `None` the evidence counts again, and the share returns by steps.
+    pub fn set_override(&mut self, now: Time, zone: usize, manual: Option<ManualOverride>) {
         if zone >= self.health.len() {
             return;
         }
-        match hand {
-            Some(hand) => {
-                self.hands.insert(zone, hand);
-                self.note(now, zone, What::Hand(hand));
+        match manual {
+            Some(manual) => {
+                self.overrides.insert(zone, manual);
+                self.push_reason(now, zone, Change::Override(manual));
             }
-            None if self.hands.remove(&zone).is_some() => {
-                // Its caches have been without txns: it returns as one that is cold.
-                self.health[zone].cold(now, &self.file.steps);
+            None if self.overrides.remove(&zone).is_some() => {
+                // Its caches had no txns meanwhile, so the zone returns as a cold one.
+                self.health[zone].mark_cold(now, &self.settings.steps);
             }
             None => {}
         }
     }
 
-    /// A zone has come back with nothing.
-    pub fn cold(&mut self, now: Time, zone: usize) {
+    /// A zone has returned with cold caches.
+    pub fn mark_cold(&mut self, now: Time, zone: usize) {
         if let Some(health) = self.health.get_mut(zone) {
-            health.cold(now, &self.file.steps);
+            health.mark_cold(now, &self.settings.steps);
         }
     }
 
     // Time.
 
     pub fn next_wake(&self) -> Time {
-        self.next
+        self.next_step
     }
 
-    /// The next table, once its time has come.
+    /// Computes the next table if a step is due.
     pub fn tick(&mut self, now: Time) -> Option<&Table> {
-        if now < self.next {
+        if now < self.next_step {
             return None;
         }
-        self.next = now + Span::from_millis(self.file.steps.every_ms);
-        self.reports.retain(|_, (at, _)| now - *at < SAYS_FOR);
-        let steps = self.file.steps.clone();
-        (0..self.health.len()).for_each(|zone| self.see(now, zone, &steps));
+        self.next_step = now + Span::from_millis(self.settings.steps.every_ms);
+        self.reports.retain(|_, (at, _)| now - *at < REPORT_TTL);
+        let steps = self.settings.steps.clone();
+        (0..self.health.len()).for_each(|zone| self.evaluate_zone(now, zone, &steps));
         let loads = self.loads();
         let zones: Vec<Zone> = (0..self.health.len())
-            .map(|z| Zone { bears: self.shown[z], use_of_it: self.use_of(now, z) })
+            .map(|z| Zone {
+                capacity_per_s: self.observed_capacity[z],
+                usable_share: self.usable_share(now, z),
+            })
             .collect();
-        let view = View {
+        let input = PlanInput {
             loads: &loads,
             zones: &zones,
-            near: &self.near,
-            crossing: &self.file.crossing,
+            by_distance: &self.by_distance,
+            crossing: &self.settings.crossing,
             steps: &steps,
         };
-        let wanted = target(&view, self.table.epoch, self.table.version);
-        let next = step(&self.table, &wanted.table, &view);
-        self.tell(now, &next, &wanted, &loads);
+        let target = target(&input, self.table.epoch, self.table.version);
+        let next = step(&self.table, &target.table, &input);
+        self.record_changes(now, &next, &target, &loads);
         self.table = next;
         Some(&self.table)
     }
 
-    /// What a step would do, without doing it.
-    pub fn dry_run(&self, now: Time, zone: usize, hand: Option<Hand>) -> Decider {
+    /// The state after one step with the override, without changing this one.
+    pub fn dry_run(&self, now: Time, zone: usize, manual: Option<ManualOverride>) -> Decider {
         let mut other = self.clone();
         other.reasons.clear();
-        other.hand(now, zone, hand);
-        other.next = now;
+        other.set_override(now, zone, manual);
+        other.next_step = now;
         other.tick(now);
         other
     }
 
-    fn see(&mut self, now: Time, zone: usize, steps: &Steps) {
-        // A zone that gets little says little: its accounts add up until they say something, or are too old.
-        let (since, accounts) = &mut self.gathered[zone];
-        let seen: Option<Estimate> = estimate(accounts);
-        if seen.is_some() || now - *since >= GATHERS {
-            accounts.clear();
+    fn evaluate_zone(&mut self, now: Time, zone: usize, steps: &Steps) {
+        // A zone with little traffic yields little evidence: it accumulates until it suffices for an estimate or is
+        // too old.
+        let (since, evidence) = &mut self.evidence[zone];
+        let estimated: Option<Estimate> = estimate(evidence);
+        if estimated.is_some() || now - *since >= EVIDENCE_WINDOW {
+            evidence.clear();
             *since = now;
         }
         let rate: f64 =
             self.reports.values().filter_map(|(_, r)| r.rates.get(&zone)).filter(|r| r.is_finite()).sum();
-        let before = self.health[zone].use_of_it;
-        self.health[zone].step(now, seen, steps);
-        let after = self.health[zone].use_of_it;
-        self.learn(zone, seen, rate);
+        let before = self.health[zone].usable_share;
+        self.health[zone].step(now, estimated, steps);
+        let after = self.health[zone].usable_share;
+        self.update_capacity(zone, estimated, rate);
         if after < before {
-            let bad = seen.map_or(0.0, |s| s.bad);
-            self.note(now, zone, What::Ill { bad, use_of_it: after });
+            let bad_share = estimated.map_or(0.0, |s| s.bad_share);
+            self.push_reason(now, zone, Change::Degraded { bad_share, usable_share: after });
         } else if after > before {
-            self.note(now, zone, What::Returns { use_of_it: after });
+            self.push_reason(now, zone, Change::Recovering { usable_share: after });
         }
     }
 
-    /// What a zone bears is what it was seen to serve well, and a little more where all of that is used and somebody
-    /// finds no room.
-    fn learn(&mut self, zone: usize, seen: Option<Estimate>, rate: f64) {
-        let Some(seen) = seen else { return };
-        let wanted = self.unplaced.values().any(|n| *n > 0.0);
-        let shown = &mut self.shown[zone];
-        let well = rate * (1.0 - seen.bad);
-        if Health::is_ordinary(seen.bad) {
-            *shown *= 1.0 - FORGETS;
-            let probes = wanted && rate >= *shown * (USED - PROBES);
-            *shown = rate.max(if probes { *shown * (1.0 + PROBES) } else { *shown });
-        } else if !Health::is_useless(seen.bad) && rate >= *shown * BY_LOAD {
-            // A brown-out follows its load: what went wrong was too much. What is dark says nothing of what it bears.
-            *shown = shown.min(well.max(*shown * (1.0 - 2.0 * PROBES)));
+    /// Updates the observed capacity of a zone from the rate that it serves well. The capacity is probed upwards while
+    /// it is nearly used up and some load is unplaced.
+    fn update_capacity(&mut self, zone: usize, estimate: Option<Estimate>, rate: f64) {
+        let Some(estimate) = estimate else { return };
+        let some_unplaced = self.unplaced.values().any(|n| *n > 0.0);
+        let capacity = &mut self.observed_capacity[zone];
+        let served = rate * (1.0 - estimate.bad_share);
+        if Health::is_normal(estimate.bad_share) {
+            *capacity *= 1.0 - CAPACITY_DECAY;
+            let probe = some_unplaced && rate >= *capacity * (PROBE_UTILIZATION - CAPACITY_PROBE_STEP);
+            *capacity = rate.max(if probe { *capacity * (1.0 + CAPACITY_PROBE_STEP) } else { *capacity });
+        } else if !Health::is_unusable(estimate.bad_share) && rate >= *capacity * MIN_OVERLOAD_UTILIZATION {
+            // In a brown-out the failures follow the load, so the load exceeded the capacity. A dark zone says
+            // nothing about its capacity.
+            *capacity = capacity.min(served.max(*capacity * (1.0 - 2.0 * CAPACITY_PROBE_STEP)));
         }
     }
 
     fn loads(&self) -> Vec<Load> {
-        let mut all: BTreeMap<From, (f64, f64)> = BTreeMap::new();
+        let mut all: BTreeMap<Flow, (f64, f64)> = BTreeMap::new();
         for load in self.reports.values().flat_map(|(_, r)| &r.loads) {
-            let sound = load.per_s.is_finite() && load.per_s > 0.0 && load.kb.is_finite() && load.kb >= 0.0;
-            if sound && load.from.0 < self.health.len() {
+            let is_valid =
+                load.per_s.is_finite() && load.per_s > 0.0 && load.kb.is_finite() && load.kb >= 0.0;
+            if is_valid && load.from.0 < self.health.len() {
                 let sum = all.entry(load.from).or_default();
                 sum.0 += load.per_s;
                 sum.1 += load.per_s * load.kb;
@@ -278,30 +291,31 @@
         all.into_iter().map(|(from, (per_s, kb))| Load { from, per_s, kb: kb / per_s }).collect()
     }
 
-    fn tell(&mut self, now: Time, next: &Table, wanted: &Target, loads: &[Load]) {
-        let leaves = |table: &Table, zone: usize| {
+    fn record_changes(&mut self, now: Time, next: &Table, target: &Target, loads: &[Load]) {
+        let away_share = |table: &Table, zone: usize| {
             let own = loads.iter().filter(|l| l.from.0 == zone);
-            let (all, away) =
-                own.fold((0.0, 0.0), |(all, away), l| (all + l.per_s, away + l.per_s * table.away(l.from)));
+            let (all, away) = own.fold((0.0, 0.0), |(all, away), l| {
+                (all + l.per_s, away + l.per_s * table.away_share(l.from))
+            });
             if all > 0.0 { away / all } else { 0.0 }
         };
         for zone in 0..self.health.len() {
-            let (part, before) = (leaves(next, zone), leaves(&self.table, zone));
-            if (part - before).abs() >= WORTH {
-                self.note(now, zone, What::Leaves { part, before });
+            let (share, before) = (away_share(next, zone), away_share(&self.table, zone));
+            if (share - before).abs() >= MIN_REPORTED_MOVE {
+                self.push_reason(now, zone, Change::ShareAway { share, before });
             }
-            let unplaced: f64 = wanted.unplaced.iter().filter(|u| u.0.0 == zone).map(|u| u.1).sum();
-            let known = self.unplaced.insert(zone, unplaced).unwrap_or(0.0);
-            if (unplaced > 0.0) != (known > 0.0) {
-                self.note(now, zone, What::Unplaced(unplaced));
+            let unplaced: f64 = target.unplaced.iter().filter(|u| u.0.0 == zone).map(|u| u.1).sum();
+            let previous = self.unplaced.insert(zone, unplaced).unwrap_or(0.0);
+            if (unplaced > 0.0) != (previous > 0.0) {
+                self.push_reason(now, zone, Change::Unplaced(unplaced));
             }
         }
     }
 
-    fn note(&mut self, at: Time, zone: usize, what: What) {
-        if self.reasons.len() >= MOST_REASONS {
+    fn push_reason(&mut self, at: Time, zone: usize, change: Change) {
+        if self.reasons.len() >= MAX_REASONS {
             self.reasons.pop_front();
         }
-        self.reasons.push_back(Reason { at, version: self.table.version + 1, zone, what });
+        self.reasons.push_back(Reason { at, version: self.table.version + 1, zone, change });
     }
 }
--- a/routes/tests/broken.rs
+++ b/routes/tests/broken.rs
@@ -1,5 +1,5 @@
-//! Configurations broken on purpose, against one suite: how many are caught, by the expectation that is meant for them,
-//! with nobody, one and two members in trouble. Prints the shares.
+//! Runs one suite against deliberately broken configurations: each must be caught by the expectation meant for it. Prints
+//! how many are caught with no, one and two failed members.
 
 use kelpcart_gateway::config::Config;
 use kelpcart_routes::expect::Suite;
@@ -42,7 +42,7 @@
             "while": {"members": {"silent": {"kind": "origin"}}}, "must": {"be_aborted": true}},
         {"name": "segment served in every pair of drains", "about": {"rule": "segment"}, "troubles": box_troubles,
             "must": {"be_served": true}},
-        {"name": "segment tried again", "about": {"rule": "segment", "objects": 6}, "troubles": ["failing"], "search": 1,
+        {"name": "segment retried", "about": {"rule": "segment", "objects": 6}, "troubles": ["failing"], "search": 1,
             "must": {"be_served": true}},
         {"name": "segment stays here", "about": {"rule": "segment"}, "troubles": box_troubles,
             "must": {"stay_in_zone": "here"}},
@@ -52,7 +52,7 @@
             "must": {"share_between": {"of": {"names": ["a1"]}, "least": 0.23, "most": 0.43}}},
         {"name": "a box moves its own", "about": {"rule": "segment", "objects": 300}, "troubles": box_troubles,
             "search": 1, "must": {"move_at_most": 0.45}},
-        {"name": "told when to come back", "about": {"rule": "segment"}, "search": 0,
+        {"name": "rejection carries a retry time", "about": {"rule": "segment"}, "search": 0,
             "while": {"members": {"full": {"kind": "box"}, "down": {"kind": "parent"}, "draining": {"kind": "origin"}}},
             "must": {"come_back_within_ms": 250}},
         {"name": "rejected, not aborted", "about": {"rule": "segment"}, "search": 0,
@@ -78,7 +78,7 @@
         }
     };
     let set = |i: usize, field: &str, value: Value| -> (&'static str, Value) {
-        // Paths live as long as the test.
+        // Leaked, so that the paths live as long as the test.
         (Box::leak(format!("{LIST}/{i}/{field}").into_boxed_str()), value)
     };
     let gone = |i: usize| set(i, "status", json!("removed"));
@@ -90,24 +90,24 @@
         ("commit repeatable", vec![("/settings/Classes/1/Repeat", json!("pure"))], "commit once"),
         ("commit keyed", vec![("/settings/Classes/1/Repeat", json!("token"))], "commit in doubt aborts"),
         (
-            "commit kept like a read",
+            "commit cached like a read",
             vec![(family("pass"), json!([false, false]))],
             "commit first at the origin",
         ),
         (
             "segment unrepeatable",
             vec![("/settings/Classes/0/Repeat", json!("side_effect"))],
-            "segment tried again",
+            "segment retried",
         ),
         ("segment a write", vec![(family("pass"), json!([true, true]))], "segment stays here"),
-        ("one hop a txn", vec![("/settings/PolicyLimits/MaxAttempts", json!(1))], "segment tried again"),
+        ("one hop a txn", vec![("/settings/PolicyLimits/MaxAttempts", json!(1))], "segment retried"),
         (
             "no time to come back",
             vec![("/settings/PolicyLimits/RetryAfter", json!(false))],
-            "told when to come back",
+            "rejection carries a retry time",
         ),
         ("parents of the wrong kind", vec![(family("parent"), json!(0))], "fills from parents"),
-        ("no parents known", vec![(family("parent"), Value::Null)], "fills from parents"),
+        ("no parents configured", vec![(family("parent"), Value::Null)], "fills from parents"),
         ("the origin of the wrong kind", vec![(family("origin"), json!(0))], "commit first at the origin"),
         ("no direct hops", vec![(family("bypass"), json!(false))], "commit first at the origin"),
         ("a1 removed", vec![gone(0)], "boxes share"),
@@ -130,7 +130,7 @@
         ("a1 ten times the size", vec![set(0, "weight", json!(40))], "boxes share"),
         ("a1 a tenth of the size", vec![set(0, "weight", json!(0.4))], "boxes share"),
         ("a2 ten times the size", vec![set(1, "weight", json!(40))], "a box moves its own"),
-        ("sizes not told, a1 removed", vec![("/settings/Weights", json!("none")), gone(0)], "boxes share"),
+        ("no weights, a1 removed", vec![("/settings/Weights", json!("none")), gone(0)], "boxes share"),
     ]
 }
 
@@ -139,32 +139,32 @@
     for (path, value) in changes {
         *all.pointer_mut(path).unwrap() = value.clone();
     }
-    Fleet::of(&Config::read(&all.to_string()).unwrap())
+    Fleet::from_config(&Config::read(&all.to_string()).unwrap())
 }
 
-/// The names of those that do not hold.
-fn fail(fleet: &Fleet, most: usize) -> Vec<String> {
+/// The names of the expectations that do not hold.
+fn failed(fleet: &Fleet, max_search: usize) -> Vec<String> {
     let text = suite();
-    let all = search::run(fleet, &Suite::read(&text).unwrap(), &text, Some(most));
+    let all = search::run(fleet, &Suite::read(&text).unwrap(), &text, Some(max_search));
     all.into_iter().filter(|o| !o.passes()).map(|o| o.name).collect()
 }
 
 #[test]
 fn every_broken_configuration_is_caught_by_the_expectation_meant_for_it() {
-    assert_eq!(fail(&fleet(&[]), 2), Vec::<String>::new(), "the unbroken one fails falsely");
+    assert_eq!(failed(&fleet(&[]), 2), Vec::<String>::new(), "false failure on the unbroken configuration");
     let (mut caught, mut missed, edits) = ([0; 3], Vec::new(), edits());
     for (name, changes, meant) in &edits {
         let broken = fleet(changes);
-        for (most, n) in caught.iter_mut().enumerate() {
-            let failed = fail(&broken, most);
-            let named = failed.iter().any(|f| f == meant);
-            *n += usize::from(named);
-            if most == 2 && !named {
-                missed.push(format!("{name}: {failed:?}"));
+        for (max_search, n) in caught.iter_mut().enumerate() {
+            let names = failed(&broken, max_search);
+            let found = names.iter().any(|f| f == meant);
+            *n += usize::from(found);
+            if max_search == 2 && !found {
+                missed.push(format!("{name}: {names:?}"));
             }
         }
     }
-    println!("of {} caught with 0, 1 and 2 in trouble: {caught:?}", edits.len());
+    println!("of {} caught with 0, 1 and 2 failed members: {caught:?}", edits.len());
     assert!(missed.is_empty(), "{missed:#?}");
     assert!(edits.len() >= 30 && caught[0] < caught[2]);
 }
