--- a/feed/tests/hard.rs
+++ b/feed/tests/hard.rs
@@ -490,7 +490,7 @@
 }
 
 #[test]
-fn set_faulty_clocks_change_nothing() {
+fn faulty_clocks_change_nothing() {
     let mut w = Simulation::new(SMALL, 15);
     let (hub, gateway, contact) = (0, 4, 9);
     w.sim.slots[hub].ahead = ms(3_600_000);
