--- a/copies/examples/measure.rs
+++ b/copies/examples/measure.rs
@@ -2,10 +2,10 @@
 //! brought there. Prints a table; `--json FILE` gives the same figures, `--seed N` another run.
 
 use kelpcart::{Span, Time};
-use kelpcart_copies::command::{End, Greet, Note, Outcome, Word};
+use kelpcart_copies::command::{CommandResult, EndTxn, Operation, OutcomeRecord, RegisterSender};
 use kelpcart_copies::machine::Machine;
 use kelpcart_copies::node::{Node, Out};
-use kelpcart_copies::notes::Notes;
+use kelpcart_copies::outcome_log::OutcomeLog;
 use kelpcart_copies::settings::Copies;
 use kelpcart_sites::ledger::{Answer, Bounds, Change, Key, TxnOutcome};
 use kelpcart_sites::store::Store;
@@ -20,7 +20,7 @@
         "gateway": format!("g{i}"), "listen": format!("127.0.0.1:{}", 7_000 + i), "copies": copies, "groups": groups,
         "holders": (0..n).map(holder).collect::<Vec<_>>(), "bounds": {"entries": 1_000_000, "age_ms": 600_000},
     });
-    Copies::read(&all.to_string()).expect("a file that fits")
+    Copies::parse(&all.to_string()).expect("a file that fits")
 }
 
 /// Holders that hear each other at once, on one thread.
@@ -55,7 +55,7 @@
                     self.bytes += frame.len() as u64;
                     self.frames.push_back((i, holder, frame));
                 }
-                Out::Told(told) => self.done += u64::from(told.result != Ok(Outcome::Running)),
+                Out::Told(told) => self.done += u64::from(told.result != Ok(CommandResult::Running)),
                 Out::Ledger { .. } | Out::Write { .. } => {}
             }
         }
@@ -93,7 +93,12 @@
     let senders: Vec<u64> = (1..=64).collect();
     for &sender in &senders {
         let group = world.all[0].group_of(sender);
-        world.all[0].ask(world.now, group, 9, Word::Greet(Greet { sender, fresh: 1 }));
+        world.all[0].ask(
+            world.now,
+            group,
+            9,
+            Operation::RegisterSender(RegisterSender { sender, next_number: 1 }),
+        );
     }
     world.settle();
     let (total, began, bytes, done) = (20_000u64, Instant::now(), world.bytes, world.done);
@@ -106,7 +111,7 @@
                 let key = Key { sender: senders[one as usize % senders.len()], number: one };
                 let at = one as usize % n;
                 let group = world.all[at].group_of(key.sender);
-                let word = if end { Word::end(key, &answer(one), 0) } else { Word::take(key) };
+                let word = if end { Operation::end(key, &answer(one), 0) } else { Operation::accept(key) };
                 world.all[at].ask(world.now, group, 9, word);
             }
             world.settle();
@@ -128,7 +133,12 @@
 /// what the slowest turn of the leader costs in real time.
 fn catch_up(copies: usize, seed: u64) -> Value {
     let mut world = World::new(9, copies, 1, seed);
-    world.all[0].ask(world.now, 0, 9, Word::Greet(Greet { sender: 1, fresh: 1 }));
+    world.all[0].ask(
+        world.now,
+        0,
+        9,
+        Operation::RegisterSender(RegisterSender { sender: 1, next_number: 1 }),
+    );
     world.settle();
     let mut number = 0;
     let mut books = |world: &mut World, n: u64| {
@@ -136,7 +146,7 @@
             for one in number + 1..=number + n {
                 let key = Key { sender: 1, number: one };
                 let at = one as usize % world.all.len();
-                let word = if end { Word::end(key, &answer(one), 0) } else { Word::take(key) };
+                let word = if end { Operation::end(key, &answer(one), 0) } else { Operation::accept(key) };
                 world.all[at].ask(world.now, 0, 9, word);
             }
             world.settle();
@@ -189,13 +199,17 @@
     let age = Span::from_millis(60_000);
     let bounds = Bounds { entries: 1_000_000, bytes: 64 << 20, age, senders: 256 };
     let mut machine = Machine::new(bounds, 1);
-    machine.apply(Time::from_micros(1), 5, &Word::Greet(Greet { sender: 1, fresh: 1 }));
+    machine.apply(
+        Time::from_micros(1),
+        5,
+        &Operation::RegisterSender(RegisterSender { sender: 1, next_number: 1 }),
+    );
     let before = resident_kb();
     let began = Instant::now();
     for number in 1..=entries {
         let key = Key { sender: 1, number };
-        machine.apply(Time::from_micros(number), 5, &Word::take(key));
-        machine.apply(Time::from_micros(number), 5, &Word::end(key, &answer(number), 0));
+        machine.apply(Time::from_micros(number), 5, &Operation::accept(key));
+        machine.apply(Time::from_micros(number), 5, &Operation::end(key, &answer(number), 0));
     }
     let filled = began.elapsed().as_secs_f64();
     let kb = resident_kb().saturating_sub(before);
@@ -213,7 +227,7 @@
 /// Endings brought to the disk, some at a time: a file of records, and the embedded store.
 fn disk(at_once: u64) -> Value {
     let folder = std::env::temp_dir().join(format!("kelpcart-copies-{}", std::process::id()));
-    let (mut notes, _) = Notes::open(&folder).expect("a folder");
+    let (mut notes, _) = OutcomeLog::open(&folder).expect("a folder");
     let rounds = 100;
     let one = |n: u64| (Key { sender: 1, number: n }, Arc::new(answer(n)));
     let p = |mut all: Vec<f64>, q: f64| {
@@ -225,8 +239,8 @@
     for round in 0..rounds {
         let all: Vec<_> = (0..at_once).map(|i| one(round * at_once + i)).collect();
         let began = Instant::now();
-        let records: Vec<Note> =
-            all.iter().map(|(key, a)| Note { ledger: 1, end: Some(End::of(*key, a)) }).collect();
+        let records: Vec<OutcomeRecord> =
+            all.iter().map(|(key, a)| OutcomeRecord { ledger: 1, end: Some(EndTxn::new(*key, a)) }).collect();
         notes.write(records.iter()).expect("room on the disk");
         log.push(began.elapsed().as_secs_f64());
         let began = Instant::now();
--- a/copies/src/client.rs
+++ b/copies/src/client.rs
@@ -1,53 +1,58 @@
 //! What this gateway asks of groups and has no word on yet: to whom it goes, how often, and when it is told off. Must
 //! never hold what can't be had: without a leader that is heard, what would be a new promise is told off at once.
 
-use crate::command::{Command, Outcome, Word};
+use crate::command::{Command, CommandResult, Operation};
 use kelpcart::{Span, Time};
 use kelpcart_sites::acceptor::AcceptResult;
 use kelpcart_sites::ledger::Lookup;
 use std::collections::BTreeMap;
 
 /// A question without an answer is put again after this time: its leader may have gone since.
-const AGAIN: Span = Span::from_millis(150);
+const RETRANSMIT_INTERVAL: Span = Span::from_millis(150);
 /// An ending that can't be copied is told this long, and let go then: what it ended is unknown by that time.
-const ENDINGS: Span = Span::from_millis(30_000);
+const OUTCOME_TIMEOUT: Span = Span::from_millis(30_000);
 /// Questions of this gateway without an answer.
-pub const MOST: usize = 16_384;
+pub const MAX_PENDING: usize = 16_384;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failed {
+pub enum RequestError {
     /// Nothing of it was told to any group.
-    Never,
+    NotSent,
     /// It may stand in a group's ledger, and nobody will act on it but this gateway.
-    Unheard,
+    Unconfirmed,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
-    pub ask: u64,
-    pub result: Result<Outcome, Failed>,
+pub struct Response {
+    pub request_id: u64,
+    pub result: Result<CommandResult, RequestError>,
 }
 
 /// What a far end may do on a group's word about a txn that it wants to run, asked for and heard at these times. `right`:
 /// how long after its question it may act: nobody calls it lost before, but somebody may after that.
-pub fn taken(result: Result<Outcome, Failed>, asked: Time, heard: Time, right: Span) -> AcceptResult {
+pub fn accept_result(
+    result: Result<CommandResult, RequestError>,
+    asked: Time,
+    heard: Time,
+    right: Span,
+) -> AcceptResult {
     match result {
         // Who was stopped in between may be held to be lost by now.
-        Ok(Outcome::Go) if heard - asked < right => AcceptResult::Granted,
-        Ok(Outcome::Running) => AcceptResult::Running,
-        Ok(Outcome::Ended(answer)) => AcceptResult::Ended(answer),
-        Ok(Outcome::Unknown) => AcceptResult::Unknown,
+        Ok(CommandResult::Granted) if heard - asked < right => AcceptResult::Granted,
+        Ok(CommandResult::Running) => AcceptResult::Running,
+        Ok(CommandResult::Ended(answer)) => AcceptResult::Ended(answer),
+        Ok(CommandResult::Unknown) => AcceptResult::Unknown,
         // Nobody but this gateway could act on it, and it does not.
         _ => AcceptResult::NotAccepted,
     }
 }
 
 /// What a group knows of a number; `None`: it does not say.
-pub fn found(result: Result<Outcome, Failed>) -> Option<Lookup> {
+pub fn lookup_result(result: Result<CommandResult, RequestError>) -> Option<Lookup> {
     Some(match result.ok()? {
-        Outcome::NeverTaken => Lookup::NeverAccepted,
-        Outcome::Running => Lookup::Running,
-        Outcome::Ended(answer) => Lookup::Ended(answer),
+        CommandResult::NeverAccepted => Lookup::NeverAccepted,
+        CommandResult::Running => Lookup::Running,
+        CommandResult::Ended(answer) => Lookup::Ended(answer),
         _ => Lookup::Unknown,
     })
 }
@@ -57,11 +62,11 @@
     group: u32,
     importance: u32,
     command: Command,
-    until: Time,
+    deadline: Time,
     /// To which start of a gateway it went last, and when.
     sent: Option<(u64, Time)>,
     /// It was heard by one that could act on it.
-    heard: bool,
+    was_sent: bool,
 }
 
 /// What is known of a group's leader.
@@ -70,53 +75,53 @@
     pub ledger: u64,
     pub term: u64,
     /// This start of a gateway.
-    pub id: u64,
+    pub run_id: u64,
     pub ready: bool,
-    pub heard: Time,
+    pub last_heard: Time,
 }
 
 #[derive(Debug, PartialEq)]
-pub struct Send {
+pub struct OutgoingRequest {
     pub to: u64,
     pub group: u32,
     pub ledger: u64,
-    pub ask: u64,
+    pub request_id: u64,
     pub importance: u32,
     pub command: Command,
 }
 
 #[derive(Debug)]
 pub struct Client {
-    wait: Span,
+    request_timeout: Span,
     /// A leader not heard for this time leads no more, as far as this gateway goes.
-    leads_for: Span,
+    leader_timeout: Span,
     leaders: BTreeMap<u32, Leader>,
     pending: BTreeMap<u64, Pending>,
-    next: u64,
-    pub told: Vec<Told>,
-    pub send: Vec<Send>,
-    pub told_off: u64,
-    pub unheard: u64,
+    last_request_id: u64,
+    pub responses: Vec<Response>,
+    pub outgoing: Vec<OutgoingRequest>,
+    pub refused: u64,
+    pub timed_out: u64,
 }
 
 impl Client {
     pub fn new(wait: Span, leads_for: Span) -> Client {
         Client {
-            wait,
-            leads_for,
+            request_timeout: wait,
+            leader_timeout: leads_for,
             leaders: BTreeMap::new(),
             pending: BTreeMap::new(),
-            next: 0,
-            told: Vec::new(),
-            send: Vec::new(),
-            told_off: 0,
-            unheard: 0,
+            last_request_id: 0,
+            responses: Vec::new(),
+            outgoing: Vec::new(),
+            refused: 0,
+            timed_out: 0,
         }
     }
 
     /// The leader, while it is heard and may give promises.
     pub fn leader(&self, now: Time, group: u32) -> Option<Leader> {
-        let heard = |l: &&Leader| l.ready && now - l.heard < self.leads_for;
+        let heard = |l: &&Leader| l.ready && now - l.last_heard < self.leader_timeout;
         self.leaders.get(&group).filter(heard).copied()
     }
 
@@ -126,108 +131,112 @@
     }
 
     /// A gateway says that it leads. `true`: the group has another ledger than before.
-    pub fn leads(&mut self, now: Time, group: u32, leader: Leader) -> bool {
+    pub fn leader_announced(&mut self, now: Time, group: u32, leader: Leader) -> bool {
         let before = self.leaders.get(&group).copied();
         if let Some(known) = before {
             let same = known.ledger == leader.ledger;
             let older = same && known.term > leader.term;
-            let other = !same && now - known.heard < self.leads_for && known.ready;
+            let other = !same && now - known.last_heard < self.leader_timeout && known.ready;
             if older || other {
                 return false;
             }
         }
         self.leaders.insert(group, leader);
-        let moved = before.is_none_or(|b| b.id != leader.id || b.ready != leader.ready);
+        let moved = before.is_none_or(|b| b.run_id != leader.run_id || b.ready != leader.ready);
         if moved && leader.ready {
             let waits: Vec<u64> =
                 self.pending.iter().filter(|(_, p)| p.group == group).map(|(a, _)| *a).collect();
-            waits.into_iter().for_each(|ask| self.put(now, ask));
+            waits.into_iter().for_each(|ask| self.transmit(now, ask));
         }
         before.is_none_or(|b| b.ledger != leader.ledger)
     }
 
     /// Asks a group for something; the number under which it will be told what came of it.
-    pub fn ask(&mut self, now: Time, group: u32, importance: u32, word: Word) -> u64 {
-        self.next += 1;
-        let ask = self.next;
-        let promise = matches!(word, Word::Take(_) | Word::Greet(_));
-        let lasts = if matches!(word, Word::End(_)) { ENDINGS } else { self.wait };
-        if self.pending.len() >= MOST || promise && self.leader(now, group).is_none() {
-            self.told_off += 1;
-            self.told.push(Told { ask, result: Err(Failed::Never) });
+    pub fn submit(&mut self, now: Time, group: u32, importance: u32, word: Operation) -> u64 {
+        self.last_request_id += 1;
+        let ask = self.last_request_id;
+        let promise = matches!(word, Operation::Accept(_) | Operation::RegisterSender(_));
+        let lasts = if matches!(word, Operation::End(_)) { OUTCOME_TIMEOUT } else { self.request_timeout };
+        if self.pending.len() >= MAX_PENDING || promise && self.leader(now, group).is_none() {
+            self.refused += 1;
+            self.responses.push(Response { request_id: ask, result: Err(RequestError::NotSent) });
             return ask;
         }
-        let command = Command { word: Some(word) };
+        let command = Command { operation: Some(word) };
         let until = now + lasts;
-        self.pending.insert(ask, Pending { group, importance, command, until, sent: None, heard: false });
-        self.put(now, ask);
+        self.pending.insert(
+            ask,
+            Pending { group, importance, command, deadline: until, sent: None, was_sent: false },
+        );
+        self.transmit(now, ask);
         ask
     }
 
     /// Nobody waits for it any more.
-    pub fn forget(&mut self, ask: u64) {
+    pub fn cancel(&mut self, ask: u64) {
         self.pending.remove(&ask);
     }
 
-    fn put(&mut self, now: Time, ask: u64) {
+    fn transmit(&mut self, now: Time, ask: u64) {
         let Some(group) = self.pending.get(&ask).map(|p| p.group) else { return };
         let Some(leader) = self.leader(now, group) else { return };
         let Some(p) = self.pending.get_mut(&ask) else { return };
-        p.sent = Some((leader.id, now));
-        p.heard = true;
-        self.send.push(Send {
-            to: leader.id,
+        p.sent = Some((leader.run_id, now));
+        p.was_sent = true;
+        self.outgoing.push(OutgoingRequest {
+            to: leader.run_id,
             group,
             ledger: leader.ledger,
-            ask,
+            request_id: ask,
             importance: p.importance,
             command: p.command.clone(),
         });
     }
 
-    pub fn done(&mut self, ask: u64, outcome: Outcome) {
+    pub fn reply_received(&mut self, ask: u64, outcome: CommandResult) {
         if self.pending.remove(&ask).is_some() {
-            self.told.push(Told { ask, result: Ok(outcome) });
+            self.responses.push(Response { request_id: ask, result: Ok(outcome) });
         }
     }
 
     /// One that it was sent to has no part in it: nothing was done.
-    pub fn not(&mut self, now: Time, from: u64, ask: u64, busy: bool) {
+    pub fn refusal_received(&mut self, now: Time, from: u64, ask: u64, busy: bool) {
         let Some(p) = self.pending.get_mut(&ask) else { return };
         if p.sent.is_none_or(|(to, _)| to != from) {
             return;
         }
         if busy {
             self.pending.remove(&ask);
-            self.told_off += 1;
-            self.told.push(Told { ask, result: Err(Failed::Never) });
+            self.refused += 1;
+            self.responses.push(Response { request_id: ask, result: Err(RequestError::NotSent) });
             return;
         }
         let group = p.group;
         p.sent = None;
         // It leads no more, or not yet: its next word says which.
-        if self.leaders.get(&group).is_some_and(|l| l.id == from) {
+        if self.leaders.get(&group).is_some_and(|l| l.run_id == from) {
             self.leaders.entry(group).and_modify(|l| l.ready = false);
         }
-        self.put(now, ask);
+        self.transmit(now, ask);
     }
 
     pub fn tick(&mut self, now: Time) {
-        let over: Vec<u64> = self.pending.iter().filter(|(_, p)| p.until <= now).map(|(a, _)| *a).collect();
+        let over: Vec<u64> =
+            self.pending.iter().filter(|(_, p)| p.deadline <= now).map(|(a, _)| *a).collect();
         for ask in over {
             if let Some(p) = self.pending.remove(&ask) {
-                self.unheard += 1;
-                let failed = if p.heard { Failed::Unheard } else { Failed::Never };
-                self.told.push(Told { ask, result: Err(failed) });
+                self.timed_out += 1;
+                let failed = if p.was_sent { RequestError::Unconfirmed } else { RequestError::NotSent };
+                self.responses.push(Response { request_id: ask, result: Err(failed) });
             }
         }
-        let again = |p: &Pending| p.sent.is_none_or(|(_, at)| now - at >= AGAIN);
+        let again = |p: &Pending| p.sent.is_none_or(|(_, at)| now - at >= RETRANSMIT_INTERVAL);
         let again: Vec<u64> = self.pending.iter().filter(|(_, p)| again(p)).map(|(a, _)| *a).collect();
-        again.into_iter().for_each(|ask| self.put(now, ask));
+        again.into_iter().for_each(|ask| self.transmit(now, ask));
     }
 
     pub fn next_wake(&self) -> Option<Time> {
-        let of = |p: &Pending| p.sent.map_or(p.until, |(_, at)| p.until.min(at + AGAIN));
+        let of = |p: &Pending| p.sent.map_or(p.deadline, |(_, at)| p.deadline.min(at + RETRANSMIT_INTERVAL));
         self.pending.values().map(of).min()
     }
 
--- a/copies/src/command.rs
+++ b/copies/src/command.rs
@@ -8,62 +8,62 @@
 
 /// One step of a group's log.
 #[derive(Clone, PartialEq, Message)]
-pub struct Step {
+pub struct LogEntry {
     /// Microseconds of the group's own time, which its leaders carry on one after the other.
     #[prost(uint64, tag = "1")]
     pub at_us: u64,
     /// The start of the gateway that asks, and its number for that; 0: the group itself.
     #[prost(fixed64, tag = "2")]
-    pub run: u64,
+    pub run_id: u64,
     #[prost(uint64, tag = "3")]
-    pub ask: u64,
+    pub request_id: u64,
     #[prost(message, optional, tag = "4")]
     pub command: Option<Command>,
 }
 
 #[derive(Clone, PartialEq, Message)]
 pub struct Command {
-    #[prost(oneof = "Word", tags = "1, 2, 3, 4, 5, 6, 7, 8")]
-    pub word: Option<Word>,
+    #[prost(oneof = "Operation", tags = "1, 2, 3, 4, 5, 6, 7, 8")]
+    pub operation: Option<Operation>,
 }
 
 #[derive(Clone, PartialEq, prost::Oneof)]
-pub enum Word {
+pub enum Operation {
     /// A gateway of another site has come.
     #[prost(message, tag = "1")]
-    Greet(Greet),
+    RegisterSender(RegisterSender),
     /// The asking gateway has a txn and wants to run it.
     #[prost(message, tag = "2")]
-    Take(Number),
+    Accept(TxnKey),
     #[prost(message, tag = "3")]
-    End(End),
+    End(EndTxn),
     /// What became of it? One that was not taken never will be.
     #[prost(message, tag = "4")]
-    Find(Find),
+    Query(Query),
     /// The sender needs no number below.
     #[prost(message, tag = "5")]
-    Settle(Number),
+    Settle(TxnKey),
     /// This start of a gateway is gone: what it ran may have run.
     #[prost(fixed64, tag = "6")]
-    Lost(u64),
+    RunnerLost(u64),
     /// What has been kept for its time is let go.
     #[prost(bool, tag = "7")]
     Expire(bool),
     /// What is known of a ledger that lost its majority.
     #[prost(message, tag = "8")]
-    Recall(Recall),
+    ImportOutcomes(ImportOutcomes),
 }
 
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct Greet {
+pub struct RegisterSender {
     #[prost(fixed64, tag = "1")]
     pub sender: u64,
     #[prost(uint64, tag = "2")]
-    pub fresh: u64,
+    pub next_number: u64,
 }
 
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct Number {
+pub struct TxnKey {
     #[prost(fixed64, tag = "1")]
     pub sender: u64,
     #[prost(uint64, tag = "2")]
@@ -71,78 +71,78 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct Find {
+pub struct Query {
     #[prost(message, optional, tag = "1")]
-    pub key: Option<Number>,
+    pub key: Option<TxnKey>,
     /// The ledger that it was sent to, where that is another one.
     #[prost(fixed64, tag = "2")]
-    pub of: u64,
+    pub ledger: u64,
 }
 
 /// How a txn ended that another ledger had taken.
 #[derive(Clone, PartialEq, Message)]
-pub struct Note {
+pub struct OutcomeRecord {
     #[prost(fixed64, tag = "1")]
     pub ledger: u64,
     #[prost(message, optional, tag = "2")]
-    pub end: Option<End>,
+    pub end: Option<EndTxn>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Recall {
+pub struct ImportOutcomes {
     #[prost(message, repeated, tag = "1")]
-    pub notes: Vec<Note>,
+    pub records: Vec<OutcomeRecord>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct End {
+pub struct EndTxn {
     #[prost(message, optional, tag = "1")]
-    pub key: Option<Number>,
+    pub key: Option<TxnKey>,
     #[prost(message, optional, tag = "2")]
-    pub answer: Option<Kept>,
+    pub answer: Option<StoredAnswer>,
     /// The ledger that had taken it; 0: the one that is told.
     #[prost(fixed64, tag = "3")]
-    pub of: u64,
+    pub ledger: u64,
 }
 
 /// How a txn ended, in the form of a link, with the bytes of its answer.
 #[derive(Clone, PartialEq, Message)]
-pub struct Kept {
+pub struct StoredAnswer {
     #[prost(message, optional, tag = "1")]
     pub answer: Option<wire::Answer>,
     #[prost(bytes = "vec", tag = "2")]
     pub body: Vec<u8>,
 }
 
-impl From<Key> for Number {
-    fn from(key: Key) -> Number {
-        Number { sender: key.sender, number: key.number }
+impl From<Key> for TxnKey {
+    fn from(key: Key) -> TxnKey {
+        TxnKey { sender: key.sender, number: key.number }
     }
 }
 
-impl From<Number> for Key {
-    fn from(n: Number) -> Key {
+impl From<TxnKey> for Key {
+    fn from(n: TxnKey) -> Key {
         Key { sender: n.sender, number: n.number }
     }
 }
 
-impl From<&Answer> for Kept {
-    fn from(answer: &Answer) -> Kept {
+impl From<&Answer> for StoredAnswer {
+    fn from(answer: &Answer) -> StoredAnswer {
         // Its number stands with the key.
         let told = wire::Answer::new(0, answer.outcome, answer.body.len());
-        Kept { answer: Some(told), body: answer.body.clone() }
+        StoredAnswer { answer: Some(told), body: answer.body.clone() }
     }
 }
 
-impl Kept {
+impl StoredAnswer {
     pub fn answer(self) -> Option<Answer> {
         Some(Answer { outcome: self.answer?.outcome()?, body: self.body })
     }
 }
 
-impl End {
-    pub fn of(key: Key, answer: &Answer) -> End {
-        End { key: Some(key.into()), answer: Some(answer.into()), of: 0 }
+impl EndTxn {
+    pub fn new(key: Key, answer: &Answer) -> EndTxn {
+        EndTxn { key: Some(key.into()), answer: Some(answer.into()), ledger: 0 }
     }
 
     /// `None`: it does not say what ended, or how.
@@ -151,101 +151,105 @@
     }
 }
 
-impl Word {
-    pub fn take(key: Key) -> Word {
-        Word::Take(key.into())
+impl Operation {
+    pub fn accept(key: Key) -> Operation {
+        Operation::Accept(key.into())
     }
 
     /// `of`: the ledger that it was sent to, 0 where that is the one asked.
-    pub fn find(key: Key, of: u64) -> Word {
-        Word::Find(Find { key: Some(key.into()), of })
+    pub fn query(key: Key, ledger: u64) -> Operation {
+        Operation::Query(Query { key: Some(key.into()), ledger })
     }
 
     /// `of`: the ledger that had taken it.
-    pub fn end(key: Key, answer: &Answer, of: u64) -> Word {
-        Word::End(End { of, ..End::of(key, answer) })
+    pub fn end(key: Key, answer: &Answer, ledger: u64) -> Operation {
+        Operation::End(EndTxn { ledger, ..EndTxn::new(key, answer) })
     }
 }
 
 /// What came of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum CommandResult {
     /// The sender is remembered; or there is no room for it.
-    Greeted(bool),
+    Registered(bool),
     /// A majority holds that the asker has it: it may be sent on, by the asker alone.
-    Go,
+    Granted,
     /// Another gateway runs it, or the same one since an earlier question.
     Running,
     Ended(Arc<Answer>),
     /// It was not taken, and never will be.
-    NeverTaken,
+    NeverAccepted,
     /// There is no room to remember it: it was not taken.
     Full,
     /// It may have run.
     Unknown,
     /// It is noted, or was before.
-    Noted,
+    Recorded,
     /// An ending came after its txn was called unknown.
     TooLate,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Result {
-    #[prost(enumeration = "What", tag = "1")]
-    pub what: i32,
+pub struct ResultMessage {
+    #[prost(enumeration = "ResultCode", tag = "1")]
+    pub code: i32,
     #[prost(message, optional, tag = "2")]
-    pub answer: Option<Kept>,
+    pub answer: Option<StoredAnswer>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
-pub enum What {
+pub enum ResultCode {
     None = 0,
-    Greeted = 1,
-    NotGreeted = 2,
-    Go = 3,
+    Registered = 1,
+    NotRegistered = 2,
+    Granted = 3,
     Running = 4,
     Ended = 5,
-    NeverTaken = 6,
+    NeverAccepted = 6,
     Full = 7,
     Unknown = 8,
-    Noted = 9,
+    Recorded = 9,
     TooLate = 10,
 }
 
-impl From<&Outcome> for Result {
-    fn from(outcome: &Outcome) -> Result {
+impl From<&CommandResult> for ResultMessage {
+    fn from(outcome: &CommandResult) -> ResultMessage {
         let what = match outcome {
-            Outcome::Greeted(true) => What::Greeted,
-            Outcome::Greeted(false) => What::NotGreeted,
-            Outcome::Go => What::Go,
-            Outcome::Running => What::Running,
-            Outcome::Ended(_) => What::Ended,
-            Outcome::NeverTaken => What::NeverTaken,
-            Outcome::Full => What::Full,
-            Outcome::Unknown => What::Unknown,
-            Outcome::Noted => What::Noted,
-            Outcome::TooLate => What::TooLate,
+            CommandResult::Registered(true) => ResultCode::Registered,
+            CommandResult::Registered(false) => ResultCode::NotRegistered,
+            CommandResult::Granted => ResultCode::Granted,
+            CommandResult::Running => ResultCode::Running,
+            CommandResult::Ended(_) => ResultCode::Ended,
+            CommandResult::NeverAccepted => ResultCode::NeverAccepted,
+            CommandResult::Full => ResultCode::Full,
+            CommandResult::Unknown => ResultCode::Unknown,
+            CommandResult::Recorded => ResultCode::Recorded,
+            CommandResult::TooLate => ResultCode::TooLate,
+        };
+        let answer = if let CommandResult::Ended(answer) = outcome {
+            Some(StoredAnswer::from(&**answer))
+        } else {
+            None
         };
-        let answer = if let Outcome::Ended(answer) = outcome { Some(Kept::from(&**answer)) } else { None };
-        Result { what: what as i32, answer }
+        ResultMessage { code: what as i32, answer }
     }
 }
 
-impl Result {
-    pub fn outcome(self) -> Option<Outcome> {
-        Some(match What::try_from(self.what).ok()? {
-            What::None => return None,
-            What::Greeted => Outcome::Greeted(true),
-            What::NotGreeted => Outcome::Greeted(false),
-            What::Go => Outcome::Go,
-            What::Running => Outcome::Running,
-            What::Ended => Outcome::Ended(Arc::new(self.answer?.answer()?)),
-            What::NeverTaken => Outcome::NeverTaken,
-            What::Full => Outcome::Full,
-            What::Unknown => Outcome::Unknown,
-            What::Noted => Outcome::Noted,
-            What::TooLate => Outcome::TooLate,
+impl ResultMessage {
+    pub fn into_result(self) -> Option<CommandResult> {
+        Some(match ResultCode::try_from(self.code).ok()? {
+            ResultCode::None => return None,
+            ResultCode::Registered => CommandResult::Registered(true),
+            ResultCode::NotRegistered => CommandResult::Registered(false),
+            ResultCode::Granted => CommandResult::Granted,
+            ResultCode::Running => CommandResult::Running,
+            ResultCode::Ended => CommandResult::Ended(Arc::new(self.answer?.answer()?)),
+            ResultCode::NeverAccepted => CommandResult::NeverAccepted,
+            ResultCode::Full => CommandResult::Full,
+            ResultCode::Unknown => CommandResult::Unknown,
+            ResultCode::Recorded => CommandResult::Recorded,
+            ResultCode::TooLate => CommandResult::TooLate,
         })
     }
 }
--- a/copies/src/group.rs
+++ b/copies/src/group.rs
@@ -2,11 +2,11 @@
 //! one set of inputs. Must never tell what came of a command before a majority holds it, nor take part under an id that
 //! an earlier start had: what was forgotten must not vote.
 
-use crate::command::{Command, Note, Outcome, Step, Word};
-use crate::heal::{self, Healer, Heard, Seen};
+use crate::command::{Command, CommandResult, LogEntry, Operation, OutcomeRecord};
 use crate::machine::{self, Machine, Member};
+use crate::membership_repair::{self, MemberView, MembershipRepair, PeerState};
 use crate::settings::{Copies, Holder};
-use crate::steps::Steps;
+use crate::storage::Steps;
 use kelpcart::{Span, Time};
 use prost::Message as _;
 use protobuf::Message as _;
@@ -44,7 +44,7 @@
 pub struct Done {
     pub run: u64,
     pub ask: u64,
-    pub outcome: Outcome,
+    pub outcome: CommandResult,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -81,8 +81,8 @@
     next_step: Time,
     /// The group's time when this one began to lead, and when that was here.
     led: Option<(Time, Time)>,
-    healer: Healer,
-    heal: heal::Limits,
+    healer: MembershipRepair,
+    heal: membership_repair::Limits,
     lost_after: Span,
     /// Starts of gateways whose loss has been proposed in this term.
     lost: BTreeMap<u64, Time>,
@@ -100,7 +100,7 @@
     /// What waits for that: the library's numbers with what may be said after each, in order.
     unwritten: VecDeque<(u64, bool, Vec<Message>)>,
     /// Endings to be written, and the number that they belong to.
-    pub write: VecDeque<(u64, Vec<Note>)>,
+    pub write: VecDeque<(u64, Vec<OutcomeRecord>)>,
 }
 
 fn config(id: u64) -> Config {
@@ -160,12 +160,12 @@
             step,
             next_step: now + step,
             led: None,
-            healer: Healer::default(),
-            heal: heal::Limits {
+            healer: MembershipRepair::default(),
+            heal: membership_repair::Limits {
                 copies: file.copies,
-                absent: Span::from_millis(t.absent_ms),
-                between: Span::from_millis(t.replace_ms),
-                silent: Span::from_millis(t.lost_ms),
+                absent_after: Span::from_millis(t.absent_ms),
+                min_interval: Span::from_millis(t.replace_ms),
+                silent_after: Span::from_millis(t.lost_ms),
             },
             lost_after: Span::from_millis(t.lost_ms),
             lost: BTreeMap::new(),
@@ -258,7 +258,7 @@
         // Room for the least important ends at half, and grows with importance; endings and questions always pass,
         // since each makes room or lets somebody stop waiting.
         let part = 0.5 + 0.5 * f64::from(importance.min(9)) / 9.0;
-        let takes = matches!(command.word, Some(Word::Take(_) | Word::Greet(_)));
+        let takes = matches!(command.operation, Some(Operation::Accept(_) | Operation::RegisterSender(_)));
         if takes && self.waiting() as f64 >= self.waiting as f64 * part {
             self.counts.busy += 1;
             return Err(Refused::Busy);
@@ -269,7 +269,7 @@
 
     fn append(&mut self, now: Time, run: u64, ask: u64, command: Command) -> Result<(), Refused> {
         let at = self.time(now).as_micros();
-        let step = Step { at_us: at, run, ask, command: Some(command) };
+        let step = LogEntry { at_us: at, run_id: run, request_id: ask, command: Some(command) };
         self.raft.propose(Vec::new(), step.encode_to_vec()).map_err(|_| Refused::Leads)
     }
 
@@ -296,7 +296,7 @@
         self.next_step
     }
 
-    pub fn tick(&mut self, now: Time, holders: &[Holder], order: &[usize], heard: &[Heard]) {
+    pub fn tick(&mut self, now: Time, holders: &[Holder], order: &[usize], heard: &[PeerState]) {
         let mut steps = 0;
         while self.next_step <= now {
             self.next_step += self.step;
@@ -316,25 +316,25 @@
     }
 
     /// Gateways that are gone take what they ran with them; what is old is let go of.
-    fn watch(&mut self, now: Time, heard: &[Heard]) {
+    fn watch(&mut self, now: Time, heard: &[PeerState]) {
         let Some((_, since)) = self.led else { return };
         for run in self.machine.runners().into_keys() {
             if run == self.run || self.lost.get(&run).is_some_and(|at| now - *at < self.lost_after) {
                 continue;
             }
-            let one = heard.iter().find(|h| h.id == Some(run));
-            let gone =
-                one.map_or(now - since >= self.lost_after, |h| now - h.at.max(since) >= self.lost_after);
+            let one = heard.iter().find(|h| h.run_id == Some(run));
+            let gone = one
+                .map_or(now - since >= self.lost_after, |h| now - h.last_heard.max(since) >= self.lost_after);
             if gone {
                 self.lost.insert(run, now);
                 // It is tried again where leadership is lost meanwhile.
-                _ = self.append(now, 0, 0, Command { word: Some(Word::Lost(run)) });
+                _ = self.append(now, 0, 0, Command { operation: Some(Operation::RunnerLost(run)) });
             }
         }
         if now >= self.next_expiry {
             self.next_expiry = now + EXPIRES;
             if self.machine.has_old(self.time(now)) {
-                _ = self.append(now, 0, 0, Command { word: Some(Word::Expire(true)) });
+                _ = self.append(now, 0, 0, Command { operation: Some(Operation::Expire(true)) });
             }
         }
         let late: Vec<u64> =
@@ -345,14 +345,14 @@
         }
     }
 
-    fn heal(&mut self, now: Time, holders: &[Holder], order: &[usize], heard: &[Heard]) {
+    fn heal(&mut self, now: Time, holders: &[Holder], order: &[usize], heard: &[PeerState]) {
         let conf = &self.raft.store().members;
         let busy = self.raft.raft.has_pending_conf() || !conf.voters_outgoing.is_empty();
         if busy || !self.raft.raft.commit_to_current_term() {
             return;
         }
         let last = self.raft.raft.raft_log.last_index();
-        let seen: Vec<Seen> = conf
+        let seen: Vec<MemberView> = conf
             .voters
             .iter()
             .chain(&conf.learners)
@@ -362,20 +362,26 @@
                 let progress = self.raft.raft.prs().get(id)?;
                 let has = progress.matched > 0 && progress.state != ProgressState::Snapshot;
                 let close = id == self.id || has && progress.matched + CLOSE >= last;
-                Some(Seen { id, run, holder, voter: conf.voters.contains(&id), close })
+                Some(MemberView {
+                    id,
+                    run_id: run,
+                    holder,
+                    voter: conf.voters.contains(&id),
+                    caught_up: close,
+                })
             })
             .collect();
-        let view = heal::View {
+        let view = membership_repair::GroupView {
             now,
             group: self.number,
-            me: self.id,
+            leader_id: self.id,
             limits: &self.heal,
             holders,
-            order,
+            preference: order,
             members: &seen,
-            heard,
+            peers: heard,
         };
-        let next = self.healer.next(&view);
+        let next = self.healer.next_action(&view);
         let Some(next) = next else { return };
         let one = |kind: ConfChangeType, id: u64| {
             let mut one = ConfChangeSingle::default();
@@ -385,22 +391,26 @@
         };
         let mut change = ConfChangeV2::default();
         match next {
-            heal::Step::Learn { run, holder } => {
+            membership_repair::RepairAction::AddLearner { run_id: run, holder } => {
                 // Never one that was: what was sent to an earlier membership may still be under way.
                 let id = Pcg64Mcg::seed_from_u64(self.seed ^ last.rotate_left(32) ^ run)
                     .random_range(1..=u64::MAX);
                 change.mut_changes().push(one(ConfChangeType::AddLearnerNode, id));
                 change.context = Member { id, holder: holder as u32, run }.encode_to_vec().into();
             }
-            heal::Step::Promote { id, instead_of } => {
+            membership_repair::RepairAction::Promote { id, instead_of } => {
                 change.mut_changes().push(one(ConfChangeType::AddNode, id));
                 if let Some(gone) = instead_of {
                     change.mut_changes().push(one(ConfChangeType::RemoveNode, gone));
                     self.counts.replaced += 1;
                 }
             }
-            heal::Step::Remove { id } => change.mut_changes().push(one(ConfChangeType::RemoveNode, id)),
-            heal::Step::Lead { id } => return self.raft.transfer_leader(id),
+            membership_repair::RepairAction::Remove { id } => {
+                change.mut_changes().push(one(ConfChangeType::RemoveNode, id))
+            }
+            membership_repair::RepairAction::TransferLeadership { id } => {
+                return self.raft.transfer_leader(id);
+            }
         }
         // Where another change is under way, the next one comes after it.
         _ = self.raft.propose_conf_change(Vec::new(), change);
@@ -452,11 +462,11 @@
     }
 
     /// Endings among new steps: whatever becomes of the steps, these txns ended so.
-    fn notes(&self, steps: &[Entry]) -> Vec<Note> {
-        let end = |step: &Entry| match Step::decode(&step.data[..]).ok()?.command?.word? {
-            Word::End(end) => {
-                let ledger = if end.of == 0 { self.ledger } else { end.of };
-                Some(Note { ledger, end: Some(end) })
+    fn notes(&self, steps: &[Entry]) -> Vec<OutcomeRecord> {
+        let end = |step: &Entry| match LogEntry::decode(&step.data[..]).ok()?.command?.operation? {
+            Operation::End(end) => {
+                let ledger = if end.ledger == 0 { self.ledger } else { end.ledger };
+                Some(OutcomeRecord { ledger, end: Some(end) })
             }
             _ => None,
         };
@@ -496,7 +506,7 @@
         }
         if self.leads() && self.led.is_none() && self.raft.raft.commit_to_current_term() {
             self.led = Some((self.machine.at(), now));
-            self.healer.leads(now);
+            self.healer.leadership_started(now);
             self.lost.clear();
             self.images.clear();
             self.counts.led += 1;
@@ -538,12 +548,12 @@
     }
 
     fn apply_step(&mut self, entry: &Entry) {
-        let Ok(step) = Step::decode(&entry.data[..]) else { return };
-        let Some(word) = step.command.and_then(|c| c.word) else { return };
-        let outcome = self.machine.apply(Time::from_micros(step.at_us), step.run, &word);
+        let Ok(step) = LogEntry::decode(&entry.data[..]) else { return };
+        let Some(word) = step.command.and_then(|c| c.operation) else { return };
+        let outcome = self.machine.apply(Time::from_micros(step.at_us), step.run_id, &word);
         // Who leads tells: one that led when it was proposed may not know that it does no more.
-        if step.ask != 0 && self.leads() {
-            self.done.push_back(Done { run: step.run, ask: step.ask, outcome });
+        if step.request_id != 0 && self.leads() {
+            self.done.push_back(Done { run: step.run_id, ask: step.request_id, outcome });
         }
     }
 
--- a/copies/src/lib.rs
+++ b/copies/src/lib.rs
@@ -6,11 +6,11 @@
 pub mod client;
 pub mod command;
 pub mod group;
-pub mod heal;
 pub mod machine;
+pub mod membership_repair;
 pub mod node;
-pub mod notes;
-pub mod place;
+pub mod outcome_log;
+pub mod placement;
 pub mod settings;
-pub mod steps;
+pub mod storage;
 pub mod wire;
--- a/copies/src/machine.rs
+++ b/copies/src/machine.rs
@@ -3,7 +3,7 @@
 //! those it tells only how something ended, never that it was not taken. Must give the same from the same steps in every
 //! process: no clock, no chance, no order of a hash map.
 
-use crate::command::{End, Find, Kept, Note, Outcome, Word};
+use crate::command::{CommandResult, EndTxn, Operation, OutcomeRecord, Query, StoredAnswer};
 use kelpcart::{Span, Time};
 use kelpcart_sites::ledger::{Admission, Answer, Bounds, EntrySnapshot, EntryState, Key, Ledger, Lookup};
 use prost::Message;
@@ -54,7 +54,7 @@
     #[prost(uint64, tag = "1")]
     at_us: u64,
     #[prost(message, optional, tag = "2")]
-    note: Option<Note>,
+    note: Option<OutcomeRecord>,
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -80,7 +80,7 @@
     #[prost(fixed64, tag = "5")]
     run: u64,
     #[prost(message, optional, tag = "6")]
-    answer: Option<Kept>,
+    answer: Option<StoredAnswer>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
@@ -123,43 +123,45 @@
     }
 
     /// `run`: the start of the gateway that asks.
-    pub fn apply(&mut self, at: Time, run: u64, word: &Word) -> Outcome {
+    pub fn apply(&mut self, at: Time, run: u64, word: &Operation) -> CommandResult {
         // Guards against a leader whose steps were stamped before the last one's: time never goes back here.
         self.at = self.at.max(at);
         let now = self.at;
         match word {
-            Word::Greet(g) => Outcome::Greeted(self.ledger.register(now, g.sender, g.fresh)),
-            Word::Take(n) => self.take(now, run, (*n).into()),
-            Word::End(end) => {
-                let Some((key, answer)) = end.read() else { return Outcome::Unknown };
-                if end.of != 0 && end.of != self.number {
-                    return self.recall(now, end.of, key, answer);
+            Operation::RegisterSender(g) => {
+                CommandResult::Registered(self.ledger.register(now, g.sender, g.next_number))
+            }
+            Operation::Accept(n) => self.take(now, run, (*n).into()),
+            Operation::End(end) => {
+                let Some((key, answer)) = end.read() else { return CommandResult::Unknown };
+                if end.ledger != 0 && end.ledger != self.number {
+                    return self.recall(now, end.ledger, key, answer);
                 }
                 self.end(now, run, key, Arc::new(answer))
             }
-            Word::Find(find) => self.find(now, find),
-            Word::Recall(recall) => {
-                for note in &recall.notes {
-                    if let Some((key, answer)) = note.end.as_ref().and_then(End::read) {
+            Operation::Query(find) => self.find(now, find),
+            Operation::ImportOutcomes(recall) => {
+                for note in &recall.records {
+                    if let Some((key, answer)) = note.end.as_ref().and_then(EndTxn::read) {
                         self.recall(now, note.ledger, key, answer);
                     }
                 }
-                Outcome::Noted
+                CommandResult::Recorded
             }
-            Word::Settle(n) => {
+            Operation::Settle(n) => {
                 self.ledger.settle(n.sender, n.number);
                 self.drop_runs();
-                Outcome::Noted
+                CommandResult::Recorded
             }
-            Word::Lost(gone) => {
+            Operation::RunnerLost(gone) => {
                 let keys: Vec<Key> = self.runs.iter().filter(|(_, r)| *r == gone).map(|(k, _)| *k).collect();
                 for key in keys {
                     self.ledger.mark_lost(now, key);
                     self.runs.remove(&key);
                 }
-                Outcome::Noted
+                CommandResult::Recorded
             }
-            Word::Expire(_) => {
+            Operation::Expire(_) => {
                 self.ledger.expire(now);
                 let old = |at: Time| now - at >= self.bounds.age;
                 let gone: usize = self
@@ -170,93 +172,95 @@
                     .sum();
                 self.recalled_bytes -= gone;
                 self.recalled.retain(|_, r| now - r.0 < self.bounds.age);
-                Outcome::Noted
+                CommandResult::Recorded
             }
         }
     }
 
-    fn find(&mut self, now: Time, find: &Find) -> Outcome {
-        let Some(key) = find.key.map(Key::from) else { return Outcome::Unknown };
-        if find.of != 0 && find.of != self.number {
+    fn find(&mut self, now: Time, find: &Query) -> CommandResult {
+        let Some(key) = find.key.map(Key::from) else { return CommandResult::Unknown };
+        if find.ledger != 0 && find.ledger != self.number {
             // That it was not taken by a ledger that is gone nobody can say.
-            let known = self.recalled.get(&(find.of, key)).map(|r| r.1.clone());
+            let known = self.recalled.get(&(find.ledger, key)).map(|r| r.1.clone());
             return match known {
-                Some(Some(answer)) => Outcome::Ended(answer),
-                None if now - Time::default() < YOUNG => Outcome::Running,
+                Some(Some(answer)) => CommandResult::Ended(answer),
+                None if now - Time::default() < YOUNG => CommandResult::Running,
                 _ => {
                     if self.recalled.len() < self.bounds.entries {
-                        self.recalled.entry((find.of, key)).or_insert((now, None));
+                        self.recalled.entry((find.ledger, key)).or_insert((now, None));
                     }
-                    Outcome::Unknown
+                    CommandResult::Unknown
                 }
             };
         }
         match self.ledger.lookup(now, key) {
-            Lookup::NeverAccepted => Outcome::NeverTaken,
-            Lookup::Running => Outcome::Running,
-            Lookup::Ended(answer) => Outcome::Ended(answer),
-            Lookup::Unknown => Outcome::Unknown,
+            Lookup::NeverAccepted => CommandResult::NeverAccepted,
+            Lookup::Running => CommandResult::Running,
+            Lookup::Ended(answer) => CommandResult::Ended(answer),
+            Lookup::Unknown => CommandResult::Unknown,
         }
     }
 
     /// How a txn ended that another ledger had taken.
-    fn recall(&mut self, now: Time, ledger: u64, key: Key, answer: Answer) -> Outcome {
+    fn recall(&mut self, now: Time, ledger: u64, key: Key, answer: Answer) -> CommandResult {
         if ledger == self.number {
-            return Outcome::TooLate;
+            return CommandResult::TooLate;
         }
         if let Some((_, known)) = self.recalled.get(&(ledger, key)) {
             let same = known.as_deref() == Some(&answer);
-            return if same { Outcome::Noted } else { Outcome::TooLate };
+            return if same { CommandResult::Recorded } else { CommandResult::TooLate };
         }
         let bytes = self.recalled_bytes + answer.body.len();
         if self.recalled.len() >= self.bounds.entries || bytes > self.bounds.bytes {
-            return Outcome::TooLate;
+            return CommandResult::TooLate;
         }
         self.recalled_bytes = bytes;
         self.recalled.insert((ledger, key), (now, Some(Arc::new(answer))));
-        Outcome::Noted
+        CommandResult::Recorded
     }
 
     /// All endings known here, for a ledger that follows this one.
-    pub fn endings(&self) -> Vec<Note> {
+    pub fn endings(&self) -> Vec<OutcomeRecord> {
         let (_, entries) = self.ledger.snapshot();
         let own = entries.into_iter().filter_map(|(key, _, stand)| match stand {
-            EntryState::Ended(answer) => Some(Note { ledger: self.number, end: Some(End::of(key, &answer)) }),
+            EntryState::Ended(answer) => {
+                Some(OutcomeRecord { ledger: self.number, end: Some(EndTxn::new(key, &answer)) })
+            }
             _ => None,
         });
         let others = self.recalled.iter();
         let others = others.filter_map(|((ledger, key), (_, answer))| {
-            Some(Note { ledger: *ledger, end: Some(End::of(*key, answer.as_ref()?)) })
+            Some(OutcomeRecord { ledger: *ledger, end: Some(EndTxn::new(*key, answer.as_ref()?)) })
         });
         own.chain(others).collect()
     }
 
-    fn take(&mut self, now: Time, run: u64, key: Key) -> Outcome {
+    fn take(&mut self, now: Time, run: u64, key: Key) -> CommandResult {
         match self.ledger.accept(now, key) {
             Admission::New => {
                 self.runs.insert(key, run);
-                Outcome::Go
+                CommandResult::Granted
             }
             // The same question again, since its first answer was lost.
-            Admission::Running if self.runs.get(&key) == Some(&run) => Outcome::Go,
-            Admission::Running => Outcome::Running,
-            Admission::Ended(answer) => Outcome::Ended(answer),
-            Admission::Full => Outcome::Full,
-            Admission::Fenced => Outcome::NeverTaken,
-            Admission::Forgotten => Outcome::Unknown,
+            Admission::Running if self.runs.get(&key) == Some(&run) => CommandResult::Granted,
+            Admission::Running => CommandResult::Running,
+            Admission::Ended(answer) => CommandResult::Ended(answer),
+            Admission::Full => CommandResult::Full,
+            Admission::Fenced => CommandResult::NeverAccepted,
+            Admission::Forgotten => CommandResult::Unknown,
         }
     }
 
     /// Only who runs it can end it, and only once.
-    fn end(&mut self, now: Time, run: u64, key: Key, answer: Arc<Answer>) -> Outcome {
+    fn end(&mut self, now: Time, run: u64, key: Key, answer: Arc<Answer>) -> CommandResult {
         if self.runs.get(&key) == Some(&run) {
             self.runs.remove(&key);
             self.ledger.finish(now, key, &answer);
-            return Outcome::Noted;
+            return CommandResult::Recorded;
         }
         match self.ledger.known(now, key) {
-            Some(Admission::Ended(kept)) if kept == answer => Outcome::Noted,
-            _ => Outcome::TooLate,
+            Some(Admission::Ended(kept)) if kept == answer => CommandResult::Recorded,
+            _ => CommandResult::TooLate,
         }
     }
 
@@ -284,7 +288,7 @@
         let entry = |(key, at, stand): (Key, Time, EntryState)| {
             let (state, answer) = match stand {
                 EntryState::Running => (State::Running, None),
-                EntryState::Ended(answer) => (State::Ended, Some(Kept::from(&*answer))),
+                EntryState::Ended(answer) => (State::Ended, Some(StoredAnswer::from(&*answer))),
                 EntryState::Lost => (State::Lost, None),
                 EntryState::Fenced => (State::Fenced, None),
             };
@@ -301,8 +305,8 @@
             // Without an answer: only the key.
             let end = answer
                 .as_ref()
-                .map_or(End { key: Some((*key).into()), ..End::default() }, |a| End::of(*key, a));
-            Recalled { at_us: at.as_micros(), note: Some(Note { ledger: *ledger, end: Some(end) }) }
+                .map_or(EndTxn { key: Some((*key).into()), ..EndTxn::default() }, |a| EndTxn::new(*key, a));
+            Recalled { at_us: at.as_micros(), note: Some(OutcomeRecord { ledger: *ledger, end: Some(end) }) }
         };
         let image = Image {
             at_us: self.at.as_micros(),
--- a/copies/src/node.rs
+++ b/copies/src/node.rs
@@ -3,13 +3,13 @@
 //! alike by the gateway and by tests. Must never found a group beside one that is known, nor give a member that has
 //! forgotten what it held the place that it had.
 
-use crate::client::{Client, Leader, Told};
-use crate::command::{Command, Note, Outcome, Recall, Word};
+use crate::client::{Client, Leader, Response};
+use crate::command::{Command, CommandResult, ImportOutcomes, Operation, OutcomeRecord};
 use crate::group::{Counts, Done, Group, Refused};
-use crate::heal::Heard;
-use crate::place;
+use crate::membership_repair::PeerState;
+use crate::placement;
 use crate::settings::Copies;
-use crate::wire::{self, Said};
+use crate::wire::{self, Payload};
 use kelpcart::{Span, Time};
 use protobuf::Message as _;
 use raft::eraftpb::{Message, MessageType};
@@ -42,11 +42,11 @@
         frame: Vec<u8>,
         image: bool,
     },
-    Told(Told),
+    Told(Response),
     /// Bring these to the disk, then call `written` with the mark; they follow those before.
     Write {
         mark: u64,
-        notes: Vec<Note>,
+        notes: Vec<OutcomeRecord>,
     },
     /// The group has another ledger than before, or one is known for the first time: what was asked of the one before
     /// is not known there.
@@ -64,7 +64,7 @@
     /// By which holder a member was heard, for one that does not know the members yet.
     routes: BTreeMap<u64, usize>,
     /// What holders said of the group, and when.
-    said: BTreeMap<usize, (Time, wire::Here)>,
+    said: BTreeMap<usize, (Time, wire::GroupStatus)>,
     /// Whom this gateway backs, until when.
     backs: Option<(u64, Time)>,
     /// Since when this member stands outside its group, as its leader sees it.
@@ -94,13 +94,13 @@
     me: usize,
     id: u64,
     rng: Pcg64Mcg,
-    heard: Vec<Heard>,
+    heard: Vec<PeerState>,
     slots: Vec<Slot>,
     client: Client,
     /// Memberships that ended: what still comes for them is nobody's.
     ended: BTreeSet<u64>,
     /// By group: endings that were known of a ledger that lost its majority, or were on the disk at the start.
-    recalls: BTreeMap<u32, VecDeque<Note>>,
+    recalls: BTreeMap<u32, VecDeque<OutcomeRecord>>,
     /// Questions of this one itself.
     own: BTreeMap<u64, u32>,
     /// Marks of what goes to the disk: the group and its number there.
@@ -124,7 +124,7 @@
     pub fn new(file: &Copies, id: u64, seed: u64, now: Time) -> Option<Node> {
         let me = file.me()?;
         let slot = |group| Slot {
-            order: place::order(&file.holders, group),
+            order: placement::preference_order(&file.holders, group),
             member: None,
             since: now,
             next_seek: now,
@@ -135,8 +135,8 @@
             was_ready: false,
         };
         let pulse = Span::from_micros(file.times.election_ms * 500);
-        let mut heard = vec![Heard::new(None, now); file.holders.len()];
-        heard[me].id = Some(id);
+        let mut heard = vec![PeerState::new(None, now); file.holders.len()];
+        heard[me].run_id = Some(id);
         Some(Node {
             me,
             id,
@@ -172,7 +172,7 @@
     }
 
     pub fn group_of(&self, sender: u64) -> u32 {
-        place::group_of(sender, self.file.groups)
+        placement::group_of(sender, self.file.groups)
     }
 
     /// The ledger of a group as far as it is known here.
@@ -198,11 +198,11 @@
 
     /// What a connection begins with.
     pub fn greeting(&self) -> Vec<u8> {
-        wire::encode(Said::Hello(wire::Hello {
+        wire::encode(Payload::Hello(wire::Hello {
             version: wire::VERSION,
             gateway: self.file.gateway.clone(),
-            id: self.id,
-            file: self.digest(),
+            run_id: self.id,
+            settings_digest: self.digest(),
         }))
     }
 
@@ -215,7 +215,7 @@
 
     /// A holder has connected, and this was its first frame. Which holder it is, or why it is not heard.
     pub fn greeted(&mut self, now: Time, bytes: &[u8]) -> Result<(usize, u64), String> {
-        let Some(Said::Hello(hello)) = wire::decode(bytes) else {
+        let Some(Payload::Hello(hello)) = wire::decode(bytes) else {
             return Err("its first frame is no greeting".to_owned());
         };
         if hello.version != wire::VERSION {
@@ -225,17 +225,17 @@
         let Some(holder) = holder.filter(|h| *h != self.me) else {
             return Err(format!("{} is not among the holders", hello.gateway));
         };
-        if hello.file != self.digest() {
+        if hello.settings_digest != self.digest() {
             return Err(format!("{} has other holders, copies or groups in its file", hello.gateway));
         }
-        if let Some(before) = self.heard[holder].id.filter(|id| *id != hello.id) {
+        if let Some(before) = self.heard[holder].run_id.filter(|id| *id != hello.run_id) {
             self.unreachable(before);
         }
-        if self.heard[holder].id != Some(hello.id) {
-            self.heard[holder] = Heard::new(Some(hello.id), now);
+        if self.heard[holder].run_id != Some(hello.run_id) {
+            self.heard[holder] = PeerState::new(Some(hello.run_id), now);
         }
-        self.heard[holder].at = now;
-        Ok((holder, hello.id))
+        self.heard[holder].last_heard = now;
+        Ok((holder, hello.run_id))
     }
 
     /// A frame of a connection that was greeted so.
@@ -243,38 +243,38 @@
         self.totals.frames_in += 1;
         self.totals.bytes_in += bytes.len() as u64;
         // An earlier start of it, whose words are still under way.
-        if self.heard[holder].id != Some(id) {
+        if self.heard[holder].run_id != Some(id) {
             return;
         }
         let Some(said) = wire::decode(bytes) else {
             self.totals.refused += 1;
             return;
         };
-        self.heard[holder].at = now;
+        self.heard[holder].last_heard = now;
         match said {
-            Said::Hello(_) => self.totals.refused += 1,
-            Said::Pulse(pulse) => self.pulsed(now, holder, id, &pulse),
-            Said::Seek(seek) => self.sought(now, holder, id, seek.group),
-            Said::Here(here) => {
+            Payload::Hello(_) => self.totals.refused += 1,
+            Payload::Heartbeat(pulse) => self.pulsed(now, holder, id, &pulse),
+            Payload::FindGroup(seek) => self.sought(now, holder, id, seek.group),
+            Payload::GroupStatus(here) => {
                 if let Some(slot) = self.slots.get_mut(here.group as usize) {
                     slot.said.insert(holder, (now, here));
                 }
             }
-            Said::Member(member) => self.member_said(now, holder, &member),
-            Said::Ask(ask) => self.asked(now, holder, id, ask),
-            Said::Done(done) => {
-                if let Some(outcome) = done.result.and_then(crate::command::Result::outcome) {
-                    self.client.done(done.ask, outcome);
+            Payload::RaftMessage(member) => self.member_said(now, holder, &member),
+            Payload::Request(ask) => self.asked(now, holder, id, ask),
+            Payload::Reply(done) => {
+                if let Some(outcome) = done.result.and_then(crate::command::ResultMessage::into_result) {
+                    self.client.reply_received(done.request_id, outcome);
                 }
             }
-            Said::Not(not) => self.client.not(now, id, not.ask, not.busy),
+            Payload::Refusal(not) => self.client.refusal_received(now, id, not.request_id, not.busy),
         }
         self.collect(now);
     }
 
     /// The connection to a holder is gone.
     pub fn broken(&mut self, now: Time, holder: usize) {
-        if let Some(id) = self.heard[holder].id {
+        if let Some(id) = self.heard[holder].run_id {
             self.unreachable(id);
         }
         self.collect(now);
@@ -300,18 +300,18 @@
     }
 
     /// Asks a group; what comes of it is told under the number.
-    pub fn ask(&mut self, now: Time, group: u32, importance: u32, word: Word) -> u64 {
-        let ask = self.client.ask(now, group, importance, word);
+    pub fn ask(&mut self, now: Time, group: u32, importance: u32, word: Operation) -> u64 {
+        let ask = self.client.submit(now, group, importance, word);
         self.collect(now);
         ask
     }
 
     pub fn forget(&mut self, ask: u64) {
-        self.client.forget(ask);
+        self.client.cancel(ask);
     }
 
     /// What the disk held at the start.
-    pub fn recover(&mut self, notes: Vec<Note>) {
+    pub fn recover(&mut self, notes: Vec<OutcomeRecord>) {
         for note in notes {
             let sender = note.end.as_ref().and_then(|e| e.key).map_or(0, |k| k.sender);
             let group = self.group_of(sender);
@@ -325,7 +325,7 @@
         known.into_iter().for_each(|note| self.remember(group, note));
     }
 
-    fn remember(&mut self, group: u32, note: Note) {
+    fn remember(&mut self, group: u32, note: OutcomeRecord) {
         let all = self.recalls.entry(group).or_default();
         if all.len() >= self.file.bounds.entries {
             all.pop_front();
@@ -372,20 +372,20 @@
             && self.slots.iter().all(|s| s.member.as_ref().is_none_or(|m| !m.voters().contains(&m.id)))
     }
 
-    fn pulsed(&mut self, now: Time, holder: usize, id: u64, pulse: &wire::Pulse) {
+    fn pulsed(&mut self, now: Time, holder: usize, id: u64, pulse: &wire::Heartbeat) {
         let heard = &mut self.heard[holder];
-        if pulse.no <= heard.no {
+        if pulse.sequence <= heard.sequence {
             return;
         }
-        (heard.no, heard.leaving) = (pulse.no, pulse.leaving);
-        heard.holds = pulse.holds.iter().map(|h| (h.group, h.id)).collect();
-        for lead in &pulse.leads {
+        (heard.sequence, heard.leaving) = (pulse.sequence, pulse.leaving);
+        heard.memberships = pulse.memberships.iter().map(|h| (h.group, h.id)).collect();
+        for lead in &pulse.leaderships {
             self.led(now, id, lead);
         }
     }
 
     /// A gateway, or this one, says that it leads a group.
-    fn led(&mut self, now: Time, id: u64, lead: &wire::Lead) {
+    fn led(&mut self, now: Time, id: u64, lead: &wire::Leadership) {
         let Some(slot) = self.slots.get_mut(lead.group as usize) else { return };
         if let Some(member) = slot.member.as_ref().filter(|_| id != self.id) {
             let other = member.ledger != lead.ledger;
@@ -405,8 +405,9 @@
                 }
             }
         }
-        let leader = Leader { ledger: lead.ledger, term: lead.term, id, ready: lead.ready, heard: now };
-        if self.client.leads(now, lead.group, leader) {
+        let leader =
+            Leader { ledger: lead.ledger, term: lead.term, run_id: id, ready: lead.ready, last_heard: now };
+        if self.client.leader_announced(now, lead.group, leader) {
             self.out.push_back(Out::Ledger { group: lead.group, ledger: lead.ledger });
         }
     }
@@ -435,12 +436,16 @@
         if backs {
             slot.backs = Some((id, now + BACKS));
         }
-        self.send(holder, Said::Here(wire::Here { group, ledger, backs }), false);
+        self.send(
+            holder,
+            Payload::GroupStatus(wire::GroupStatus { group, ledger, supports_founder: backs }),
+            false,
+        );
     }
 
-    fn member_said(&mut self, now: Time, holder: usize, said: &wire::Member) {
+    fn member_said(&mut self, now: Time, holder: usize, said: &wire::RaftMessage) {
         let Some(slot) = self.slots.get_mut(said.group as usize) else { return };
-        if said.to_run != self.id {
+        if said.to_run_id != self.id {
             return;
         }
         let free = slot.member.is_none() && !self.disk_failed;
@@ -461,14 +466,18 @@
     }
 
     /// A gateway asks for something that the group's leader has to have agreed on.
-    fn asked(&mut self, now: Time, holder: usize, id: u64, ask: wire::Ask) {
-        let (group, no) = (ask.group, ask.ask);
+    fn asked(&mut self, now: Time, holder: usize, id: u64, ask: wire::Request) {
+        let (group, no) = (ask.group, ask.request_id);
         let refused = match ask.command {
             Some(command) => self.propose(now, id, group, ask.ledger, no, ask.importance, command),
             None => None,
         };
         if let Some(why) = refused {
-            self.send(holder, Said::Not(wire::Not { group, ask: no, busy: why == Refused::Busy }), false);
+            self.send(
+                holder,
+                Payload::Refusal(wire::Refusal { group, request_id: no, busy: why == Refused::Busy }),
+                false,
+            );
         }
     }
 
@@ -503,7 +512,7 @@
     }
 
     pub fn tick(&mut self, now: Time) {
-        self.heard[self.me].at = now;
+        self.heard[self.me].last_heard = now;
         for group in 0..self.slots.len() {
             // Lent for the call, since the member is of the same value.
             let (order, heard) =
@@ -526,7 +535,7 @@
     /// Tells all that this gateway is there and what it leads.
     fn pulse(&mut self, now: Time) {
         self.next_pulse = now + self.pulse;
-        let lead = |m: &Group| wire::Lead {
+        let lead = |m: &Group| wire::Leadership {
             group: m.number,
             ledger: m.ledger,
             term: m.term(),
@@ -534,18 +543,23 @@
             members: m.members().map(|m| m.id).collect(),
         };
         let members = self.slots.iter().filter_map(|s| s.member.as_ref());
-        let leads: Vec<wire::Lead> = members.filter(|m| m.leads()).map(lead).collect();
+        let leads: Vec<wire::Leadership> = members.filter(|m| m.leads()).map(lead).collect();
         leads.iter().for_each(|l| self.led(now, self.id, l));
         let members = self.slots.iter().filter_map(|s| s.member.as_ref());
-        let holds = members.map(|m| wire::Hold { group: m.number, id: m.id }).collect();
+        let holds = members.map(|m| wire::Membership { group: m.number, id: m.id }).collect();
         self.pulses += 1;
-        let pulse = Said::Pulse(wire::Pulse { leads, leaving: self.leaving, no: self.pulses, holds });
+        let pulse = Payload::Heartbeat(wire::Heartbeat {
+            leaderships: leads,
+            leaving: self.leaving,
+            sequence: self.pulses,
+            memberships: holds,
+        });
         self.send_all(&pulse);
     }
 
     fn there(&self, now: Time, holder: usize) -> bool {
         holder == self.me
-            || self.heard[holder].id.is_some() && now - self.heard[holder].at < self.pulse * THERE
+            || self.heard[holder].run_id.is_some() && now - self.heard[holder].last_heard < self.pulse * THERE
     }
 
     /// A membership that leads nowhere, and a group that there is not.
@@ -564,7 +578,7 @@
                     return true;
                 }
                 let heard = self.heard.get(one.holder as usize);
-                one.id != member.id && heard.is_some_and(|h| h.forgot(group, one.run, one.id))
+                one.id != member.id && heard.is_some_and(|h| h.lost_state(group, one.run, one.id))
             };
             // While members are replaced, a majority of those before and of those after is wanted.
             let members = &member.steps().members;
@@ -596,10 +610,10 @@
             return;
         }
         let fresh = |at: Time| now - at < SAID;
-        let said: Vec<wire::Here> = slot.said.values().filter(|s| fresh(s.0)).map(|s| s.1).collect();
+        let said: Vec<wire::GroupStatus> = slot.said.values().filter(|s| fresh(s.0)).map(|s| s.1).collect();
         let known = said.iter().any(|h| h.ledger != 0);
         let own = slot.backs.is_none_or(|(of, until)| of == self.id || until <= now);
-        let backed = said.iter().filter(|h| h.backs).count() + 1;
+        let backed = said.iter().filter(|h| h.supports_founder).count() + 1;
         let all = (0..self.heard.len()).filter(|&h| !self.is_lost(h)).count();
         if !known && own && backed > all / 2 {
             return self.found(now, group);
@@ -610,7 +624,7 @@
             if own {
                 slot.backs = Some((self.id, now + BACKS));
             }
-            let seek = Said::Seek(wire::Seek { group });
+            let seek = Payload::FindGroup(wire::FindGroup { group });
             self.send_all(&seek);
         }
     }
@@ -634,7 +648,12 @@
         }
         if !notes.is_empty() {
             self.totals.recalled += notes.len() as u64;
-            let ask = self.client.ask(now, group, 9, Word::Recall(Recall { notes }));
+            let ask = self.client.submit(
+                now,
+                group,
+                9,
+                Operation::ImportOutcomes(ImportOutcomes { records: notes }),
+            );
             self.own.insert(ask, group);
         }
     }
@@ -653,21 +672,21 @@
         self.out.pop_front()
     }
 
-    fn send(&mut self, holder: usize, said: Said, image: bool) {
+    fn send(&mut self, holder: usize, said: Payload, image: bool) {
         self.totals.frames_out += 1;
         let frame = wire::encode(said);
         self.totals.bytes_out += frame.len() as u64;
         self.out.push_back(Out::Send { holder, frame, image });
     }
 
-    fn send_all(&mut self, said: &Said) {
+    fn send_all(&mut self, said: &Payload) {
         for holder in (0..self.heard.len()).filter(|h| *h != self.me).collect::<Vec<_>>() {
             self.send(holder, said.clone(), false);
         }
     }
 
-    fn send_to(&mut self, id: u64, said: Said, image: bool) {
-        let holder = self.heard.iter().position(|h| h.id == Some(id));
+    fn send_to(&mut self, id: u64, said: Payload, image: bool) {
+        let holder = self.heard.iter().position(|h| h.run_id == Some(id));
         match holder {
             Some(holder) if holder != self.me => self.send(holder, said, image),
             _ => self.unreachable(id),
@@ -678,17 +697,34 @@
     fn collect(&mut self, now: Time) {
         loop {
             let mut moved = false;
-            for send in std::mem::take(&mut self.client.send) {
+            for send in std::mem::take(&mut self.client.outgoing) {
                 moved = true;
-                let crate::client::Send { to, group, ledger, ask, importance, command } = send;
+                let crate::client::OutgoingRequest {
+                    to,
+                    group,
+                    ledger,
+                    request_id: ask,
+                    importance,
+                    command,
+                } = send;
                 if to == self.id {
                     let refused = self.propose(now, to, group, ledger, ask, importance, command);
                     if let Some(why) = refused {
-                        self.client.not(now, to, ask, why == Refused::Busy);
+                        self.client.refusal_received(now, to, ask, why == Refused::Busy);
                     }
                 } else {
                     let command = Some(command);
-                    self.send_to(to, Said::Ask(wire::Ask { group, ledger, ask, importance, command }), false);
+                    self.send_to(
+                        to,
+                        Payload::Request(wire::Request {
+                            group,
+                            ledger,
+                            request_id: ask,
+                            importance,
+                            command,
+                        }),
+                        false,
+                    );
                 }
             }
             for group in 0..self.slots.len() {
@@ -698,11 +734,11 @@
                 break;
             }
         }
-        for told in std::mem::take(&mut self.client.told) {
-            match self.own.remove(&told.ask) {
+        for told in std::mem::take(&mut self.client.responses) {
+            match self.own.remove(&told.request_id) {
                 // Those of a ledger that went meanwhile are told by those that hold them.
                 Some(group) => {
-                    if told.result == Ok(Outcome::Noted) {
+                    if told.result == Ok(CommandResult::Recorded) {
                         self.tell_recalls(now, group);
                     }
                 }
@@ -728,21 +764,31 @@
             let slot = &self.slots[group];
             let known =
                 slot.member.as_ref().and_then(|m| m.member(one.to)).map(|m| (m.holder as usize, m.run));
-            let route = || slot.routes.get(&one.to).and_then(|&h| Some((h, self.heard[h].id?)));
+            let route = || slot.routes.get(&one.to).and_then(|&h| Some((h, self.heard[h].run_id?)));
             let Some((holder, to_run)) = known.or_else(route) else { continue };
-            let said = wire::Member { group: number, ledger, message: one.message, to_run, from: one.from };
-            if self.heard.get(holder).is_some_and(|h| h.id == Some(to_run)) && holder != self.me {
-                self.send(holder, Said::Member(said), one.image);
+            let said = wire::RaftMessage {
+                group: number,
+                ledger,
+                message: one.message,
+                to_run_id: to_run,
+                from: one.from,
+            };
+            if self.heard.get(holder).is_some_and(|h| h.run_id == Some(to_run)) && holder != self.me {
+                self.send(holder, Payload::RaftMessage(said), one.image);
             } else {
                 self.unreachable(to_run);
             }
         }
         for Done { run, ask, outcome } in done {
             if run == self.id {
-                self.client.done(ask, outcome);
+                self.client.reply_received(ask, outcome);
             } else {
                 let result = Some((&outcome).into());
-                self.send_to(run, Said::Done(wire::Done { group: number, ask, result }), false);
+                self.send_to(
+                    run,
+                    Payload::Reply(wire::Reply { group: number, request_id: ask, result }),
+                    false,
+                );
             }
         }
         // Those who wait for a leader hear of it at once.
@@ -780,13 +826,13 @@
 
     /// Questions that were told off because no majority could be had, and those that were never heard of again.
     pub fn failed(&self) -> (u64, u64) {
-        (self.client.told_off, self.client.unheard)
+        (self.client.refused, self.client.timed_out)
     }
 
     /// The rules that have to hold after every step; for tests.
     pub fn check_rules(&self) -> Result<(), String> {
-        let ids: BTreeSet<u64> = self.heard.iter().filter_map(|h| h.id).collect();
-        if ids.len() != self.heard.iter().filter(|h| h.id.is_some()).count() {
+        let ids: BTreeSet<u64> = self.heard.iter().filter_map(|h| h.run_id).collect();
+        if ids.len() != self.heard.iter().filter(|h| h.run_id.is_some()).count() {
             return Err("two holders under one id".to_owned());
         }
         for member in self.slots.iter().filter_map(|s| s.member.as_ref()) {
--- a/copies/src/place.rs
+++ b/copies/src/placement.rs
@@ -7,7 +7,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// All holders, the most wanted first.
-pub fn order(holders: &[Holder], group: u32) -> Vec<usize> {
+pub fn preference_order(holders: &[Holder], group: u32) -> Vec<usize> {
     let mut all: Vec<usize> = (0..holders.len()).collect();
     let score = |i: usize| xxh3_64_with_seed(holders[i].name.as_bytes(), u64::from(group));
     all.sort_by_key(|&i| (std::cmp::Reverse(score(i)), &holders[i].name));
@@ -15,7 +15,12 @@
 }
 
 /// The `n` of the usable ones that are wanted most. A zone gets less than a majority unless there is nobody else.
-pub fn choose(holders: &[Holder], order: &[usize], n: usize, usable: impl Fn(usize) -> bool) -> Vec<usize> {
+pub fn choose_holders(
+    holders: &[Holder],
+    order: &[usize],
+    n: usize,
+    usable: impl Fn(usize) -> bool,
+) -> Vec<usize> {
     let most = (n - 1) / 2;
     let mut by_zone = BTreeMap::<&str, usize>::new();
     let (mut chosen, mut spare) = (Vec::new(), Vec::new());
@@ -55,8 +60,8 @@
     quickcheck! {
         fn no_zone_holds_a_majority_where_zones_allow_it(zones: Vec<u8>, five: bool, group: u8) -> bool {
             let (holders, n) = (holders(&zones[..zones.len().min(40)]), if five { 5 } else { 3 });
-            let order = order(&holders, group.into());
-            let chosen = choose(&holders, &order, n, |_| true);
+            let order = preference_order(&holders, group.into());
+            let chosen = choose_holders(&holders, &order, n, |_| true);
             let distinct: std::collections::BTreeSet<_> = chosen.iter().collect();
             let mut sizes = BTreeMap::<&str, usize>::new();
             holders.iter().for_each(|h| *sizes.entry(&h.zone).or_default() += 1);
@@ -73,10 +78,10 @@
             if holders.len() < 4 {
                 return true;
             }
-            let (order, gone) = (order(&holders, group.into()), gone % holders.len());
+            let (order, gone) = (preference_order(&holders, group.into()), gone % holders.len());
             // Without zones in the way: each is its own.
             let apart: Vec<Holder> = holders.iter().map(|h| Holder { zone: h.name.clone(), ..h.clone() }).collect();
-            let (before, after) = (choose(&apart, &order, 3, |_| true), choose(&apart, &order, 3, |i| i != gone));
+            let (before, after) = (choose_holders(&apart, &order, 3, |_| true), choose_holders(&apart, &order, 3, |i| i != gone));
             before.iter().filter(|&&i| i != gone).all(|i| after.contains(i))
         }
     }
--- a/copies/src/settings.rs
+++ b/copies/src/settings.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-pub const MOST_HOLDERS: usize = 64;
+pub const MAX_HOLDERS: usize = 64;
 
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
@@ -122,19 +122,19 @@
 }
 
 impl Copies {
-    pub fn read(text: &str) -> Result<Copies, Unusable> {
+    pub fn parse(text: &str) -> Result<Copies, Unusable> {
         let file: Copies = serde_json::from_str(text)?;
-        file.check()?;
+        file.validate()?;
         Ok(file)
     }
 
-    fn check(&self) -> Result<(), Unusable> {
+    fn validate(&self) -> Result<(), Unusable> {
         let need = |is: bool, field: &str, what: &'static str| {
             if is { Ok(()) } else { Err(Unusable::Field(field.to_owned(), what)) }
         };
         need(matches!(self.copies, 3 | 5), "copies", "3 or 5")?;
         need((1..=64).contains(&self.groups), "groups", "1 to 64")?;
-        need(self.holders.len() <= MOST_HOLDERS, "holders", "64 at the most")?;
+        need(self.holders.len() <= MAX_HOLDERS, "holders", "64 at the most")?;
         need(self.holders.len() >= self.copies, "holders", "at least as many as there are copies")?;
         need(self.me().is_some(), "gateway", "it is not among the holders")?;
         need(self.listen.port() != 0, "listen", "the others have to know the port")?;
--- a/copies/src/wire.rs
+++ b/copies/src/wire.rs
@@ -2,44 +2,44 @@
 //! peer sends nor hold more of it than a frame's bound. The field numbers are the schema: one that was used is never
 //! given anew.
 
-use crate::command::{Command, Result};
+use crate::command::{Command, ResultMessage};
 use prost::Message;
 
 pub const VERSION: u32 = 1;
 /// A frame: a command with its answer's body, or a message of the groups with many of them.
-pub const MOST_FRAME: usize = 2 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 2 * 1024 * 1024;
 /// A ledger as it is goes in one frame of its own.
-pub const MOST_IMAGE: usize = 256 * 1024 * 1024;
+pub const MAX_SNAPSHOT_BYTES: usize = 256 * 1024 * 1024;
 
 #[derive(Clone, PartialEq, Message)]
 pub struct Frame {
-    #[prost(oneof = "Said", tags = "1, 2, 3, 4, 5, 6, 7, 8")]
-    pub said: Option<Said>,
+    #[prost(oneof = "Payload", tags = "1, 2, 3, 4, 5, 6, 7, 8")]
+    pub payload: Option<Payload>,
 }
 
 #[derive(Clone, PartialEq, prost::Oneof)]
-pub enum Said {
+pub enum Payload {
     /// Who the sender is; the first frame of each connection.
     #[prost(message, tag = "1")]
     Hello(Hello),
     /// A sign of life, with the groups that the sender leads.
     #[prost(message, tag = "2")]
-    Pulse(Pulse),
+    Heartbeat(Heartbeat),
     /// Does anybody know this group?
     #[prost(message, tag = "3")]
-    Seek(Seek),
+    FindGroup(FindGroup),
     #[prost(message, tag = "4")]
-    Here(Here),
+    GroupStatus(GroupStatus),
     /// A message of a group's members among each other.
     #[prost(message, tag = "5")]
-    Member(Member),
+    RaftMessage(RaftMessage),
     #[prost(message, tag = "6")]
-    Ask(Ask),
+    Request(Request),
     #[prost(message, tag = "7")]
-    Done(Done),
+    Reply(Reply),
     /// The sender does not lead the group, or has no room: nothing was done with it.
     #[prost(message, tag = "8")]
-    Not(Not),
+    Refusal(Refusal),
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -50,29 +50,29 @@
     pub gateway: String,
     /// New with each start.
     #[prost(fixed64, tag = "3")]
-    pub id: u64,
+    pub run_id: u64,
     /// Of the holders and what else all have to have alike.
     #[prost(fixed64, tag = "4")]
-    pub file: u64,
+    pub settings_digest: u64,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Pulse {
+pub struct Heartbeat {
     #[prost(message, repeated, tag = "1")]
-    pub leads: Vec<Lead>,
+    pub leaderships: Vec<Leadership>,
     /// The sender is about to end, and wants to be replaced.
     #[prost(bool, tag = "2")]
     pub leaving: bool,
     /// Grows with each: one that was overtaken says nothing.
     #[prost(uint64, tag = "3")]
-    pub no: u64,
+    pub sequence: u64,
     /// The memberships that the sender holds.
     #[prost(message, repeated, tag = "4")]
-    pub holds: Vec<Hold>,
+    pub memberships: Vec<Membership>,
 }
 
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct Hold {
+pub struct Membership {
     #[prost(uint32, tag = "1")]
     pub group: u32,
     #[prost(fixed64, tag = "2")]
@@ -80,7 +80,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Lead {
+pub struct Leadership {
     #[prost(uint32, tag = "1")]
     pub group: u32,
     /// The ledger's own number, new with each founding.
@@ -96,13 +96,13 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct Seek {
+pub struct FindGroup {
     #[prost(uint32, tag = "1")]
     pub group: u32,
 }
 
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct Here {
+pub struct GroupStatus {
     #[prost(uint32, tag = "1")]
     pub group: u32,
     /// The ledger that the sender holds a copy of; 0: none.
@@ -110,11 +110,11 @@
     pub ledger: u64,
     /// The asker may found the group: the sender backs nobody else.
     #[prost(bool, tag = "3")]
-    pub backs: bool,
+    pub supports_founder: bool,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Member {
+pub struct RaftMessage {
     #[prost(uint32, tag = "1")]
     pub group: u32,
     #[prost(fixed64, tag = "2")]
@@ -124,20 +124,20 @@
     pub message: Vec<u8>,
     /// The start of the gateway that it is meant for.
     #[prost(fixed64, tag = "4")]
-    pub to_run: u64,
+    pub to_run_id: u64,
     /// The sender's membership.
     #[prost(fixed64, tag = "5")]
     pub from: u64,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Ask {
+pub struct Request {
     #[prost(uint32, tag = "1")]
     pub group: u32,
     #[prost(fixed64, tag = "2")]
     pub ledger: u64,
     #[prost(uint64, tag = "3")]
-    pub ask: u64,
+    pub request_id: u64,
     /// 0 to 9.
     #[prost(uint32, tag = "4")]
     pub importance: u32,
@@ -146,46 +146,50 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Done {
+pub struct Reply {
     #[prost(uint32, tag = "1")]
     pub group: u32,
     #[prost(uint64, tag = "2")]
-    pub ask: u64,
+    pub request_id: u64,
     #[prost(message, optional, tag = "3")]
-    pub result: Option<Result>,
+    pub result: Option<ResultMessage>,
 }
 
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct Not {
+pub struct Refusal {
     #[prost(uint32, tag = "1")]
     pub group: u32,
     #[prost(uint64, tag = "2")]
-    pub ask: u64,
+    pub request_id: u64,
     /// It leads, and has no room for something of that importance.
     #[prost(bool, tag = "3")]
     pub busy: bool,
 }
 
-pub fn encode(said: Said) -> Vec<u8> {
-    Frame { said: Some(said) }.encode_to_vec()
+pub fn encode(said: Payload) -> Vec<u8> {
+    Frame { payload: Some(said) }.encode_to_vec()
 }
 
 /// `None`: it is no frame of ours, or holds what may not stand in one.
-pub fn decode(bytes: &[u8]) -> Option<Said> {
-    let said = Frame::decode(bytes).ok()?.said?;
+pub fn decode(bytes: &[u8]) -> Option<Payload> {
+    let said = Frame::decode(bytes).ok()?.payload?;
     let sound = match &said {
-        Said::Hello(h) => h.version != VERSION || h.id != 0 && kelpcart_sites::settings::is_name(&h.gateway),
-        Said::Pulse(p) => {
-            p.leads.len() <= 64
-                && p.holds.len() <= 64
-                && p.leads.iter().all(|l| l.ledger != 0 && l.members.len() <= 64)
+        Payload::Hello(h) => {
+            h.version != VERSION || h.run_id != 0 && kelpcart_sites::settings::is_name(&h.gateway)
+        }
+        Payload::Heartbeat(p) => {
+            p.leaderships.len() <= 64
+                && p.memberships.len() <= 64
+                && p.leaderships.iter().all(|l| l.ledger != 0 && l.members.len() <= 64)
         }
-        Said::Member(m) => m.ledger != 0,
-        Said::Ask(a) => {
-            a.ask != 0 && a.importance <= 9 && a.command.as_ref().is_some_and(|c| c.word.is_some())
+        Payload::RaftMessage(m) => m.ledger != 0,
+        Payload::Request(a) => {
+            a.request_id != 0
+                && a.importance <= 9
+                && a.command.as_ref().is_some_and(|c| c.operation.is_some())
         }
-        Said::Done(d) => d.result.is_some(),
-        Said::Seek(_) | Said::Here(_) | Said::Not(_) => true,
+        Payload::Reply(d) => d.result.is_some(),
+        Payload::FindGroup(_) | Payload::GroupStatus(_) | Payload::Refusal(_) => true,
     };
     sound.then_some(said)
 }
--- a/copies/tests/common/mod.rs
+++ b/copies/tests/common/mod.rs
@@ -4,8 +4,8 @@
 #![allow(dead_code, reason = "each test file uses its part")]
 
 use kelpcart::{Span, Time};
-use kelpcart_copies::client::{Failed, Told};
-use kelpcart_copies::command::{Greet, Note, Number, Outcome, Word};
+use kelpcart_copies::client::{RequestError, Response};
+use kelpcart_copies::command::{CommandResult, Operation, OutcomeRecord, RegisterSender, TxnKey};
 use kelpcart_copies::node::{Node, Out};
 use kelpcart_copies::settings::Copies;
 use kelpcart_sites::ledger::{Answer, Key, TxnOutcome};
@@ -28,7 +28,7 @@
         "bounds": {"entries": 2_000, "log": 256, "waiting": 512},
         "disk": disk.then_some("notes"),
     });
-    Copies::read(&all.to_string()).unwrap()
+    Copies::parse(&all.to_string()).unwrap()
 }
 
 /// Remedies that can be left out, so that the rules are seen to find it.
@@ -105,7 +105,7 @@
     runs: BTreeMap<Key, u64>,
     wake: Time,
     /// Its notes of endings, as far as the disk has them.
-    disk: Vec<Note>,
+    disk: Vec<OutcomeRecord>,
 }
 
 struct Sender {
@@ -159,15 +159,15 @@
     ran: BTreeMap<Key, u32>,
     never: BTreeSet<Key>,
     /// By ledger and txn: the one final word that was given, and since when it need not be known any more.
-    words: BTreeMap<(u64, Key), Outcome>,
+    words: BTreeMap<(u64, Key), CommandResult>,
     settled: BTreeSet<Key>,
     promised: BTreeMap<(u64, Key), Time>,
     pub broken: Vec<String>,
     pub leaderless: Vec<Span>,
     without_leader: Option<Time>,
     /// On its way to a disk, by holder, start and mark.
-    writing: BTreeMap<(usize, u64, u64), Vec<Note>>,
-    pub probes: Vec<(u64, Key, Result<Outcome, Failed>)>,
+    writing: BTreeMap<(usize, u64, u64), Vec<OutcomeRecord>>,
+    pub probes: Vec<(u64, Key, Result<CommandResult, RequestError>)>,
 }
 
 fn answer(key: Key) -> Answer {
@@ -482,7 +482,7 @@
                     self.serve(at, key);
                 }
                 let of = self.all[at].runs.get(&key).copied().unwrap_or(0);
-                self.ask(at, key.sender, 9, Word::end(key, &answer(key), of), Why::End(key));
+                self.ask(at, key.sender, 9, Operation::end(key, &answer(key), of), Why::End(key));
             }
             Do::Sender { sender } => self.sender(sender),
             Do::Written { at, id, mark } => {
@@ -502,7 +502,7 @@
         }
     }
 
-    fn ask(&mut self, at: usize, sender: u64, importance: u32, word: Word, why: Why) {
+    fn ask(&mut self, at: usize, sender: u64, importance: u32, word: Operation, why: Why) {
         let (now, ahead) = (self.now, self.all[at].ahead);
         // The number is known before anything can come of it.
         let asked = self.all[at].node.as_mut().map(|node| {
@@ -530,7 +530,13 @@
         if sender.greeted.is_none() {
             let fresh = sender.next;
             self.senders[s].greeted = Some((0, at));
-            self.ask(at, run, 5, Word::Greet(Greet { sender: run, fresh }), Why::Greet(s));
+            self.ask(
+                at,
+                run,
+                5,
+                Operation::RegisterSender(RegisterSender { sender: run, next_number: fresh }),
+                Why::Greet(s),
+            );
             return;
         }
         let Some((ledger, at)) = sender.greeted.filter(|(ledger, _)| *ledger != 0) else { return };
@@ -540,7 +546,7 @@
                 return;
             }
             // Another ledger is told which one had taken it.
-            return self.ask(at, run, 9, Word::find(key, book.ledger), Why::Find(s, key));
+            return self.ask(at, run, 9, Operation::query(key, book.ledger), Why::Find(s, key));
         }
         if !self.busy {
             return self.at(ms(100), Do::Sender { sender: s });
@@ -554,7 +560,7 @@
         if self.without.copied_first {
             self.at(ms(1), Do::Run { at, id, key });
         }
-        self.ask(at, run, 9, Word::take(key), Why::Take(key));
+        self.ask(at, run, 9, Operation::accept(key), Why::Take(key));
     }
 
     /// A book has come to its end for its sender; the next one comes soon.
@@ -569,8 +575,8 @@
                     self.settled.insert(Key { sender: run, number: n });
                 }
                 if let Some((_, at)) = self.senders[s].greeted.filter(|(l, at)| *l != 0 && self.up(*at)) {
-                    let below = Number { sender: run, number: book.number + 1 };
-                    self.ask(at, run, 9, Word::Settle(below), Why::Settle);
+                    let below = TxnKey { sender: run, number: book.number + 1 };
+                    self.ask(at, run, 9, Operation::Settle(below), Why::Settle);
                 }
             }
         }
@@ -588,7 +594,7 @@
         let waits = self.senders[s].book.is_some_and(|b| b.number == key.number && b.at == at && !b.asking);
         let ledger = self.senders[s].book.map_or(0, |b| b.ledger);
         if waits && self.senders[s].greeted.is_some_and(|(_, g)| g == at) {
-            self.final_word(ledger, key, Outcome::Ended(answer(key).into()));
+            self.final_word(ledger, key, CommandResult::Ended(answer(key).into()));
             if self.rng.random_bool(0.1) {
                 // Its link breaks under the answer.
                 self.senders[s].greeted = None;
@@ -600,11 +606,11 @@
     }
 
     /// Each txn has one final word, whoever is asked, until its sender needs it no more.
-    fn final_word(&mut self, ledger: u64, key: Key, word: Outcome) {
+    fn final_word(&mut self, ledger: u64, key: Key, word: CommandResult) {
         if self.settled.contains(&key) {
             return;
         }
-        if word == Outcome::NeverTaken {
+        if word == CommandResult::NeverAccepted {
             if self.promised.contains_key(&(ledger, key)) {
                 self.broken.push(format!("{key:?} had ended, and is called never taken"));
             }
@@ -613,7 +619,7 @@
                 self.broken.push(format!("{key:?} is called never taken, and ran"));
             }
         }
-        if let Outcome::Ended(answer) = &word
+        if let CommandResult::Ended(answer) = &word
             && answer.outcome == TxnOutcome::Served
             && !self.ran.contains_key(&key)
         {
@@ -621,7 +627,7 @@
         }
         // What only machines knew that are lost with a majority is unknown to the ledger that follows.
         let now_kept = self.senders[self.by_run(key.sender)].greeted.map_or(0, |(l, _)| l);
-        if word == Outcome::Unknown && now_kept != ledger {
+        if word == CommandResult::Unknown && now_kept != ledger {
             return;
         }
         let first = self.words.entry((ledger, key)).or_insert_with(|| word.clone());
@@ -631,8 +637,8 @@
         }
     }
 
-    fn told(&mut self, i: usize, id: u64, told: Told) {
-        let Some((why, asked)) = self.all[i].waits.remove(&told.ask) else { return };
+    fn told(&mut self, i: usize, id: u64, told: Response) {
+        let Some((why, asked)) = self.all[i].waits.remove(&told.request_id) else { return };
         match why {
             Why::Settle => {}
             Why::Probe(ledger, key) => self.probes.push((ledger, key, told.result)),
@@ -643,7 +649,7 @@
                 if !stands {
                     return;
                 }
-                let fine = told.result == Ok(Outcome::Greeted(true));
+                let fine = told.result == Ok(CommandResult::Registered(true));
                 self.senders[s].greeted = ledger.filter(|_| fine).map(|l| (l, i));
                 let wait = if fine { ms(1) } else { ms(150) };
                 self.at(wait, Do::Sender { sender: s });
@@ -654,7 +660,7 @@
                 let s = self.by_run(key.sender);
                 let mine = self.senders[s].book.filter(|b| b.number == key.number && b.at == i);
                 match told.result {
-                    Ok(Outcome::Noted) => {
+                    Ok(CommandResult::Recorded) => {
                         if let Some(book) = mine {
                             self.promised.insert((book.ledger, key), self.now);
                         }
@@ -673,7 +679,7 @@
                     return;
                 }
                 match told.result {
-                    Ok(Outcome::Running) => {
+                    Ok(CommandResult::Running) => {
                         // It gives up at its limit.
                         if self.now - book.since >= ms(3_000) {
                             return self.over(s, |e| e.aborted += 1);
@@ -682,8 +688,8 @@
                     }
                     Ok(word) => {
                         let count: fn(&mut Ends) = match &word {
-                            Outcome::Ended(_) => |e| e.served += 1,
-                            Outcome::NeverTaken => |e| e.again += 1,
+                            CommandResult::Ended(_) => |e| e.served += 1,
+                            CommandResult::NeverAccepted => |e| e.again += 1,
                             _ => |e| e.aborted += 1,
                         };
                         self.final_word(book.ledger, key, word);
@@ -695,11 +701,18 @@
         }
     }
 
-    fn take_told(&mut self, i: usize, id: u64, key: Key, asked: Time, result: Result<Outcome, Failed>) {
+    fn take_told(
+        &mut self,
+        i: usize,
+        id: u64,
+        key: Key,
+        asked: Time,
+        result: Result<CommandResult, RequestError>,
+    ) {
         let s = self.by_run(key.sender);
         let waits = self.senders[s].book.is_some_and(|b| b.number == key.number && b.at == i && !b.asking);
         match result {
-            Ok(Outcome::Go) => {
+            Ok(CommandResult::Granted) => {
                 let group = self.all[i].node.as_ref().map_or(0, |n| n.group_of(key.sender));
                 if self.leader(group).is_some() && self.voters(group).len() < 2 {
                     self.broken.push(format!("{key:?} is promised by one alone"));
@@ -711,7 +724,7 @@
                 if in_time || self.without.given_up {
                     // Who was stopped meanwhile, and is held to be lost, sends nothing on.
                     let called =
-                        self.words.iter().any(|((_, k), word)| *k == key && *word == Outcome::Unknown);
+                        self.words.iter().any(|((_, k), word)| *k == key && *word == CommandResult::Unknown);
                     if called {
                         self.broken.push(format!("{key:?} is sent on after it was called unknown"));
                     }
@@ -723,7 +736,7 @@
                     // It was stopped in between: its right has run out.
                     let rejected =
                         Answer { outcome: TxnOutcome::Rejected { retry_after: None }, body: Vec::new() };
-                    self.ask(i, key.sender, 9, Word::end(key, &rejected, 0), Why::Settle);
+                    self.ask(i, key.sender, 9, Operation::end(key, &rejected, 0), Why::Settle);
                     if waits {
                         self.never.insert(key);
                         self.over(s, |e| e.told_off += 1);
@@ -738,11 +751,11 @@
                 }
                 let rejected =
                     Answer { outcome: TxnOutcome::Rejected { retry_after: None }, body: Vec::new() };
-                if result == Err(Failed::Unheard) {
-                    self.ask(i, key.sender, 9, Word::end(key, &rejected, 0), Why::Settle);
+                if result == Err(RequestError::Unconfirmed) {
+                    self.ask(i, key.sender, 9, Operation::end(key, &rejected, 0), Why::Settle);
                 }
             }
-            Ok(Outcome::Full | Outcome::NeverTaken) if waits => {
+            Ok(CommandResult::Full | CommandResult::NeverAccepted) if waits => {
                 self.never.insert(key);
                 self.over(s, |e| e.told_off += 1);
             }
@@ -817,11 +830,11 @@
     }
 
     /// What a gateway is told of a question, in three seconds.
-    pub fn question(&mut self, at: usize, word: Word) -> Result<Outcome, Failed> {
+    pub fn question(&mut self, at: usize, word: Operation) -> Result<CommandResult, RequestError> {
         self.probes.clear();
         self.ask(at, 77, 9, word, Why::Probe(0, Key { sender: 77, number: 0 }));
         self.run(ms(3_000));
-        self.probes.pop().map_or(Err(Failed::Unheard), |p| p.2)
+        self.probes.pop().map_or(Err(RequestError::Unconfirmed), |p| p.2)
     }
 
     pub fn ledger(&self, at: usize, group: u32) -> Option<u64> {
@@ -841,11 +854,13 @@
         for &(ledger, key) in &all {
             let live: Vec<usize> = (0..self.all.len()).filter(|&i| self.up(i)).collect();
             let at = live[self.rng.random_range(0..live.len())];
-            self.ask(at, key.sender, 9, Word::find(key, ledger), Why::Probe(ledger, key));
+            self.ask(at, key.sender, 9, Operation::query(key, ledger), Why::Probe(ledger, key));
             self.run(ms(20));
         }
         self.run(ms(2_000));
-        let ended = |p: &&(u64, Key, Result<Outcome, Failed>)| p.2 == Ok(Outcome::Ended(answer(p.1).into()));
+        let ended = |p: &&(u64, Key, Result<CommandResult, RequestError>)| {
+            p.2 == Ok(CommandResult::Ended(answer(p.1).into()))
+        };
         (self.probes.iter().filter(ended).count(), all.len())
     }
 
--- a/copies/tests/composed.rs
+++ b/copies/tests/composed.rs
@@ -4,8 +4,8 @@
 //! rejected, and each has its one answer in time.
 
 use kelpcart::{Span, Time};
-use kelpcart_copies::client::{self, Failed};
-use kelpcart_copies::command::{Greet, Number, Outcome, Word};
+use kelpcart_copies::client::{self, RequestError};
+use kelpcart_copies::command::{CommandResult, Operation, RegisterSender, TxnKey};
 use kelpcart_copies::node::{Node, Out};
 use kelpcart_copies::settings::Copies;
 use kelpcart_sites::acceptor::{Acceptor, Call, RefusalReason, RequestMeta, SessionAction, SessionId};
@@ -36,7 +36,7 @@
         "gateway": format!("f{i}"), "listen": format!("127.0.0.1:{}", 7_000 + i), "groups": 2,
         "holders": (0..n).map(holder).collect::<Vec<_>>(), "times": {"absent_ms": 4_000},
     });
-    Copies::read(&all.to_string()).unwrap()
+    Copies::parse(&all.to_string()).unwrap()
 }
 
 fn near(i: usize, fars: usize, seed: u64, now: Time) -> Initiator {
@@ -551,36 +551,38 @@
                     let node = &end.node;
                     end.core.replica_ledger_changed(now, ledger, |sender| node.group_of(sender) == group);
                 }
-                Some(Out::Told(told)) => self.told(i, told.ask, told.result),
+                Some(Out::Told(told)) => self.told(i, told.request_id, told.result),
                 Some(Out::Write { .. }) => unreachable!("no disk here"),
             }
         }
     }
 
-    fn told(&mut self, i: usize, ask: u64, result: Result<Outcome, Failed>) {
+    fn told(&mut self, i: usize, ask: u64, result: Result<CommandResult, RequestError>) {
         let now = self.now;
         let Some(end) = self.fars[i].as_mut() else { return };
         let Some(why) = end.asks.remove(&ask) else { return };
         match why {
             Why::Greet(session, group) => {
-                let known = result == Ok(Outcome::Greeted(true));
+                let known = result == Ok(CommandResult::Registered(true));
                 let ledger = end.node.ledger(group).filter(|_| known);
                 end.core.sender_registered(now, session, ledger);
             }
             Why::Take(call, asked) => {
-                let taken = client::taken(result, asked, now, Span::from_millis(1_000));
+                let taken = client::accept_result(result, asked, now, Span::from_millis(1_000));
                 end.core.accept_replicated(now, call, taken);
             }
-            Why::End(Some(call)) => end.core.outcome_replicated(now, call, result == Ok(Outcome::Noted)),
+            Why::End(Some(call)) => {
+                end.core.outcome_replicated(now, call, result == Ok(CommandResult::Recorded))
+            }
             Why::Find(session, what) => {
-                let found = client::found(result);
+                let found = client::lookup_result(result);
                 end.core.replica_status(now, session, what, found);
             }
             Why::End(None) | Why::Settle => {}
         }
     }
 
-    fn question(&mut self, i: usize, sender: u64, word: Word, why: impl FnOnce(u32) -> Why) {
+    fn question(&mut self, i: usize, sender: u64, word: Operation, why: impl FnOnce(u32) -> Why) {
         let now = self.now;
         let Some(end) = self.fars[i].as_mut() else { return };
         let group = end.node.group_of(sender);
@@ -638,20 +640,22 @@
                     self.post(session, false, Msg::Ledger(ledger))
                 }
                 SessionAction::RegisterSender { session, sender, next_number: fresh } => {
-                    let word = Word::Greet(Greet { sender, fresh });
+                    let word = Operation::RegisterSender(RegisterSender { sender, next_number: fresh });
                     self.question(i, sender, word, |group| Why::Greet(session, group));
                 }
                 SessionAction::ReplicateAccept { call, key, .. } => {
-                    self.question(i, key.sender, Word::take(key), |_| Why::Take(call, now));
+                    self.question(i, key.sender, Operation::accept(key), |_| Why::Take(call, now));
                 }
                 SessionAction::ReplicateOutcome { call, key, answer, ledger: of } => {
-                    self.question(i, key.sender, Word::end(key, &answer, of), |_| Why::End(call));
+                    self.question(i, key.sender, Operation::end(key, &answer, of), |_| Why::End(call));
                 }
                 SessionAction::QueryReplicas { session, key, ledger: of } => {
-                    self.question(i, key.sender, Word::find(key, of), |_| Why::Find(session, (key, of)));
+                    self.question(i, key.sender, Operation::query(key, of), |_| {
+                        Why::Find(session, (key, of))
+                    });
                 }
                 SessionAction::ReplicateSettle { sender, below } => {
-                    let word = Word::Settle(Number { sender, number: below });
+                    let word = Operation::Settle(TxnKey { sender, number: below });
                     self.question(i, sender, word, |_| Why::Settle);
                 }
             }
--- a/copies/tests/exhaustive.rs
+++ b/copies/tests/exhaustive.rs
@@ -3,7 +3,7 @@
 //! every order. After each schedule all is delivered and the one truth is looked for at every gateway that is left.
 
 use kelpcart::{Span, Time};
-use kelpcart_copies::command::{Greet, Outcome, Word};
+use kelpcart_copies::command::{CommandResult, Operation, RegisterSender};
 use kelpcart_copies::node::{Node, Out};
 use kelpcart_copies::settings::Copies;
 use kelpcart_sites::ledger::{Answer, Key, TxnOutcome};
@@ -19,7 +19,7 @@
         "gateway": format!("g{i}"), "listen": format!("127.0.0.1:{}", 7_000 + i),
         "holders": (0..N).map(holder).collect::<Vec<_>>(),
     });
-    Copies::read(&all.to_string()).unwrap()
+    Copies::parse(&all.to_string()).unwrap()
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -77,9 +77,13 @@
             }
         }
         world.pass(8_000);
-        world.ask(taker, "greet", Word::Greet(Greet { sender: KEY.sender, fresh: 1 }));
+        world.ask(
+            taker,
+            "greet",
+            Operation::RegisterSender(RegisterSender { sender: KEY.sender, next_number: 1 }),
+        );
         world.pass(500);
-        world.ask(taker, "take", Word::take(KEY));
+        world.ask(taker, "take", Operation::accept(KEY));
         world
     }
 
@@ -90,7 +94,7 @@
         }
     }
 
-    fn ask(&mut self, at: usize, why: &'static str, word: Word) {
+    fn ask(&mut self, at: usize, why: &'static str, word: Operation) {
         let now = self.now;
         let Some(node) = &mut self.all[at] else { return };
         let group = node.group_of(KEY.sender);
@@ -106,7 +110,7 @@
                     self.links.entry((i, holder)).or_default().push_back((id, frame));
                 }
                 Out::Told(told) => {
-                    let why = self.asks.remove(&(i, told.ask));
+                    let why = self.asks.remove(&(i, told.request_id));
                     self.told(i, why.unwrap_or("late"), told.result.ok());
                 }
                 Out::Write { .. } | Out::Ledger { .. } => {}
@@ -114,24 +118,24 @@
         }
     }
 
-    fn told(&mut self, i: usize, why: &'static str, outcome: Option<Outcome>) {
+    fn told(&mut self, i: usize, why: &'static str, outcome: Option<CommandResult>) {
         match (why, outcome) {
-            ("take", Some(Outcome::Go)) => {
+            ("take", Some(CommandResult::Granted)) => {
                 assert!(self.words.is_empty(), "it is sent on though it was called {:?}", self.words);
                 (self.runs, self.ran) = (Some(i), true);
             }
             // Nobody but the taker could run it, and it does not: should its taking come to be, it ended so.
             ("take", None) => {
                 let answer = Answer { outcome: TxnOutcome::Rejected { retry_after: None }, body: Vec::new() };
-                self.ask(i, "cancel", Word::end(KEY, &answer, 0));
+                self.ask(i, "cancel", Operation::end(KEY, &answer, 0));
             }
-            ("end", Some(Outcome::Noted)) => self.promised = true,
+            ("end", Some(CommandResult::Recorded)) => self.promised = true,
             ("find", Some(outcome)) => {
                 let word = match outcome {
-                    Outcome::NeverTaken => "never",
-                    Outcome::Ended(answer) if answer.outcome == TxnOutcome::Served => "ended",
-                    Outcome::Ended(_) => "given up",
-                    Outcome::Unknown => "unknown",
+                    CommandResult::NeverAccepted => "never",
+                    CommandResult::Ended(answer) if answer.outcome == TxnOutcome::Served => "ended",
+                    CommandResult::Ended(_) => "given up",
+                    CommandResult::Unknown => "unknown",
                     _ => return,
                 };
                 let not_run = word == "never" || word == "given up";
@@ -214,7 +218,7 @@
             }
             Choice::Find(i) => {
                 self.found = true;
-                self.ask(i, "find", Word::find(KEY, 0));
+                self.ask(i, "find", Operation::query(KEY, 0));
             }
             Choice::Answer => self.end(),
         }
@@ -224,7 +228,7 @@
         let Some(i) = self.runs.filter(|i| self.all[*i].is_some()) else { return };
         self.ended = true;
         let answer = Answer { outcome: TxnOutcome::Served, body: vec![1] };
-        self.ask(i, "end", Word::end(KEY, &answer, 0));
+        self.ask(i, "end", Operation::end(KEY, &answer, 0));
     }
 
     /// All that can come does; then each gateway that is left is asked.
@@ -235,7 +239,7 @@
         }
         self.pass(4_000);
         for i in 0..N {
-            self.ask(i, "find", Word::find(KEY, 0));
+            self.ask(i, "find", Operation::query(KEY, 0));
             self.pass(300);
         }
         let sees: Vec<_> = self
--- a/copies/tests/model.rs
+++ b/copies/tests/model.rs
@@ -4,9 +4,9 @@
 
 use common::{Net, Without, ms};
 use kelpcart::Time;
-use kelpcart_copies::command::{Greet, Outcome, Word};
+use kelpcart_copies::command::{CommandResult, Operation, RegisterSender};
 use kelpcart_copies::node::{Node, Out};
-use kelpcart_copies::wire::{self, Said};
+use kelpcart_copies::wire::{self, Payload};
 use kelpcart_sites::ledger::Key;
 use protobuf::Message as _;
 use raft::eraftpb::{Message, MessageType};
@@ -194,12 +194,15 @@
     assert_ne!(here, there, "{}", net.state());
     let key = Key { sender: 77, number: 5 };
     for at in [leader, third] {
-        assert_eq!(net.question(at, Word::Greet(Greet { sender: 77, fresh: 1 })), Ok(Outcome::Greeted(true)));
+        assert_eq!(
+            net.question(at, Operation::RegisterSender(RegisterSender { sender: 77, next_number: 1 })),
+            Ok(CommandResult::Registered(true))
+        );
     }
-    assert_eq!(net.question(leader, Word::take(key)), Ok(Outcome::Go));
-    assert_eq!(net.question(third, Word::find(key, here)), Ok(Outcome::Unknown));
+    assert_eq!(net.question(leader, Operation::accept(key)), Ok(CommandResult::Granted));
+    assert_eq!(net.question(third, Operation::query(key, here)), Ok(CommandResult::Unknown));
     // Without the ledger's number it would be called never taken, while it runs.
-    assert_eq!(net.question(third, Word::find(key, 0)), Ok(Outcome::NeverTaken));
+    assert_eq!(net.question(third, Operation::query(key, 0)), Ok(CommandResult::NeverAccepted));
     net.cut(false, |_, _| true);
     net.run(ms(12_000));
     assert!(net.all_led() && net.voters(0).len() == 3, "{}", net.state());
@@ -366,15 +369,17 @@
     let mut message = Message { from: 500, to: 600, term: 2, ..Message::default() };
     message.set_msg_type(MessageType::MsgHeartbeat);
     let message = message.write_to_bytes().unwrap();
-    let member = wire::Member { group: 0, ledger: 9, message, to_run: 10, from: 500 };
-    called.frame(now, 1, 11, &wire::encode(Said::Member(member)));
+    let member = wire::RaftMessage { group: 0, ledger: 9, message, to_run_id: 10, from: 500 };
+    called.frame(now, 1, 11, &wire::encode(Payload::RaftMessage(member)));
     assert!(called.member(0).is_some());
     while called.poll().is_some() {}
-    called.frame(now, 2, 12, &wire::encode(Said::Seek(wire::Seek { group: 0 })));
+    called.frame(now, 2, 12, &wire::encode(Payload::FindGroup(wire::FindGroup { group: 0 })));
     let frames = std::iter::from_fn(|| called.poll()).filter_map(|out| match out {
         Out::Send { holder: 2, frame, .. } => wire::decode(&frame),
         _ => None,
     });
-    let here = frames.filter_map(|said| if let Said::Here(here) = said { Some(here) } else { None }).last();
-    assert!(here.is_some_and(|h| h.ledger == 0 && h.backs), "{here:?}");
+    let here = frames
+        .filter_map(|said| if let Payload::GroupStatus(here) = said { Some(here) } else { None })
+        .last();
+    assert!(here.is_some_and(|h| h.ledger == 0 && h.supports_founder), "{here:?}");
 }
--- a/copies/tests/notes.rs
+++ b/copies/tests/outcome_log.rs
@@ -1,7 +1,7 @@
 //! Endings on a disk: what is whole comes back, what is torn, damaged or old harms nobody.
 
-use kelpcart_copies::command::{End, Note};
-use kelpcart_copies::notes::{Notes, Writer};
+use kelpcart_copies::command::{EndTxn, OutcomeRecord};
+use kelpcart_copies::outcome_log::{OutcomeLog, Writer};
 use kelpcart_sites::ledger::{Answer, Key, TxnOutcome};
 use quickcheck::quickcheck;
 use std::fs;
@@ -31,13 +31,13 @@
     }
 }
 
-fn note(number: u64, len: usize) -> Note {
+fn note(number: u64, len: usize) -> OutcomeRecord {
     let answer = Answer { outcome: TxnOutcome::Served, body: vec![number as u8; len] };
-    Note { ledger: 7, end: Some(End::of(Key { sender: 5, number }, &answer)) }
+    OutcomeRecord { ledger: 7, end: Some(EndTxn::new(Key { sender: 5, number }, &answer)) }
 }
 
 fn written(folder: &Folder, n: u64) {
-    let (mut notes, _) = Notes::open(&folder.0).unwrap();
+    let (mut notes, _) = OutcomeLog::open(&folder.0).unwrap();
     for number in 1..=n {
         notes.write([note(number, 20)].iter()).unwrap();
     }
@@ -47,24 +47,24 @@
 fn what_was_written_comes_back_after_each_start() {
     let folder = Folder::new();
     written(&folder, 30);
-    let (mut notes, found) = Notes::open(&folder.0).unwrap();
-    assert_eq!((found.notes.len(), found.damaged), (30, 0));
+    let (mut notes, found) = OutcomeLog::open(&folder.0).unwrap();
+    assert_eq!((found.records.len(), found.damaged), (30, 0));
     notes.write([note(31, 20), note(32, 20)].iter()).unwrap();
-    let (_, found) = Notes::open(&folder.0).unwrap();
-    assert_eq!(found.notes, (1..=32).map(|n| note(n, 20)).collect::<Vec<_>>());
+    let (_, found) = OutcomeLog::open(&folder.0).unwrap();
+    assert_eq!(found.records, (1..=32).map(|n| note(n, 20)).collect::<Vec<_>>());
 }
 
 #[test]
 fn files_are_bounded_and_the_oldest_go_first() {
     let folder = Folder::new();
-    let (mut notes, _) = Notes::open(&folder.0).unwrap();
+    let (mut notes, _) = OutcomeLog::open(&folder.0).unwrap();
     for number in 1..=200 {
         notes.write([note(number, 200_000)].iter()).unwrap();
     }
     assert!(folder.files().len() <= 3);
-    let (_, found) = Notes::open(&folder.0).unwrap();
-    let last = found.notes.last().and_then(|n| n.end.clone()?.key).unwrap().number;
-    assert!(last == 200 && found.notes.len() < 150 && found.damaged == 0);
+    let (_, found) = OutcomeLog::open(&folder.0).unwrap();
+    let last = found.records.last().and_then(|n| n.end.clone()?.key).unwrap().number;
+    assert!(last == 200 && found.records.len() < 150 && found.damaged == 0);
 }
 
 #[test]
@@ -72,10 +72,10 @@
     // Every write to it fails as on a full disk.
     let folder = Folder::new();
     let full = fs::OpenOptions::new().append(true).open("/dev/full").unwrap();
-    let writer = Writer::start(Notes::on(full, &folder.0)).unwrap();
+    let writer = Writer::start(OutcomeLog::with_file(full, &folder.0)).unwrap();
     assert!(writer.write(1, vec![note(1, 20)]));
-    assert_eq!(writer.done.recv_blocking(), Ok((1, false)));
-    assert!(writer.done.recv_blocking().is_err(), "nothing is written after a failure");
+    assert_eq!(writer.completions.recv_blocking(), Ok((1, false)));
+    assert!(writer.completions.recv_blocking().is_err(), "nothing is written after a failure");
 }
 
 quickcheck! {
@@ -96,9 +96,9 @@
         }
         let before = all.iter().zip(&whole).take_while(|(a, b)| a == b).count() * 12 / whole.len();
         fs::write(&file, &all).unwrap();
-        let (_, found) = Notes::open(&folder.0).unwrap();
-        let good: Vec<Note> = (1..=12).map(|n| note(n, 20)).collect();
-        let known = found.notes.iter().all(|n| good.contains(n));
-        known && found.notes.len() >= before.min(12) && found.notes[..before] == good[..before]
+        let (_, found) = OutcomeLog::open(&folder.0).unwrap();
+        let good: Vec<OutcomeRecord> = (1..=12).map(|n| note(n, 20)).collect();
+        let known = found.records.iter().all(|n| good.contains(n));
+        known && found.records.len() >= before.min(12) && found.records[..before] == good[..before]
     }
 }
--- a/gateway/src/sites/acceptor.rs
+++ b/gateway/src/sites/acceptor.rs
@@ -11,8 +11,8 @@
 use event_listener::Event as Wakeup;
 use futures_lite::future;
 use kelpcart::{Span, Time};
-use kelpcart_copies::client::{self, Failed};
-use kelpcart_copies::command::{Greet, Number, Outcome, Word as Command};
+use kelpcart_copies::client::{self, RequestError};
+use kelpcart_copies::command::{CommandResult, Operation as Command, RegisterSender, TxnKey};
 use kelpcart_sites::acceptor::{
     AcceptResult, Acceptor, Call, RefusalReason, RequestMeta, SessionAction, SessionId,
 };
@@ -177,28 +177,28 @@
         }
     }
 
-    fn handle_replica_answer(&self, ask: u64, result: Result<Outcome, Failed>) {
+    fn handle_replica_answer(&self, ask: u64, result: Result<CommandResult, RequestError>) {
         let Some(why) = self.replica_queries.borrow_mut().remove(&ask) else { return };
         match why {
             QueryPurpose::RegisterSender(session, group) => {
-                let known = result == Ok(Outcome::Greeted(true));
+                let known = result == Ok(CommandResult::Registered(true));
                 let ledger = self.copies.as_ref().and_then(|c| c.ledger(group)).filter(|_| known);
                 self.with_core(|core, now| core.sender_registered(now, session, ledger));
             }
             QueryPurpose::ReplicateAccept(call, asked) => {
                 let now = self.context.clock.now();
-                let taken = client::taken(result, asked, now, self.lease());
+                let taken = client::accept_result(result, asked, now, self.lease());
                 if taken == AcceptResult::NotAccepted {
                     self.context.counters.add("far requests told off for want of copies");
                 }
                 self.with_core(|core, now| core.accept_replicated(now, call, taken));
             }
             QueryPurpose::ReplicateOutcome(Some(call)) => {
-                let held = result == Ok(Outcome::Noted);
+                let held = result == Ok(CommandResult::Recorded);
                 self.with_core(|core, now| core.outcome_replicated(now, call, held));
             }
             QueryPurpose::QueryReplicas(session, what) => {
-                let found = client::found(result);
+                let found = client::lookup_result(result);
                 self.with_core(|core, now| core.replica_status(now, session, what, found));
             }
             QueryPurpose::ReplicateOutcome(None) | QueryPurpose::ReplicateSettle => {}
@@ -318,13 +318,13 @@
                     self.control(session, wire::encode(Message::Ledger(ledger)).into());
                 }
                 SessionAction::RegisterSender { session, sender, next_number: fresh } => {
-                    let word = Command::Greet(Greet { sender, fresh });
+                    let word = Command::RegisterSender(RegisterSender { sender, next_number: fresh });
                     self.query_replicas(sender, 9, word, |group| {
                         QueryPurpose::RegisterSender(session, group)
                     });
                 }
                 SessionAction::ReplicateAccept { call, key, importance } => {
-                    self.query_replicas(key.sender, importance, Command::take(key), |_| {
+                    self.query_replicas(key.sender, importance, Command::accept(key), |_| {
                         QueryPurpose::ReplicateAccept(call, now)
                     });
                 }
@@ -339,12 +339,12 @@
                     self.query_replicas(key.sender, 9, word, |_| QueryPurpose::ReplicateOutcome(call));
                 }
                 SessionAction::QueryReplicas { session, key, ledger: of } => {
-                    self.query_replicas(key.sender, 9, Command::find(key, of), |_| {
+                    self.query_replicas(key.sender, 9, Command::query(key, of), |_| {
                         QueryPurpose::QueryReplicas(session, (key, of))
                     });
                 }
                 SessionAction::ReplicateSettle { sender, below } => {
-                    let word = Command::Settle(Number { sender, number: below });
+                    let word = Command::Settle(TxnKey { sender, number: below });
                     self.query_replicas(sender, 0, word, |_| QueryPurpose::ReplicateSettle);
                 }
                 SessionAction::Persist { seq: mark, changes } => {
--- a/gateway/src/sites/copies.rs
+++ b/gateway/src/sites/copies.rs
@@ -7,12 +7,12 @@
 use event_listener::Event as Woken;
 use futures_lite::future;
 use kelpcart::{Span, Time};
-use kelpcart_copies::client::Failed;
-use kelpcart_copies::command::{Outcome, Word};
+use kelpcart_copies::client::RequestError;
+use kelpcart_copies::command::{CommandResult, Operation};
 use kelpcart_copies::node::{Node, Out, framed};
-use kelpcart_copies::notes::{Notes, Writer};
+use kelpcart_copies::outcome_log::{OutcomeLog, Writer};
 use kelpcart_copies::settings::Copies as File;
-use kelpcart_copies::wire::{MOST_FRAME, MOST_IMAGE};
+use kelpcart_copies::wire::{MAX_FRAME_BYTES, MAX_SNAPSHOT_BYTES};
 use kelpcart_sites::quic::{self, Connection, Endpoint, Incoming, RecvStream};
 use kelpcart_sites::settings::Sites;
 use rand::Rng;
@@ -36,7 +36,7 @@
 
 /// What a group says of a question, and that a group has another ledger.
 pub enum Heard {
-    Told(u64, Result<Outcome, Failed>),
+    Told(u64, Result<CommandResult, RequestError>),
     Ledger(u32, u64),
 }
 
@@ -73,7 +73,7 @@
         sites: &Sites,
         keys: &Rc<RefCell<quic::Keys>>,
     ) -> Result<(Rc<Copies>, Receiver<Heard>), String> {
-        let file = File::read(text).map_err(|e| e.to_string())?;
+        let file = File::parse(text).map_err(|e| e.to_string())?;
         if sites.ledger.file.is_some() {
             return Err("a ledger in a file and copies of it are not kept together".to_owned());
         }
@@ -86,12 +86,12 @@
             Node::new(&file, random_id(), rand::rng().random(), now).ok_or("gateway: no holder")?;
         let mut writer = None;
         if let Some(folder) = &file.disk {
-            let (notes, found) = Notes::open(folder).map_err(|e| format!("disk: {e}"))?;
+            let (notes, found) = OutcomeLog::open(folder).map_err(|e| format!("disk: {e}"))?;
             if found.damaged > 0 {
                 log::warn!("{} notes of endings are torn or damaged and not taken in", found.damaged);
             }
-            log::info!("the disk holds {} notes of endings", found.notes.len());
-            node.recover(found.notes);
+            log::info!("the disk holds {} notes of endings", found.records.len());
+            node.recover(found.records);
             writer = Some(Writer::start(notes).map_err(|e| format!("disk: {e}"))?);
         }
         let endpoint =
@@ -130,7 +130,7 @@
     /// Takes keys and the holders that are lost for good from the file as it is now.
     pub fn reread(&self, text: Result<String, String>) {
         self.endpoint.set_keys(&self.keys.borrow(), true);
-        match text.and_then(|text| File::read(&text).map_err(|e| e.to_string())) {
+        match text.and_then(|text| File::parse(&text).map_err(|e| e.to_string())) {
             Ok(file) => {
                 if !file.lost.is_empty() {
                     log::warn!("{:?} are lost for good: what only they knew is unknown", file.lost);
@@ -150,7 +150,7 @@
     }
 
     /// Puts a question; `kick` has to follow once its number is noted.
-    pub fn ask(&self, group: u32, importance: u8, word: Word) -> u64 {
+    pub fn ask(&self, group: u32, importance: u8, word: Operation) -> u64 {
         let now = self.means.clock.now();
         self.node.borrow_mut().ask(now, group, importance.into(), word)
     }
@@ -225,7 +225,7 @@
 
     async fn hear_disk(self: Rc<Self>) {
         let Some(writer) = &self.writer else { return };
-        while let Ok((mark, written)) = writer.done.recv().await {
+        while let Ok((mark, written)) = writer.completions.recv().await {
             self.tell(|node, now| if written { node.written(now, mark) } else { node.unwritten(now) });
         }
     }
@@ -258,7 +258,7 @@
                     }
                 }
                 // Both fail only when the process ends.
-                Out::Told(told) => _ = self.words.try_send(Heard::Told(told.ask, told.result)),
+                Out::Told(told) => _ = self.words.try_send(Heard::Told(told.request_id, told.result)),
                 Out::Ledger { group, ledger } => _ = self.words.try_send(Heard::Ledger(group, ledger)),
             }
         }
@@ -386,7 +386,7 @@
                 return Err("its certificate is not this site's".to_owned());
             }
             let (_, mut recv) = connection.accept_bi().await.map_err(|e| e.to_string())?;
-            let first = read(&mut recv, MOST_FRAME).await.ok_or("it says nothing")?;
+            let first = read(&mut recv, MAX_FRAME_BYTES).await.ok_or("it says nothing")?;
             Ok((connection, recv, first))
         };
         // One that gave up before it said anything is no sign of harm.
@@ -405,14 +405,14 @@
             peers[holder].heard.set(clock.now());
         }
         let frames = async {
-            while let Some(frame) = read(&mut recv, MOST_FRAME).await {
+            while let Some(frame) = read(&mut recv, MAX_FRAME_BYTES).await {
                 self.peers.borrow()[holder].heard.set(clock.now());
                 self.tell(|node, now| node.frame(now, holder, id, &frame));
             }
         };
         let images = async {
             while let Ok((_, mut recv)) = connection.accept_bi().await {
-                if let Some(image) = read(&mut recv, MOST_IMAGE).await {
+                if let Some(image) = read(&mut recv, MAX_SNAPSHOT_BYTES).await {
                     self.tell(|node, now| node.frame(now, holder, id, &image));
                 }
             }
--- a/scale/src/ladders/roles.rs
+++ b/scale/src/ladders/roles.rs
@@ -8,7 +8,7 @@
 use cpu_time::ThreadTime;
 use kelpcart::interface::MemberId;
 use kelpcart::{Span, Time};
-use kelpcart_copies::command::{Greet, Outcome, Word};
+use kelpcart_copies::command::{CommandResult, Operation, RegisterSender};
 use kelpcart_copies::node as copies;
 use kelpcart_copies::settings::Copies;
 use kelpcart_failover::decide::{Decider, Report};
@@ -284,7 +284,7 @@
         let node = |i: usize| {
             let file = json!({"gateway": format!("g{i}"), "listen": at(i), "copies": COPIES, "groups": groups,
                 "holders": holders, "bounds": {"entries": 1_000_000, "age_ms": 600_000}});
-            let file = Copies::read(&file.to_string()).expect("a file that fits");
+            let file = Copies::parse(&file.to_string()).expect("a file that fits");
             copies::Node::new(&file, 1_000 + i as u64, seed + i as u64, now).expect("a holder")
         };
         let all: Vec<copies::Node> = (0..HOLDERS).map(node).collect();
@@ -306,7 +306,7 @@
                     self.bytes += frame.len() as u64;
                     self.frames.push_back((i, holder, frame));
                 }
-                copies::Out::Told(told) => self.told += u64::from(told.result != Ok(Outcome::Running)),
+                copies::Out::Told(told) => self.told += u64::from(told.result != Ok(CommandResult::Running)),
                 copies::Out::Ledger { .. } | copies::Out::Write { .. } => {}
             }
         }
@@ -337,7 +337,12 @@
     let senders: Vec<u64> = (1..=64).collect();
     for &sender in &senders {
         let group = world.all[0].group_of(sender);
-        world.all[0].ask(world.now, group, 9, Word::Greet(Greet { sender, fresh: 1 }));
+        world.all[0].ask(
+            world.now,
+            group,
+            9,
+            Operation::RegisterSender(RegisterSender { sender, next_number: 1 }),
+        );
     }
     world.settle();
     let (began, bytes, told) = (ThreadTime::now(), world.bytes, world.told);
@@ -349,7 +354,7 @@
                 let at = one as usize % HOLDERS;
                 let group = world.all[at].group_of(key.sender);
                 let answer = Answer { outcome: TxnOutcome::Served, body: one.to_be_bytes().repeat(2) };
-                let word = if end { Word::end(key, &answer, 0) } else { Word::take(key) };
+                let word = if end { Operation::end(key, &answer, 0) } else { Operation::accept(key) };
                 world.all[at].ask(world.now, group, 9, word);
             }
             world.settle();
