--- a/copies/examples/measure.rs
+++ b/copies/examples/measure.rs
@@ -38,10 +38,10 @@
         let node = |i| Node::new(&file(i, n, copies, groups), 1_000 + i as u64, seed + i as u64, now);
         let all = (0..n).filter_map(node).collect();
         let mut world = World { now, all, frames: VecDeque::new(), done: 0, bytes: 0 };
-        let greetings: Vec<Vec<u8>> = world.all.iter().map(Node::greeting).collect();
+        let greetings: Vec<Vec<u8>> = world.all.iter().map(Node::hello).collect();
         for (i, node) in world.all.iter_mut().enumerate() {
             for (_, greeting) in greetings.iter().enumerate().filter(|(j, _)| *j != i) {
-                node.greeted(now, greeting).expect("a holder");
+                node.hello_received(now, greeting).expect("a holder");
             }
         }
         world.pass(Span::from_millis(20_000));
@@ -55,8 +55,8 @@
                     self.bytes += frame.len() as u64;
                     self.frames.push_back((i, holder, frame));
                 }
-                Out::Told(told) => self.done += u64::from(told.result != Ok(CommandResult::Running)),
-                Out::Ledger { .. } | Out::Write { .. } => {}
+                Out::Response(told) => self.done += u64::from(told.result != Ok(CommandResult::Running)),
+                Out::LedgerChanged { .. } | Out::Write { .. } => {}
             }
         }
     }
@@ -65,7 +65,7 @@
         (0..self.all.len()).for_each(|i| self.pull(i));
         while let Some((from, to, frame)) = self.frames.pop_front() {
             let (now, id) = (self.now, self.all[from].id());
-            self.all[to].frame(now, from, id, &frame);
+            self.all[to].frame_received(now, from, id, &frame);
             self.pull(to);
         }
     }
@@ -93,7 +93,7 @@
     let senders: Vec<u64> = (1..=64).collect();
     for &sender in &senders {
         let group = world.all[0].group_of(sender);
-        world.all[0].ask(
+        world.all[0].submit(
             world.now,
             group,
             9,
@@ -112,7 +112,7 @@
                 let at = one as usize % n;
                 let group = world.all[at].group_of(key.sender);
                 let word = if end { Operation::end(key, &answer(one), 0) } else { Operation::accept(key) };
-                world.all[at].ask(world.now, group, 9, word);
+                world.all[at].submit(world.now, group, 9, word);
             }
             world.settle();
         }
@@ -133,7 +133,7 @@
 /// what the slowest turn of the leader costs in real time.
 fn catch_up(copies: usize, seed: u64) -> Value {
     let mut world = World::new(9, copies, 1, seed);
-    world.all[0].ask(
+    world.all[0].submit(
         world.now,
         0,
         9,
@@ -147,7 +147,7 @@
                 let key = Key { sender: 1, number: one };
                 let at = one as usize % world.all.len();
                 let word = if end { Operation::end(key, &answer(one), 0) } else { Operation::accept(key) };
-                world.all[at].ask(world.now, 0, 9, word);
+                world.all[at].submit(world.now, 0, 9, word);
             }
             world.settle();
         }
@@ -157,7 +157,7 @@
         books(&mut world, 100);
         world.pass(Span::from_millis(10));
     }
-    let leads = |w: &World| w.all.iter().position(|n| n.member(0).is_some_and(|m| m.ready())).unwrap_or(0);
+    let leads = |w: &World| w.all.iter().position(|n| n.member(0).is_some_and(|m| m.is_ready())).unwrap_or(0);
     let leader = leads(&world);
     let held = |w: &World, i: usize| w.all[i].member(0).is_some_and(|m| m.voters().contains(&m.id));
     let lost = (0..9).find(|&i| i != leader && held(&world, i)).unwrap_or(0);
@@ -165,10 +165,10 @@
     let start = Node::new(&file(lost, 9, copies, 1), 5_000, seed, world.now).expect("a holder");
     world.all[lost] = start;
     for i in (0..9).filter(|i| *i != lost) {
-        let (theirs, ours) = (world.all[i].greeting(), world.all[lost].greeting());
+        let (theirs, ours) = (world.all[i].hello(), world.all[lost].hello());
         let now = world.now;
-        world.all[lost].greeted(now, &theirs).expect("a holder");
-        world.all[i].greeted(now, &ours).expect("a holder");
+        world.all[lost].hello_received(now, &theirs).expect("a holder");
+        world.all[i].hello_received(now, &ours).expect("a holder");
     }
     let (began, mut slowest) = (world.now, 0.0f64);
     while world.now - began < Span::from_millis(30_000) {
@@ -214,10 +214,10 @@
     let filled = began.elapsed().as_secs_f64();
     let kb = resident_kb().saturating_sub(before);
     let began = Instant::now();
-    let bytes = machine.image();
+    let bytes = machine.snapshot();
     let made = began.elapsed().as_secs_f64();
     let began = Instant::now();
-    let again = Machine::from_image(bounds, 1, &bytes).map(|m| m.len());
+    let again = Machine::from_snapshot(bounds, 1, &bytes).map(|m| m.len());
     let read = began.elapsed().as_secs_f64();
     assert_eq!(again, Some(entries as usize));
     json!({"entries": entries, "us_an_entry": filled / entries as f64 * 1e6, "resident_kb": kb, "image_kb": bytes.len() / 1024,
--- a/copies/src/machine.rs
+++ b/copies/src/machine.rs
@@ -14,29 +14,29 @@
 pub struct Machine {
     bounds: Bounds,
     /// The group's own time as of the last step.
-    at: Time,
+    time: Time,
     ledger: Ledger,
     /// Which start of a gateway runs what.
-    runs: BTreeMap<Key, u64>,
+    runner_of: BTreeMap<Key, u64>,
     /// Each member by its id: the start of a holder that it is.
     pub members: BTreeMap<u64, Member>,
     /// This ledger's own number.
-    number: u64,
+    ledger_id: u64,
     /// By ledger: endings of txns that others had taken, since when they are known here; none where one was asked about
     /// and not known, which stays so.
-    recalled: BTreeMap<(u64, Key), Known>,
-    recalled_bytes: usize,
+    imported: BTreeMap<(u64, Key), Imported>,
+    imported_bytes: usize,
 }
 
 /// Since when, and how it ended.
-type Known = (Time, Option<Arc<Answer>>);
+type Imported = (Time, Option<Arc<Answer>>);
 
 /// A ledger younger than this may still hear what others knew: so long it does not say that something is unknown.
-const YOUNG: Span = Span::from_millis(2_000);
+const IMPORT_GRACE: Span = Span::from_millis(2_000);
 
 /// All of it, as it goes to a member that is too far behind for the steps.
 #[derive(Clone, PartialEq, Message)]
-struct Image {
+struct Snapshot {
     #[prost(uint64, tag = "1")]
     at_us: u64,
     #[prost(message, repeated, tag = "2")]
@@ -46,11 +46,11 @@
     #[prost(message, repeated, tag = "4")]
     members: Vec<Member>,
     #[prost(message, repeated, tag = "5")]
-    recalled: Vec<Recalled>,
+    recalled: Vec<ImportedOutcome>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct Recalled {
+struct ImportedOutcome {
     #[prost(uint64, tag = "1")]
     at_us: u64,
     #[prost(message, optional, tag = "2")]
@@ -64,7 +64,7 @@
     #[prost(uint64, tag = "2")]
     floor: u64,
     #[prost(uint64, tag = "3")]
-    heard_us: u64,
+    last_seen_us: u64,
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -100,7 +100,7 @@
     #[prost(uint32, tag = "2")]
     pub holder: u32,
     #[prost(fixed64, tag = "3")]
-    pub run: u64,
+    pub run_id: u64,
 }
 
 impl Machine {
@@ -108,56 +108,57 @@
     pub fn new(bounds: Bounds, number: u64) -> Machine {
         Machine {
             bounds,
-            at: Time::default(),
+            time: Time::default(),
             ledger: Ledger::new(bounds, false),
-            runs: BTreeMap::new(),
+            runner_of: BTreeMap::new(),
             members: BTreeMap::new(),
-            number,
-            recalled: BTreeMap::new(),
-            recalled_bytes: 0,
+            ledger_id: number,
+            imported: BTreeMap::new(),
+            imported_bytes: 0,
         }
     }
 
-    pub fn at(&self) -> Time {
-        self.at
+    pub fn time(&self) -> Time {
+        self.time
     }
 
     /// `run`: the start of the gateway that asks.
     pub fn apply(&mut self, at: Time, run: u64, word: &Operation) -> CommandResult {
         // Guards against a leader whose steps were stamped before the last one's: time never goes back here.
-        self.at = self.at.max(at);
-        let now = self.at;
+        self.time = self.time.max(at);
+        let now = self.time;
         match word {
             Operation::RegisterSender(g) => {
                 CommandResult::Registered(self.ledger.register(now, g.sender, g.next_number))
             }
-            Operation::Accept(n) => self.take(now, run, (*n).into()),
+            Operation::Accept(n) => self.accept(now, run, (*n).into()),
             Operation::End(end) => {
                 let Some((key, answer)) = end.read() else { return CommandResult::Unknown };
-                if end.ledger != 0 && end.ledger != self.number {
-                    return self.recall(now, end.ledger, key, answer);
+                if end.ledger != 0 && end.ledger != self.ledger_id {
+                    return self.import(now, end.ledger, key, answer);
                 }
                 self.end(now, run, key, Arc::new(answer))
             }
-            Operation::Query(find) => self.find(now, find),
+            Operation::Query(find) => self.query(now, find),
             Operation::ImportOutcomes(recall) => {
                 for note in &recall.records {
                     if let Some((key, answer)) = note.end.as_ref().and_then(EndTxn::read) {
-                        self.recall(now, note.ledger, key, answer);
+                        self.import(now, note.ledger, key, answer);
                     }
                 }
                 CommandResult::Recorded
             }
             Operation::Settle(n) => {
                 self.ledger.settle(n.sender, n.number);
-                self.drop_runs();
+                self.drop_settled_runners();
                 CommandResult::Recorded
             }
             Operation::RunnerLost(gone) => {
-                let keys: Vec<Key> = self.runs.iter().filter(|(_, r)| *r == gone).map(|(k, _)| *k).collect();
+                let keys: Vec<Key> =
+                    self.runner_of.iter().filter(|(_, r)| *r == gone).map(|(k, _)| *k).collect();
                 for key in keys {
                     self.ledger.mark_lost(now, key);
-                    self.runs.remove(&key);
+                    self.runner_of.remove(&key);
                 }
                 CommandResult::Recorded
             }
@@ -165,29 +166,29 @@
                 self.ledger.expire(now);
                 let old = |at: Time| now - at >= self.bounds.age;
                 let gone: usize = self
-                    .recalled
+                    .imported
                     .values()
                     .filter(|r| old(r.0))
                     .map(|r| r.1.as_ref().map_or(0, |a| a.body.len()))
                     .sum();
-                self.recalled_bytes -= gone;
-                self.recalled.retain(|_, r| now - r.0 < self.bounds.age);
+                self.imported_bytes -= gone;
+                self.imported.retain(|_, r| now - r.0 < self.bounds.age);
                 CommandResult::Recorded
             }
         }
     }
 
-    fn find(&mut self, now: Time, find: &Query) -> CommandResult {
+    fn query(&mut self, now: Time, find: &Query) -> CommandResult {
         let Some(key) = find.key.map(Key::from) else { return CommandResult::Unknown };
-        if find.ledger != 0 && find.ledger != self.number {
+        if find.ledger != 0 && find.ledger != self.ledger_id {
             // That it was not taken by a ledger that is gone nobody can say.
-            let known = self.recalled.get(&(find.ledger, key)).map(|r| r.1.clone());
+            let known = self.imported.get(&(find.ledger, key)).map(|r| r.1.clone());
             return match known {
                 Some(Some(answer)) => CommandResult::Ended(answer),
-                None if now - Time::default() < YOUNG => CommandResult::Running,
+                None if now - Time::default() < IMPORT_GRACE => CommandResult::Running,
                 _ => {
-                    if self.recalled.len() < self.bounds.entries {
-                        self.recalled.entry((find.ledger, key)).or_insert((now, None));
+                    if self.imported.len() < self.bounds.entries {
+                        self.imported.entry((find.ledger, key)).or_insert((now, None));
                     }
                     CommandResult::Unknown
                 }
@@ -202,47 +203,47 @@
     }
 
     /// How a txn ended that another ledger had taken.
-    fn recall(&mut self, now: Time, ledger: u64, key: Key, answer: Answer) -> CommandResult {
-        if ledger == self.number {
+    fn import(&mut self, now: Time, ledger: u64, key: Key, answer: Answer) -> CommandResult {
+        if ledger == self.ledger_id {
             return CommandResult::TooLate;
         }
-        if let Some((_, known)) = self.recalled.get(&(ledger, key)) {
+        if let Some((_, known)) = self.imported.get(&(ledger, key)) {
             let same = known.as_deref() == Some(&answer);
             return if same { CommandResult::Recorded } else { CommandResult::TooLate };
         }
-        let bytes = self.recalled_bytes + answer.body.len();
-        if self.recalled.len() >= self.bounds.entries || bytes > self.bounds.bytes {
+        let bytes = self.imported_bytes + answer.body.len();
+        if self.imported.len() >= self.bounds.entries || bytes > self.bounds.bytes {
             return CommandResult::TooLate;
         }
-        self.recalled_bytes = bytes;
-        self.recalled.insert((ledger, key), (now, Some(Arc::new(answer))));
+        self.imported_bytes = bytes;
+        self.imported.insert((ledger, key), (now, Some(Arc::new(answer))));
         CommandResult::Recorded
     }
 
     /// All endings known here, for a ledger that follows this one.
-    pub fn endings(&self) -> Vec<OutcomeRecord> {
+    pub fn outcome_records(&self) -> Vec<OutcomeRecord> {
         let (_, entries) = self.ledger.snapshot();
         let own = entries.into_iter().filter_map(|(key, _, stand)| match stand {
             EntryState::Ended(answer) => {
-                Some(OutcomeRecord { ledger: self.number, end: Some(EndTxn::new(key, &answer)) })
+                Some(OutcomeRecord { ledger: self.ledger_id, end: Some(EndTxn::new(key, &answer)) })
             }
             _ => None,
         });
-        let others = self.recalled.iter();
+        let others = self.imported.iter();
         let others = others.filter_map(|((ledger, key), (_, answer))| {
             Some(OutcomeRecord { ledger: *ledger, end: Some(EndTxn::new(*key, answer.as_ref()?)) })
         });
         own.chain(others).collect()
     }
 
-    fn take(&mut self, now: Time, run: u64, key: Key) -> CommandResult {
+    fn accept(&mut self, now: Time, run: u64, key: Key) -> CommandResult {
         match self.ledger.accept(now, key) {
             Admission::New => {
-                self.runs.insert(key, run);
+                self.runner_of.insert(key, run);
                 CommandResult::Granted
             }
             // The same question again, since its first answer was lost.
-            Admission::Running if self.runs.get(&key) == Some(&run) => CommandResult::Granted,
+            Admission::Running if self.runner_of.get(&key) == Some(&run) => CommandResult::Granted,
             Admission::Running => CommandResult::Running,
             Admission::Ended(answer) => CommandResult::Ended(answer),
             Admission::Full => CommandResult::Full,
@@ -253,8 +254,8 @@
 
     /// Only who runs it can end it, and only once.
     fn end(&mut self, now: Time, run: u64, key: Key, answer: Arc<Answer>) -> CommandResult {
-        if self.runs.get(&key) == Some(&run) {
-            self.runs.remove(&key);
+        if self.runner_of.get(&key) == Some(&run) {
+            self.runner_of.remove(&key);
             self.ledger.finish(now, key, &answer);
             return CommandResult::Recorded;
         }
@@ -265,26 +266,26 @@
     }
 
     /// What was settled is nobody's any more.
-    fn drop_runs(&mut self) {
+    fn drop_settled_runners(&mut self) {
         let ledger = &self.ledger;
-        self.runs.retain(|key, _| ledger.is_running(*key));
+        self.runner_of.retain(|key, _| ledger.is_running(*key));
     }
 
     /// Starts of gateways that run something, and how much.
     pub fn runners(&self) -> BTreeMap<u64, usize> {
         let mut all = BTreeMap::new();
-        self.runs.values().for_each(|run| *all.entry(*run).or_default() += 1);
+        self.runner_of.values().for_each(|run| *all.entry(*run).or_default() += 1);
         all
     }
 
     /// Whether `Expire` would let something go by then.
-    pub fn has_old(&self, at: Time) -> bool {
-        self.ledger.has_expired(at) || self.recalled.values().any(|r| at - r.0 >= self.bounds.age)
+    pub fn has_expired(&self, at: Time) -> bool {
+        self.ledger.has_expired(at) || self.imported.values().any(|r| at - r.0 >= self.bounds.age)
     }
 
-    pub fn image(&self) -> Vec<u8> {
+    pub fn snapshot(&self) -> Vec<u8> {
         let (senders, entries) = self.ledger.snapshot();
-        let sender = |s: (u64, u64, Time)| Sender { sender: s.0, floor: s.1, heard_us: s.2.as_micros() };
+        let sender = |s: (u64, u64, Time)| Sender { sender: s.0, floor: s.1, last_seen_us: s.2.as_micros() };
         let entry = |(key, at, stand): (Key, Time, EntryState)| {
             let (state, answer) = match stand {
                 EntryState::Running => (State::Running, None),
@@ -297,30 +298,33 @@
                 number: key.number,
                 at_us: at.as_micros(),
                 state: state as i32,
-                run: self.runs.get(&key).copied().unwrap_or(0),
+                run: self.runner_of.get(&key).copied().unwrap_or(0),
                 answer,
             }
         };
-        let recalled = |((ledger, key), (at, answer)): (&(u64, Key), &Known)| {
+        let recalled = |((ledger, key), (at, answer)): (&(u64, Key), &Imported)| {
             // Without an answer: only the key.
             let end = answer
                 .as_ref()
                 .map_or(EndTxn { key: Some((*key).into()), ..EndTxn::default() }, |a| EndTxn::new(*key, a));
-            Recalled { at_us: at.as_micros(), note: Some(OutcomeRecord { ledger: *ledger, end: Some(end) }) }
+            ImportedOutcome {
+                at_us: at.as_micros(),
+                note: Some(OutcomeRecord { ledger: *ledger, end: Some(end) }),
+            }
         };
-        let image = Image {
-            at_us: self.at.as_micros(),
+        let image = Snapshot {
+            at_us: self.time.as_micros(),
             senders: senders.into_iter().map(sender).collect(),
             entries: entries.into_iter().map(entry).collect(),
             members: self.members.values().copied().collect(),
-            recalled: self.recalled.iter().map(recalled).collect(),
+            recalled: self.imported.iter().map(recalled).collect(),
         };
         image.encode_to_vec()
     }
 
     /// `None`: it is no image of ours, and nothing of it was taken in.
-    pub fn from_image(bounds: Bounds, number: u64, bytes: &[u8]) -> Option<Machine> {
-        let image = Image::decode(bytes).ok()?;
+    pub fn from_snapshot(bounds: Bounds, number: u64, bytes: &[u8]) -> Option<Machine> {
+        let image = Snapshot::decode(bytes).ok()?;
         let mut runs = BTreeMap::new();
         let mut entries: Vec<EntrySnapshot> = Vec::with_capacity(image.entries.len());
         for e in image.entries {
@@ -344,22 +348,22 @@
             recalled_bytes += answer.as_ref().map_or(0, |a| a.body.len());
             recalled.insert((note.ledger, end.key?.into()), (Time::from_micros(one.at_us), answer));
         }
-        let senders = image.senders.iter().map(|s| (s.sender, s.floor, Time::from_micros(s.heard_us)));
+        let senders = image.senders.iter().map(|s| (s.sender, s.floor, Time::from_micros(s.last_seen_us)));
         Some(Machine {
             bounds,
-            at: Time::from_micros(image.at_us),
+            time: Time::from_micros(image.at_us),
             ledger: Ledger::from_snapshot(bounds, senders, entries),
-            runs,
+            runner_of: runs,
             members: image.members.iter().map(|m| (m.id, *m)).collect(),
-            number,
-            recalled,
-            recalled_bytes,
+            ledger_id: number,
+            imported: recalled,
+            imported_bytes: recalled_bytes,
         })
     }
 
     /// Takes an image's place, or stays as it is where that can't be read.
     pub fn restore(&mut self, bytes: &[u8]) -> bool {
-        let read = Machine::from_image(self.bounds, self.number, bytes);
+        let read = Machine::from_snapshot(self.bounds, self.ledger_id, bytes);
         read.map(|machine| *self = machine).is_some()
     }
 
@@ -376,12 +380,12 @@
     }
 
     pub fn running(&self) -> usize {
-        self.runs.len()
+        self.runner_of.len()
     }
 
     /// Endings known of ledgers that lost their majority.
-    pub fn recalled(&self) -> usize {
-        self.recalled.len()
+    pub fn imported(&self) -> usize {
+        self.imported.len()
     }
 }
 
--- a/copies/src/node.rs
+++ b/copies/src/node.rs
@@ -5,7 +5,7 @@
 
 use crate::client::{Client, Leader, Response};
 use crate::command::{Command, CommandResult, ImportOutcomes, Operation, OutcomeRecord};
-use crate::group::{Counts, Done, Group, Refused};
+use crate::group::{CompletedProposal, Counters, GroupMember, ProposeError};
 use crate::membership_repair::PeerState;
 use crate::placement;
 use crate::settings::Copies;
@@ -19,20 +19,20 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 /// Those heard within this many signs of life are counted as there.
-const THERE: f64 = 8.0;
+const LIVENESS_HEARTBEATS: f64 = 8.0;
 /// Between two looks for a group that is not known.
-const SEEKS: Span = Span::from_millis(200);
+const FIND_GROUP_INTERVAL: Span = Span::from_millis(200);
 /// What was said of a group holds for this time.
-const SAID: Span = Span::from_millis(1_000);
+const GROUP_STATUS_TTL: Span = Span::from_millis(1_000);
 /// Who is backed as a founder is backed alone for this time.
-const BACKS: Span = Span::from_millis(3_000);
+const FOUNDER_VOTE_TTL: Span = Span::from_millis(3_000);
 /// A member that its group does not name any more, or that was called and never let in, goes after this time.
-const LINGERS: Span = Span::from_millis(3_000);
+const REMOVED_MEMBER_TIMEOUT: Span = Span::from_millis(3_000);
 /// Endings in one step that tells a group of them, and their bytes.
-const RECALLS: usize = 128;
-const RECALL_BYTES: usize = 128 * 1024;
+const MAX_IMPORT_RECORDS: usize = 128;
+const MAX_IMPORT_BYTES: usize = 128 * 1024;
 /// Memberships that ended and are remembered; one that was let in so often is let in no more.
-const MOST_ENDED: usize = 65_536;
+const MAX_ENDED_MEMBERSHIPS: usize = 65_536;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Out {
@@ -40,35 +40,35 @@
     Send {
         holder: usize,
         frame: Vec<u8>,
-        image: bool,
+        is_snapshot: bool,
     },
-    Told(Response),
+    Response(Response),
     /// Bring these to the disk, then call `written` with the mark; they follow those before.
     Write {
         mark: u64,
-        notes: Vec<OutcomeRecord>,
+        records: Vec<OutcomeRecord>,
     },
     /// The group has another ledger than before, or one is known for the first time: what was asked of the one before
     /// is not known there.
-    Ledger {
+    LedgerChanged {
         group: u32,
         ledger: u64,
     },
 }
 
-struct Slot {
-    order: Vec<usize>,
-    member: Option<Group>,
+struct GroupSlot {
+    preference: Vec<usize>,
+    member: Option<GroupMember>,
     since: Time,
     next_seek: Time,
     /// By which holder a member was heard, for one that does not know the members yet.
     routes: BTreeMap<u64, usize>,
     /// What holders said of the group, and when.
-    said: BTreeMap<usize, (Time, wire::GroupStatus)>,
+    statuses: BTreeMap<usize, (Time, wire::GroupStatus)>,
     /// Whom this gateway backs, until when.
-    backs: Option<(u64, Time)>,
+    founder_vote: Option<(u64, Time)>,
     /// Since when this member stands outside its group, as its leader sees it.
-    outside: Option<Time>,
+    excluded_since: Option<Time>,
     was_ready: bool,
 }
 
@@ -82,84 +82,84 @@
     pub bytes_in: u64,
     pub frames_out: u64,
     pub bytes_out: u64,
-    pub refused: u64,
+    pub invalid_frames: u64,
     /// Endings told to ledgers that follow.
-    pub recalled: u64,
+    pub imported: u64,
     /// Memberships that the consensus library gave up on.
-    pub given_up: u64,
+    pub raft_panics: u64,
 }
 
 pub struct Node {
-    file: Copies,
-    me: usize,
+    settings: Copies,
+    own_index: usize,
     id: u64,
     rng: Pcg64Mcg,
-    heard: Vec<PeerState>,
-    slots: Vec<Slot>,
+    peers: Vec<PeerState>,
+    groups: Vec<GroupSlot>,
     client: Client,
     /// Memberships that ended: what still comes for them is nobody's.
-    ended: BTreeSet<u64>,
+    ended_memberships: BTreeSet<u64>,
     /// By group: endings that were known of a ledger that lost its majority, or were on the disk at the start.
-    recalls: BTreeMap<u32, VecDeque<OutcomeRecord>>,
+    pending_imports: BTreeMap<u32, VecDeque<OutcomeRecord>>,
     /// Questions of this one itself.
-    own: BTreeMap<u64, u32>,
+    own_requests: BTreeMap<u64, u32>,
     /// Marks of what goes to the disk: the group and its number there.
-    marks: VecDeque<(u64, u32, u64)>,
-    mark: u64,
+    writes: VecDeque<(u64, u32, u64)>,
+    last_mark: u64,
     /// The disk can't be written: no copy is held here any more.
     disk_failed: bool,
     leaving: bool,
     started: Time,
-    pulse: Span,
-    pulses: u64,
-    next_pulse: Time,
-    next_watch: Time,
+    heartbeat_interval: Span,
+    heartbeats_sent: u64,
+    next_heartbeat: Time,
+    next_check: Time,
     pub totals: Totals,
-    gone_counts: Counts,
-    out: VecDeque<Out>,
+    ended_counters: Counters,
+    outputs: VecDeque<Out>,
 }
 
 impl Node {
     /// `id`: a number that no other start of any gateway has. `None`: the file does not name this gateway.
     pub fn new(file: &Copies, id: u64, seed: u64, now: Time) -> Option<Node> {
         let me = file.me()?;
-        let slot = |group| Slot {
-            order: placement::preference_order(&file.holders, group),
+        let slot = |group| GroupSlot {
+            preference: placement::preference_order(&file.holders, group),
             member: None,
             since: now,
             next_seek: now,
             routes: BTreeMap::new(),
-            said: BTreeMap::new(),
-            backs: None,
-            outside: None,
+            statuses: BTreeMap::new(),
+            founder_vote: None,
+            excluded_since: None,
             was_ready: false,
         };
         let pulse = Span::from_micros(file.times.election_ms * 500);
-        let mut heard = vec![PeerState::new(None, now); file.holders.len()];
-        heard[me].run_id = Some(id);
+        let mut peers = vec![PeerState::new(None, now); file.holders.len()];
+        peers[me].run_id = Some(id);
         Some(Node {
-            me,
+            own_index: me,
             id,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            heard,
-            slots: (0..file.groups).map(slot).collect(),
+            peers,
+            groups: (0..file.groups).map(slot).collect(),
             client: Client::new(Span::from_millis(file.times.wait_ms), pulse * 5.0),
-            ended: BTreeSet::new(),
-            recalls: BTreeMap::new(),
-            own: BTreeMap::new(),
-            marks: VecDeque::new(),
-            mark: 0,
+            ended_memberships: BTreeSet::new(),
+            pending_imports: BTreeMap::new(),
+            own_requests: BTreeMap::new(),
+            writes: VecDeque::new(),
+            last_mark: 0,
             disk_failed: false,
             leaving: false,
             started: now,
-            pulse,
-            pulses: 0,
-            next_pulse: now,
-            next_watch: now,
+            heartbeat_interval: pulse,
+            heartbeats_sent: 0,
+            next_heartbeat: now,
+            next_check: now,
             totals: Totals::default(),
-            gone_counts: Counts::default(),
-            out: VecDeque::new(),
-            file: file.clone(),
+            ended_counters: Counters::default(),
+            outputs: VecDeque::new(),
+            settings: file.clone(),
         })
     }
 
@@ -168,11 +168,11 @@
     }
 
     pub fn holders(&self) -> usize {
-        self.heard.len()
+        self.peers.len()
     }
 
     pub fn group_of(&self, sender: u64) -> u32 {
-        placement::group_of(sender, self.file.groups)
+        placement::group_of(sender, self.settings.groups)
     }
 
     /// The ledger of a group as far as it is known here.
@@ -185,83 +185,83 @@
         self.client.leader(now, group).is_some()
     }
 
-    pub fn member(&self, group: u32) -> Option<&Group> {
-        self.slots.get(group as usize)?.member.as_ref()
+    pub fn member(&self, group: u32) -> Option<&GroupMember> {
+        self.groups.get(group as usize)?.member.as_ref()
     }
 
-    pub fn phase(&self, now: Time) -> (usize, usize) {
-        let led = (0..self.file.groups).filter(|&g| self.has_majority(now, g)).count();
-        (led, self.slots.iter().filter(|s| s.member.is_some()).count())
+    pub fn leader_counts(&self, now: Time) -> (usize, usize) {
+        let led = (0..self.settings.groups).filter(|&g| self.has_majority(now, g)).count();
+        (led, self.groups.iter().filter(|s| s.member.is_some()).count())
     }
 
     // Inputs.
 
     /// What a connection begins with.
-    pub fn greeting(&self) -> Vec<u8> {
+    pub fn hello(&self) -> Vec<u8> {
         wire::encode(Payload::Hello(wire::Hello {
             version: wire::VERSION,
-            gateway: self.file.gateway.clone(),
+            gateway: self.settings.gateway.clone(),
             run_id: self.id,
-            settings_digest: self.digest(),
+            settings_digest: self.settings_digest(),
         }))
     }
 
     /// All have to agree on who the holders are and how the ledgers are spread.
-    fn digest(&self) -> u64 {
-        let names: Vec<&str> = self.file.holders.iter().map(|h| h.name.as_str()).collect();
-        let text = format!("{}/{}/{}", names.join(","), self.file.copies, self.file.groups);
+    fn settings_digest(&self) -> u64 {
+        let names: Vec<&str> = self.settings.holders.iter().map(|h| h.name.as_str()).collect();
+        let text = format!("{}/{}/{}", names.join(","), self.settings.copies, self.settings.groups);
         xxhash_rust::xxh3::xxh3_64(text.as_bytes())
     }
 
     /// A holder has connected, and this was its first frame. Which holder it is, or why it is not heard.
-    pub fn greeted(&mut self, now: Time, bytes: &[u8]) -> Result<(usize, u64), String> {
+    pub fn hello_received(&mut self, now: Time, bytes: &[u8]) -> Result<(usize, u64), String> {
         let Some(Payload::Hello(hello)) = wire::decode(bytes) else {
             return Err("its first frame is no greeting".to_owned());
         };
         if hello.version != wire::VERSION {
             return Err(format!("version {} is spoken here, not {}", wire::VERSION, hello.version));
         }
-        let holder = self.file.holders.iter().position(|h| h.name == hello.gateway);
-        let Some(holder) = holder.filter(|h| *h != self.me) else {
+        let holder = self.settings.holders.iter().position(|h| h.name == hello.gateway);
+        let Some(holder) = holder.filter(|h| *h != self.own_index) else {
             return Err(format!("{} is not among the holders", hello.gateway));
         };
-        if hello.settings_digest != self.digest() {
+        if hello.settings_digest != self.settings_digest() {
             return Err(format!("{} has other holders, copies or groups in its file", hello.gateway));
         }
-        if let Some(before) = self.heard[holder].run_id.filter(|id| *id != hello.run_id) {
-            self.unreachable(before);
+        if let Some(before) = self.peers[holder].run_id.filter(|id| *id != hello.run_id) {
+            self.report_unreachable(before);
         }
-        if self.heard[holder].run_id != Some(hello.run_id) {
-            self.heard[holder] = PeerState::new(Some(hello.run_id), now);
+        if self.peers[holder].run_id != Some(hello.run_id) {
+            self.peers[holder] = PeerState::new(Some(hello.run_id), now);
         }
-        self.heard[holder].last_heard = now;
+        self.peers[holder].last_heard = now;
         Ok((holder, hello.run_id))
     }
 
     /// A frame of a connection that was greeted so.
-    pub fn frame(&mut self, now: Time, holder: usize, id: u64, bytes: &[u8]) {
+    pub fn frame_received(&mut self, now: Time, holder: usize, id: u64, bytes: &[u8]) {
         self.totals.frames_in += 1;
         self.totals.bytes_in += bytes.len() as u64;
         // An earlier start of it, whose words are still under way.
-        if self.heard[holder].run_id != Some(id) {
+        if self.peers[holder].run_id != Some(id) {
             return;
         }
         let Some(said) = wire::decode(bytes) else {
-            self.totals.refused += 1;
+            self.totals.invalid_frames += 1;
             return;
         };
-        self.heard[holder].last_heard = now;
+        self.peers[holder].last_heard = now;
         match said {
-            Payload::Hello(_) => self.totals.refused += 1,
-            Payload::Heartbeat(pulse) => self.pulsed(now, holder, id, &pulse),
-            Payload::FindGroup(seek) => self.sought(now, holder, id, seek.group),
+            Payload::Hello(_) => self.totals.invalid_frames += 1,
+            Payload::Heartbeat(pulse) => self.heartbeat_received(now, holder, id, &pulse),
+            Payload::FindGroup(seek) => self.find_group_received(now, holder, id, seek.group),
             Payload::GroupStatus(here) => {
-                if let Some(slot) = self.slots.get_mut(here.group as usize) {
-                    slot.said.insert(holder, (now, here));
+                if let Some(slot) = self.groups.get_mut(here.group as usize) {
+                    slot.statuses.insert(holder, (now, here));
                 }
             }
-            Payload::RaftMessage(member) => self.member_said(now, holder, &member),
-            Payload::Request(ask) => self.asked(now, holder, id, ask),
+            Payload::RaftMessage(member) => self.raft_message_received(now, holder, &member),
+            Payload::Request(ask) => self.request_received(now, holder, id, ask),
             Payload::Reply(done) => {
                 if let Some(outcome) = done.result.and_then(crate::command::ResultMessage::into_result) {
                     self.client.reply_received(done.request_id, outcome);
@@ -269,30 +269,30 @@
             }
             Payload::Refusal(not) => self.client.refusal_received(now, id, not.request_id, not.busy),
         }
-        self.collect(now);
+        self.process(now);
     }
 
     /// The connection to a holder is gone.
-    pub fn broken(&mut self, now: Time, holder: usize) {
-        if let Some(id) = self.heard[holder].run_id {
-            self.unreachable(id);
+    pub fn connection_lost(&mut self, now: Time, holder: usize) {
+        if let Some(id) = self.peers[holder].run_id {
+            self.report_unreachable(id);
         }
-        self.collect(now);
+        self.process(now);
     }
 
-    fn unreachable(&mut self, id: u64) {
-        (0..self.slots.len()).for_each(|group| _ = self.with_member(group, |m| m.unreachable(id)));
+    fn report_unreachable(&mut self, id: u64) {
+        (0..self.groups.len()).for_each(|group| _ = self.with_member(group, |m| m.report_unreachable(id)));
     }
 
     /// Has a member do something. Where the consensus library gives up on what it was told, the membership ends with a
     /// clear line: it neither votes on what it can't trust nor takes the process with it.
-    fn with_member<T>(&mut self, group: usize, what: impl FnOnce(&mut Group) -> T) -> Option<T> {
-        let member = self.slots.get_mut(group)?.member.as_mut()?;
+    fn with_member<T>(&mut self, group: usize, what: impl FnOnce(&mut GroupMember) -> T) -> Option<T> {
+        let member = self.groups.get_mut(group)?.member.as_mut()?;
         // What was being done is never looked at again: the member goes.
         match catch_unwind(AssertUnwindSafe(|| what(member))) {
             Ok(done) => Some(done),
             Err(_) => {
-                self.totals.given_up += 1;
+                self.totals.raft_panics += 1;
                 self.drop_member(group as u32, "the consensus library gave up on it");
                 None
             }
@@ -300,13 +300,13 @@
     }
 
     /// Asks a group; what comes of it is told under the number.
-    pub fn ask(&mut self, now: Time, group: u32, importance: u32, word: Operation) -> u64 {
+    pub fn submit(&mut self, now: Time, group: u32, importance: u32, word: Operation) -> u64 {
         let ask = self.client.submit(now, group, importance, word);
-        self.collect(now);
+        self.process(now);
         ask
     }
 
-    pub fn forget(&mut self, ask: u64) {
+    pub fn cancel(&mut self, ask: u64) {
         self.client.cancel(ask);
     }
 
@@ -315,91 +315,92 @@
         for note in notes {
             let sender = note.end.as_ref().and_then(|e| e.key).map_or(0, |k| k.sender);
             let group = self.group_of(sender);
-            self.remember(group, note);
+            self.queue_import(group, note);
         }
     }
 
-    fn remember_endings(&mut self, group: u32) {
-        let member = self.slots[group as usize].member.as_ref();
-        let known = member.map(|m| m.machine().endings()).unwrap_or_default();
-        known.into_iter().for_each(|note| self.remember(group, note));
+    fn queue_member_imports(&mut self, group: u32) {
+        let member = self.groups[group as usize].member.as_ref();
+        let known = member.map(|m| m.machine().outcome_records()).unwrap_or_default();
+        known.into_iter().for_each(|note| self.queue_import(group, note));
     }
 
-    fn remember(&mut self, group: u32, note: OutcomeRecord) {
-        let all = self.recalls.entry(group).or_default();
-        if all.len() >= self.file.bounds.entries {
+    fn queue_import(&mut self, group: u32, note: OutcomeRecord) {
+        let all = self.pending_imports.entry(group).or_default();
+        if all.len() >= self.settings.bounds.entries {
             all.pop_front();
         }
         all.push_back(note);
     }
 
     /// The disk has all up to the mark.
-    pub fn written(&mut self, now: Time, mark: u64) {
-        while let Some((at, group, number)) = self.marks.pop_front_if(|m| m.0 <= mark) {
+    pub fn writes_persisted(&mut self, now: Time, mark: u64) {
+        while let Some((at, group, number)) = self.writes.pop_front_if(|m| m.0 <= mark) {
             debug_assert!(at <= mark);
-            self.with_member(group as usize, |m| m.written(now, number));
+            self.with_member(group as usize, |m| m.outcomes_persisted(now, number));
         }
-        self.collect(now);
+        self.process(now);
     }
 
     /// The disk does not take what it was given: who holds a copy without it would promise too much.
-    pub fn unwritten(&mut self, now: Time) {
+    pub fn write_failed(&mut self, now: Time) {
         self.disk_failed = true;
-        self.marks.clear();
-        (0..self.file.groups).for_each(|group| self.drop_member(group, "the disk can't be written"));
-        self.collect(now);
+        self.writes.clear();
+        (0..self.settings.groups).for_each(|group| self.drop_member(group, "the disk can't be written"));
+        self.process(now);
     }
 
     /// The file was read again: these holders are gone for good.
-    pub fn lost(&mut self, names: &BTreeSet<String>) {
-        self.file.lost.clone_from(names);
+    pub fn set_lost_holders(&mut self, names: &BTreeSet<String>) {
+        self.settings.lost.clone_from(names);
     }
 
     fn is_lost(&self, holder: usize) -> bool {
-        self.file.lost.contains(&self.file.holders[holder].name)
+        self.settings.lost.contains(&self.settings.holders[holder].name)
     }
 
     /// The process is told to stop: others take its places.
     pub fn leave(&mut self, now: Time) {
         self.leaving = true;
-        self.heard[self.me].leaving = true;
-        self.next_pulse = now;
+        self.peers[self.own_index].leaving = true;
+        self.next_heartbeat = now;
     }
 
     /// It holds no copy and leads nothing any more.
     pub fn has_left(&self) -> bool {
         self.leaving
-            && self.slots.iter().all(|s| s.member.as_ref().is_none_or(|m| !m.voters().contains(&m.id)))
+            && self.groups.iter().all(|s| s.member.as_ref().is_none_or(|m| !m.voters().contains(&m.id)))
     }
 
-    fn pulsed(&mut self, now: Time, holder: usize, id: u64, pulse: &wire::Heartbeat) {
-        let heard = &mut self.heard[holder];
+    fn heartbeat_received(&mut self, now: Time, holder: usize, id: u64, pulse: &wire::Heartbeat) {
+        let heard = &mut self.peers[holder];
         if pulse.sequence <= heard.sequence {
             return;
         }
         (heard.sequence, heard.leaving) = (pulse.sequence, pulse.leaving);
         heard.memberships = pulse.memberships.iter().map(|h| (h.group, h.id)).collect();
         for lead in &pulse.leaderships {
-            self.led(now, id, lead);
+            self.leadership_announced(now, id, lead);
         }
     }
 
     /// A gateway, or this one, says that it leads a group.
-    fn led(&mut self, now: Time, id: u64, lead: &wire::Leadership) {
-        let Some(slot) = self.slots.get_mut(lead.group as usize) else { return };
+    fn leadership_announced(&mut self, now: Time, id: u64, lead: &wire::Leadership) {
+        let Some(slot) = self.groups.get_mut(lead.group as usize) else { return };
         if let Some(member) = slot.member.as_ref().filter(|_| id != self.id) {
             let other = member.ledger != lead.ledger;
             // Two foundings met: one gives way, by the same rule at both.
-            let gives_way = member.leads() && (lead.ready, lead.ledger) > (member.ready(), member.ledger);
+            let gives_way =
+                member.is_leader() && (lead.ready, lead.ledger) > (member.is_ready(), member.ledger);
             let named = lead.members.contains(&member.id);
             let newer = lead.term >= member.term();
-            if other && member.leads() && !gives_way || !other && (named || !newer) {
-                slot.outside = None;
+            if other && member.is_leader() && !gives_way || !other && (named || !newer) {
+                slot.excluded_since = None;
             } else {
-                let since = *slot.outside.get_or_insert(now);
-                if gives_way || now - since >= LINGERS {
+                let since = *slot.excluded_since.get_or_insert(now);
+                if gives_way || now - since >= REMOVED_MEMBER_TIMEOUT {
                     if other {
-                        self.remember_endings(lead.group);
+                        self.queue_member_imports(lead.group);
                     }
                     self.drop_member(lead.group, "its group goes on without it");
                 }
@@ -408,33 +409,33 @@
         let leader =
             Leader { ledger: lead.ledger, term: lead.term, run_id: id, ready: lead.ready, last_heard: now };
         if self.client.leader_announced(now, lead.group, leader) {
-            self.out.push_back(Out::Ledger { group: lead.group, ledger: lead.ledger });
+            self.outputs.push_back(Out::LedgerChanged { group: lead.group, ledger: lead.ledger });
         }
     }
 
     fn drop_member(&mut self, group: u32, why: &str) {
-        let slot = &mut self.slots[group as usize];
+        let slot = &mut self.groups[group as usize];
         let Some(member) = slot.member.take() else { return };
         ::log::warn!("group {group}: the copy held here is dropped: {why}");
-        slot.outside = None;
-        slot.said.clear();
+        slot.excluded_since = None;
+        slot.statuses.clear();
         self.totals.dropped += 1;
-        self.ended.insert(member.id);
-        self.marks.retain(|m| m.1 != group);
-        add(&mut self.gone_counts, &member.counts);
+        self.ended_memberships.insert(member.id);
+        self.writes.retain(|m| m.1 != group);
+        add_counters(&mut self.ended_counters, &member.counts);
     }
 
     /// Somebody looks for a group, and may found it if nobody knows it.
-    fn sought(&mut self, now: Time, holder: usize, id: u64, group: u32) {
-        let Some(slot) = self.slots.get_mut(group as usize) else { return };
+    fn find_group_received(&mut self, now: Time, holder: usize, id: u64, group: u32) {
+        let Some(slot) = self.groups.get_mut(group as usize) else { return };
         let led = self.client.leader(now, group).map(|l| l.ledger);
         // One that was called and has been told nothing knows of no promise: it stands in nobody's way.
         let told = slot.member.as_ref().filter(|m| !m.voters().is_empty());
         let ledger = told.map(|m| m.ledger).or(led).unwrap_or(0);
-        let free = slot.backs.is_none_or(|(of, until)| of == id || until <= now);
+        let free = slot.founder_vote.is_none_or(|(of, until)| of == id || until <= now);
         let backs = ledger == 0 && free;
         if backs {
-            slot.backs = Some((id, now + BACKS));
+            slot.founder_vote = Some((id, now + FOUNDER_VOTE_TTL));
         }
         self.send(
             holder,
@@ -443,17 +444,20 @@
         );
     }
 
-    fn member_said(&mut self, now: Time, holder: usize, said: &wire::RaftMessage) {
-        let Some(slot) = self.slots.get_mut(said.group as usize) else { return };
+    fn raft_message_received(&mut self, now: Time, holder: usize, said: &wire::RaftMessage) {
+        let Some(slot) = self.groups.get_mut(said.group as usize) else { return };
         if said.to_run_id != self.id {
             return;
         }
         let free = slot.member.is_none() && !self.disk_failed;
-        let called = if free { calls(&said.message) } else { None };
-        if let Some(id) = called.filter(|id| self.ended.len() < MOST_ENDED && !self.ended.contains(id)) {
+        let called = if free { invited_membership(&said.message) } else { None };
+        if let Some(id) = called.filter(|id| {
+            self.ended_memberships.len() < MAX_ENDED_MEMBERSHIPS && !self.ended_memberships.contains(id)
+        }) {
             let seed = self.rng.random();
-            slot.member = Group::join(&self.file, (said.group, said.ledger), (id, self.id), seed, now);
-            (slot.since, slot.outside) = (now, None);
+            slot.member =
+                GroupMember::join(&self.settings, (said.group, said.ledger), (id, self.id), seed, now);
+            (slot.since, slot.excluded_since) = (now, None);
             slot.routes.clear();
             self.totals.joined += 1;
         }
@@ -466,7 +470,7 @@
     }
 
     /// A gateway asks for something that the group's leader has to have agreed on.
-    fn asked(&mut self, now: Time, holder: usize, id: u64, ask: wire::Request) {
+    fn request_received(&mut self, now: Time, holder: usize, id: u64, ask: wire::Request) {
         let (group, no) = (ask.group, ask.request_id);
         let refused = match ask.command {
             Some(command) => self.propose(now, id, group, ask.ledger, no, ask.importance, command),
@@ -475,7 +479,7 @@
         if let Some(why) = refused {
             self.send(
                 holder,
-                Payload::Refusal(wire::Refusal { group, request_id: no, busy: why == Refused::Busy }),
+                Payload::Refusal(wire::Refusal { group, request_id: no, busy: why == ProposeError::Busy }),
                 false,
             );
         }
@@ -488,88 +492,89 @@
         run: u64,
         group: u32,
         ledger: u64,
-        ask: u64,
+        submit: u64,
         importance: u32,
         command: Command,
-    ) -> Option<Refused> {
+    ) -> Option<ProposeError> {
         let asked = self.with_member(group as usize, |m| {
             if m.ledger == ledger {
-                m.propose(now, run, ask, importance, command)
+                m.propose(now, run, submit, importance, command)
             } else {
-                Err(Refused::Leads)
+                Err(ProposeError::NotLeader)
             }
         });
-        asked.unwrap_or(Err(Refused::Leads)).err()
+        asked.unwrap_or(Err(ProposeError::NotLeader)).err()
     }
 
     // Time.
 
     pub fn next_wake(&self) -> Time {
-        let members = self.slots.iter().filter_map(|s| s.member.as_ref()).map(Group::next_wake);
-        let at = self.next_pulse.min(self.next_watch);
+        let members = self.groups.iter().filter_map(|s| s.member.as_ref()).map(GroupMember::next_wake);
+        let at = self.next_heartbeat.min(self.next_check);
         let at = self.client.next_wake().map_or(at, |asks| asks.min(at));
         members.fold(at, Time::min)
     }
 
     pub fn tick(&mut self, now: Time) {
-        self.heard[self.me].last_heard = now;
-        for group in 0..self.slots.len() {
+        self.peers[self.own_index].last_heard = now;
+        for group in 0..self.groups.len() {
             // Lent for the call, since the member is of the same value.
-            let (order, heard) =
-                (std::mem::take(&mut self.slots[group].order), std::mem::take(&mut self.heard));
-            let holders = std::mem::take(&mut self.file.holders);
-            self.with_member(group, |m| m.tick(now, &holders, &order, &heard));
-            (self.slots[group].order, self.heard, self.file.holders) = (order, heard, holders);
+            let (preference, heard) =
+                (std::mem::take(&mut self.groups[group].preference), std::mem::take(&mut self.peers));
+            let holders = std::mem::take(&mut self.settings.holders);
+            self.with_member(group, |m| m.tick(now, &holders, &preference, &heard));
+            (self.groups[group].preference, self.peers, self.settings.holders) = (preference, heard, holders);
         }
-        if now >= self.next_watch {
-            self.next_watch = now + self.pulse;
-            (0..self.file.groups).for_each(|group| self.watch(now, group));
+        if now >= self.next_check {
+            self.next_check = now + self.heartbeat_interval;
+            (0..self.settings.groups).for_each(|group| self.check_group(now, group));
         }
         self.client.tick(now);
-        self.collect(now);
-        if now >= self.next_pulse {
-            self.pulse(now);
+        self.process(now);
+        if now >= self.next_heartbeat {
+            self.send_heartbeat(now);
         }
     }
 
     /// Tells all that this gateway is there and what it leads.
-    fn pulse(&mut self, now: Time) {
-        self.next_pulse = now + self.pulse;
-        let lead = |m: &Group| wire::Leadership {
+    fn send_heartbeat(&mut self, now: Time) {
+        self.next_heartbeat = now + self.heartbeat_interval;
+        let lead = |m: &GroupMember| wire::Leadership {
             group: m.number,
             ledger: m.ledger,
             term: m.term(),
-            ready: m.ready(),
+            ready: m.is_ready(),
             members: m.members().map(|m| m.id).collect(),
         };
-        let members = self.slots.iter().filter_map(|s| s.member.as_ref());
-        let leads: Vec<wire::Leadership> = members.filter(|m| m.leads()).map(lead).collect();
-        leads.iter().for_each(|l| self.led(now, self.id, l));
-        let members = self.slots.iter().filter_map(|s| s.member.as_ref());
+        let members = self.groups.iter().filter_map(|s| s.member.as_ref());
+        let leads: Vec<wire::Leadership> = members.filter(|m| m.is_leader()).map(lead).collect();
+        leads.iter().for_each(|l| self.leadership_announced(now, self.id, l));
+        let members = self.groups.iter().filter_map(|s| s.member.as_ref());
         let holds = members.map(|m| wire::Membership { group: m.number, id: m.id }).collect();
-        self.pulses += 1;
+        self.heartbeats_sent += 1;
         let pulse = Payload::Heartbeat(wire::Heartbeat {
             leaderships: leads,
             leaving: self.leaving,
-            sequence: self.pulses,
+            sequence: self.heartbeats_sent,
             memberships: holds,
         });
         self.send_all(&pulse);
     }
 
-    fn there(&self, now: Time, holder: usize) -> bool {
-        holder == self.me
-            || self.heard[holder].run_id.is_some() && now - self.heard[holder].last_heard < self.pulse * THERE
+    fn is_live(&self, now: Time, holder: usize) -> bool {
+        holder == self.own_index
+            || self.peers[holder].run_id.is_some()
+                && now - self.peers[holder].last_heard < self.heartbeat_interval * LIVENESS_HEARTBEATS
     }
 
     /// A membership that leads nowhere, and a group that there is not.
-    fn watch(&mut self, now: Time, group: u32) {
-        let slot = &self.slots[group as usize];
+    fn check_group(&mut self, now: Time, group: u32) {
+        let slot = &self.groups[group as usize];
         if let Some(member) = &slot.member {
             if self.client.leader(now, group).is_some() {
-                return self.tell_recalls(now, group);
+                return self.submit_imports(now, group);
             }
-            if member.leads() {
+            if member.is_leader() {
                 return;
             }
             let forgot = |id: &u64| {
@@ -577,11 +582,11 @@
                 if self.is_lost(one.holder as usize) {
                     return true;
                 }
-                let heard = self.heard.get(one.holder as usize);
-                one.id != member.id && heard.is_some_and(|h| h.lost_state(group, one.run, one.id))
+                let heard = self.peers.get(one.holder as usize);
+                one.id != member.id && heard.is_some_and(|h| h.lost_state(group, one.run_id, one.id))
             };
             // While members are replaced, a majority of those before and of those after is wanted.
-            let members = &member.steps().members;
+            let members = &member.log().conf_state;
             let halved = |voters: &[u64]| {
                 let left = voters.iter().filter(|v| !forgot(v)).count();
                 !voters.is_empty() && left <= voters.len() / 2
@@ -590,39 +595,40 @@
             if halved(&members.voters) || halved(&members.voters_outgoing) {
                 self.totals.lost_majorities += 1;
                 // What is known here of how txns ended goes into the ledger that follows.
-                self.remember_endings(group);
+                self.queue_member_imports(group);
                 self.drop_member(group, "a majority of its group has forgotten what it held");
-            } else if !called && now - slot.since >= LINGERS {
+            } else if !called && now - slot.since >= REMOVED_MEMBER_TIMEOUT {
                 self.drop_member(group, "it was never let in");
             }
             return;
         }
         if self.client.leader(now, group).is_some() {
-            return self.tell_recalls(now, group);
+            return self.submit_imports(now, group);
         }
         if self.leaving || self.disk_failed {
             return;
         }
-        let first = slot.order.iter().copied().find(|&h| self.there(now, h));
-        let settled = now - self.started >= self.pulse * THERE
-            || (0..self.heard.len()).all(|h| self.there(now, h) || self.is_lost(h));
-        if first != Some(self.me) || !settled {
+        let first = slot.preference.iter().copied().find(|&h| self.is_live(now, h));
+        let settled = now - self.started >= self.heartbeat_interval * LIVENESS_HEARTBEATS
+            || (0..self.peers.len()).all(|h| self.is_live(now, h) || self.is_lost(h));
+        if first != Some(self.own_index) || !settled {
             return;
         }
-        let fresh = |at: Time| now - at < SAID;
-        let said: Vec<wire::GroupStatus> = slot.said.values().filter(|s| fresh(s.0)).map(|s| s.1).collect();
+        let fresh = |at: Time| now - at < GROUP_STATUS_TTL;
+        let said: Vec<wire::GroupStatus> =
+            slot.statuses.values().filter(|s| fresh(s.0)).map(|s| s.1).collect();
         let known = said.iter().any(|h| h.ledger != 0);
-        let own = slot.backs.is_none_or(|(of, until)| of == self.id || until <= now);
+        let own = slot.founder_vote.is_none_or(|(of, until)| of == self.id || until <= now);
         let backed = said.iter().filter(|h| h.supports_founder).count() + 1;
-        let all = (0..self.heard.len()).filter(|&h| !self.is_lost(h)).count();
+        let all = (0..self.peers.len()).filter(|&h| !self.is_lost(h)).count();
         if !known && own && backed > all / 2 {
-            return self.found(now, group);
+            return self.found_group(now, group);
         }
         if now >= slot.next_seek {
-            let slot = &mut self.slots[group as usize];
-            slot.next_seek = now + SEEKS;
+            let slot = &mut self.groups[group as usize];
+            slot.next_seek = now + FIND_GROUP_INTERVAL;
             if own {
-                slot.backs = Some((self.id, now + BACKS));
+                slot.founder_vote = Some((self.id, now + FOUNDER_VOTE_TTL));
             }
             let seek = Payload::FindGroup(wire::FindGroup { group });
             self.send_all(&seek);
@@ -630,71 +636,73 @@
     }
 
     /// Tells the group what is known of ledgers before it, some at a time.
-    fn tell_recalls(&mut self, now: Time, group: u32) {
+    fn submit_imports(&mut self, now: Time, group: u32) {
         let Some(ledger) = self.client.ledger(group) else { return };
-        if self.own.values().any(|g| *g == group) {
+        if self.own_requests.values().any(|g| *g == group) {
             return;
         }
-        let Some(all) = self.recalls.get_mut(&group) else { return };
+        let Some(all) = self.pending_imports.get_mut(&group) else { return };
         let (mut notes, mut bytes) = (Vec::new(), 0);
-        while let Some(note) = all.pop_front_if(|_| notes.len() < RECALLS && bytes < RECALL_BYTES) {
+        while let Some(note) =
+            all.pop_front_if(|_| notes.len() < MAX_IMPORT_RECORDS && bytes < MAX_IMPORT_BYTES)
+        {
             bytes += note.end.as_ref().and_then(|e| e.answer.as_ref()).map_or(0, |a| a.body.len());
             if note.ledger != ledger {
                 notes.push(note);
             }
         }
         if all.is_empty() {
-            self.recalls.remove(&group);
+            self.pending_imports.remove(&group);
         }
         if !notes.is_empty() {
-            self.totals.recalled += notes.len() as u64;
+            self.totals.imported += notes.len() as u64;
             let ask = self.client.submit(
                 now,
                 group,
                 9,
                 Operation::ImportOutcomes(ImportOutcomes { records: notes }),
             );
-            self.own.insert(ask, group);
+            self.own_requests.insert(ask, group);
         }
     }
 
-    fn found(&mut self, now: Time, group: u32) {
+    fn found_group(&mut self, now: Time, group: u32) {
         let (ledger, seed) = (self.rng.random_range(1..=u64::MAX), self.rng.random());
-        let slot = &mut self.slots[group as usize];
-        slot.member = Group::found(&self.file, group, ledger, self.id, seed, now);
-        (slot.since, slot.outside) = (now, None);
-        slot.said.clear();
+        let slot = &mut self.groups[group as usize];
+        slot.member = GroupMember::bootstrap(&self.settings, group, ledger, self.id, seed, now);
+        (slot.since, slot.excluded_since) = (now, None);
+        slot.statuses.clear();
         self.totals.founded += 1;
         ::log::info!("group {group}: founded here, its ledger is {ledger:016x}");
     }
 
     pub fn poll(&mut self) -> Option<Out> {
-        self.out.pop_front()
+        self.outputs.pop_front()
     }
 
-    fn send(&mut self, holder: usize, said: Payload, image: bool) {
+    fn send(&mut self, holder: usize, payload: Payload, is_snapshot: bool) {
         self.totals.frames_out += 1;
-        let frame = wire::encode(said);
+        let frame = wire::encode(payload);
         self.totals.bytes_out += frame.len() as u64;
-        self.out.push_back(Out::Send { holder, frame, image });
+        self.outputs.push_back(Out::Send { holder, frame, is_snapshot });
     }
 
     fn send_all(&mut self, said: &Payload) {
-        for holder in (0..self.heard.len()).filter(|h| *h != self.me).collect::<Vec<_>>() {
+        for holder in (0..self.peers.len()).filter(|h| *h != self.own_index).collect::<Vec<_>>() {
             self.send(holder, said.clone(), false);
         }
     }
 
-    fn send_to(&mut self, id: u64, said: Payload, image: bool) {
-        let holder = self.heard.iter().position(|h| h.run_id == Some(id));
+    fn send_to(&mut self, id: u64, payload: Payload, is_snapshot: bool) {
+        let holder = self.peers.iter().position(|h| h.run_id == Some(id));
         match holder {
-            Some(holder) if holder != self.me => self.send(holder, said, image),
-            _ => self.unreachable(id),
+            Some(holder) if holder != self.own_index => self.send(holder, payload, is_snapshot),
+            _ => self.report_unreachable(id),
         }
     }
 
     /// Carries on what the inputs have made possible, until nothing moves.
-    fn collect(&mut self, now: Time) {
+    fn process(&mut self, now: Time) {
         loop {
             let mut moved = false;
             for send in std::mem::take(&mut self.client.outgoing) {
@@ -710,7 +718,7 @@
                 if to == self.id {
                     let refused = self.propose(now, to, group, ledger, ask, importance, command);
                     if let Some(why) = refused {
-                        self.client.refusal_received(now, to, ask, why == Refused::Busy);
+                        self.client.refusal_received(now, to, ask, why == ProposeError::Busy);
                     }
                 } else {
                     let command = Some(command);
@@ -727,44 +735,44 @@
                     );
                 }
             }
-            for group in 0..self.slots.len() {
-                moved |= self.carry(now, group);
+            for group in 0..self.groups.len() {
+                moved |= self.process_group(now, group);
             }
             if !moved {
                 break;
             }
         }
         for told in std::mem::take(&mut self.client.responses) {
-            match self.own.remove(&told.request_id) {
+            match self.own_requests.remove(&told.request_id) {
                 // Those of a ledger that went meanwhile are told by those that hold them.
                 Some(group) => {
                     if told.result == Ok(CommandResult::Recorded) {
-                        self.tell_recalls(now, group);
+                        self.submit_imports(now, group);
                     }
                 }
-                None => self.out.push_back(Out::Told(told)),
+                None => self.outputs.push_back(Out::Response(told)),
             }
         }
     }
 
     /// One group's part of it.
-    fn carry(&mut self, now: Time, group: usize) -> bool {
-        self.with_member(group, |m| m.drive(now));
-        let Some(member) = &mut self.slots[group].member else { return false };
-        let (sent, done) = (std::mem::take(&mut member.sent), std::mem::take(&mut member.done));
-        for (number, notes) in std::mem::take(&mut member.write) {
-            self.mark += 1;
-            self.marks.push_back((self.mark, group as u32, number));
-            self.out.push_back(Out::Write { mark: self.mark, notes });
-        }
-        let (number, ledger, ready) = (member.number, member.ledger, member.ready());
+    fn process_group(&mut self, now: Time, group: usize) -> bool {
+        self.with_member(group, |m| m.process_ready(now));
+        let Some(member) = &mut self.groups[group].member else { return false };
+        let (sent, done) = (std::mem::take(&mut member.outbound), std::mem::take(&mut member.completed));
+        for (number, notes) in std::mem::take(&mut member.outcome_writes) {
+            self.last_mark += 1;
+            self.writes.push_back((self.last_mark, group as u32, number));
+            self.outputs.push_back(Out::Write { mark: self.last_mark, records: notes });
+        }
+        let (number, ledger, ready) = (member.number, member.ledger, member.is_ready());
         let moved = !sent.is_empty() || !done.is_empty();
         for one in sent {
             // Who has not learnt the members yet answers on the way that it was spoken to.
-            let slot = &self.slots[group];
+            let slot = &self.groups[group];
             let known =
-                slot.member.as_ref().and_then(|m| m.member(one.to)).map(|m| (m.holder as usize, m.run));
-            let route = || slot.routes.get(&one.to).and_then(|&h| Some((h, self.heard[h].run_id?)));
+                slot.member.as_ref().and_then(|m| m.member(one.to)).map(|m| (m.holder as usize, m.run_id));
+            let route = || slot.routes.get(&one.to).and_then(|&h| Some((h, self.peers[h].run_id?)));
             let Some((holder, to_run)) = known.or_else(route) else { continue };
             let said = wire::RaftMessage {
                 group: number,
@@ -773,13 +781,13 @@
                 to_run_id: to_run,
                 from: one.from,
             };
-            if self.heard.get(holder).is_some_and(|h| h.run_id == Some(to_run)) && holder != self.me {
-                self.send(holder, Payload::RaftMessage(said), one.image);
+            if self.peers.get(holder).is_some_and(|h| h.run_id == Some(to_run)) && holder != self.own_index {
+                self.send(holder, Payload::RaftMessage(said), one.is_snapshot);
             } else {
-                self.unreachable(to_run);
+                self.report_unreachable(to_run);
             }
         }
-        for Done { run, ask, outcome } in done {
+        for CompletedProposal { run_id: run, request_id: ask, result: outcome } in done {
             if run == self.id {
                 self.client.reply_received(ask, outcome);
             } else {
@@ -792,55 +800,55 @@
             }
         }
         // Those who wait for a leader hear of it at once.
-        if std::mem::replace(&mut self.slots[group].was_ready, ready) != ready {
+        if std::mem::replace(&mut self.groups[group].was_ready, ready) != ready {
             ::log::info!("group {group}: {}", if ready { "led here" } else { "not led here any more" });
-            self.pulse(now);
+            self.send_heartbeat(now);
             return true;
         }
         moved
     }
 
     /// Counters of all memberships, those that ended included.
-    pub fn counts(&self) -> Counts {
-        let mut all = self.gone_counts;
-        self.slots.iter().filter_map(|s| s.member.as_ref()).for_each(|m| add(&mut all, &m.counts));
+    pub fn counters(&self) -> Counters {
+        let mut all = self.ended_counters;
+        self.groups.iter().filter_map(|s| s.member.as_ref()).for_each(|m| add_counters(&mut all, &m.counts));
         all
     }
 
     pub fn sizes(&self) -> [(&'static str, usize); 11] {
-        let members = || self.slots.iter().filter_map(|s| s.member.as_ref());
+        let members = || self.groups.iter().filter_map(|s| s.member.as_ref());
         [
             ("copies held", members().count()),
             ("copies voting", members().filter(|m| m.voters().contains(&m.id)).count()),
-            ("copies led", members().filter(|m| m.leads()).count()),
+            ("copies led", members().filter(|m| m.is_leader()).count()),
             ("copies entries", members().map(|m| m.machine().len()).sum()),
             ("copies bytes", members().map(|m| m.machine().bytes()).sum()),
-            ("copies steps kept", members().map(|m| m.steps().len()).sum()),
-            ("copies steps bytes", members().map(|m| m.steps().bytes()).sum()),
-            ("copies image bytes", members().map(|m| m.steps().image_bytes()).sum()),
+            ("copies steps kept", members().map(|m| m.log().len()).sum()),
+            ("copies steps bytes", members().map(|m| m.log().bytes()).sum()),
+            ("copies image bytes", members().map(|m| m.log().snapshot_bytes()).sum()),
             ("copies questions open", self.client.len()),
-            ("copies writes waiting", self.marks.len()),
-            ("copies endings of ledgers before", members().map(|m| m.machine().recalled()).sum()),
+            ("copies writes waiting", self.writes.len()),
+            ("copies endings of ledgers before", members().map(|m| m.machine().imported()).sum()),
         ]
     }
 
     /// Questions that were told off because no majority could be had, and those that were never heard of again.
-    pub fn failed(&self) -> (u64, u64) {
+    pub fn failed_requests(&self) -> (u64, u64) {
         (self.client.refused, self.client.timed_out)
     }
 
     /// The rules that have to hold after every step; for tests.
-    pub fn check_rules(&self) -> Result<(), String> {
-        let ids: BTreeSet<u64> = self.heard.iter().filter_map(|h| h.run_id).collect();
-        if ids.len() != self.heard.iter().filter(|h| h.run_id.is_some()).count() {
+    pub fn check_invariants(&self) -> Result<(), String> {
+        let ids: BTreeSet<u64> = self.peers.iter().filter_map(|h| h.run_id).collect();
+        if ids.len() != self.peers.iter().filter(|h| h.run_id.is_some()).count() {
             return Err("two holders under one id".to_owned());
         }
-        for member in self.slots.iter().filter_map(|s| s.member.as_ref()) {
-            if member.machine().len() > self.file.bounds.entries {
+        for member in self.groups.iter().filter_map(|s| s.member.as_ref()) {
+            if member.machine().len() > self.settings.bounds.entries {
                 return Err(format!("group {}: more entries than it may hold", member.number));
             }
             let (steps, most) =
-                (member.steps().len(), self.file.bounds.log + 2 * self.file.bounds.waiting + 1_024);
+                (member.log().len(), self.settings.bounds.log + 2 * self.settings.bounds.waiting + 1_024);
             if steps > most {
                 return Err(format!("group {}: {steps} steps kept", member.number));
             }
@@ -850,26 +858,26 @@
 }
 
 /// The membership that a leader's message calls: what only asks for a vote makes nobody a member.
-fn calls(bytes: &[u8]) -> Option<u64> {
+fn invited_membership(bytes: &[u8]) -> Option<u64> {
     let leads =
         |kind| matches!(kind, MessageType::MsgAppend | MessageType::MsgHeartbeat | MessageType::MsgSnapshot);
     let message = Message::parse_from_bytes(bytes).ok()?;
     (leads(message.get_msg_type()) && message.to != 0).then_some(message.to)
 }
 
-fn add(all: &mut Counts, more: &Counts) {
+fn add_counters(all: &mut Counters, more: &Counters) {
     all.elections += more.elections;
-    all.led += more.led;
+    all.leaderships += more.leaderships;
     all.proposed += more.proposed;
     all.busy += more.busy;
     all.applied += more.applied;
-    all.images_made += more.images_made;
-    all.images_taken += more.images_taken;
+    all.snapshots_created += more.snapshots_created;
+    all.snapshots_installed += more.snapshots_installed;
     all.replaced += more.replaced;
 }
 
 /// A frame's length as it is written before it.
-pub fn framed(frame: &[u8]) -> Vec<u8> {
+pub fn length_prefixed(frame: &[u8]) -> Vec<u8> {
     let mut out = Vec::with_capacity(4 + frame.len());
     out.extend((frame.len() as u32).to_be_bytes());
     out.extend_from_slice(frame);
--- a/copies/src/storage.rs
+++ b/copies/src/storage.rs
@@ -8,45 +8,45 @@
 use std::collections::VecDeque;
 
 #[derive(Default)]
-pub struct Steps {
-    pub hard: HardState,
-    pub members: ConfState,
-    steps: VecDeque<Entry>,
+pub struct LogStorage {
+    pub hard_state: HardState,
+    pub conf_state: ConfState,
+    entries: VecDeque<Entry>,
     bytes: usize,
     /// What was let go of, or never came step by step: the last one's place and term.
-    before: (u64, u64),
+    compacted: (u64, u64),
     /// The whole, made when somebody needed it; and how far it has to go for who needs one now.
-    image: RefCell<Option<Snapshot>>,
-    wanted: RefCell<Option<u64>>,
+    snapshot: RefCell<Option<Snapshot>>,
+    snapshot_wanted: RefCell<Option<u64>>,
 }
 
-fn weight(step: &Entry) -> usize {
+fn entry_bytes(step: &Entry) -> usize {
     step.data.len() + 64
 }
 
-impl Steps {
+impl LogStorage {
     /// A member of a group that begins with these members.
-    pub fn founded(id: u64) -> Steps {
+    pub fn bootstrapped(id: u64) -> LogStorage {
         let members = ConfState { voters: vec![id], ..ConfState::default() };
         let hard = HardState { term: 1, commit: 1, ..HardState::default() };
-        Steps { hard, members, before: (1, 1), ..Steps::default() }
+        LogStorage { hard_state: hard, conf_state: members, compacted: (1, 1), ..LogStorage::default() }
     }
 
     /// A member that a group has called; it knows what it voted before under its id, and no more.
-    pub fn called(vote: HardState) -> Steps {
-        Steps { hard: vote, ..Steps::default() }
+    pub fn with_hard_state(vote: HardState) -> LogStorage {
+        LogStorage { hard_state: vote, ..LogStorage::default() }
     }
 
     pub fn last(&self) -> u64 {
-        self.before.0 + self.steps.len() as u64
+        self.compacted.0 + self.entries.len() as u64
     }
 
     pub fn len(&self) -> usize {
-        self.steps.len()
+        self.entries.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.steps.is_empty()
+        self.entries.is_empty()
     }
 
     pub fn bytes(&self) -> usize {
@@ -57,68 +57,68 @@
     pub fn append(&mut self, new: Vec<Entry>) {
         let Some(first) = new.first().map(|e| e.index) else { return };
         while self.last() >= first
-            && let Some(gone) = self.steps.pop_back()
+            && let Some(gone) = self.entries.pop_back()
         {
-            self.bytes -= weight(&gone);
+            self.bytes -= entry_bytes(&gone);
         }
         debug_assert_eq!(self.last() + 1, first, "no gap among the steps");
-        self.bytes += new.iter().map(weight).sum::<usize>();
-        self.steps.extend(new);
+        self.bytes += new.iter().map(entry_bytes).sum::<usize>();
+        self.entries.extend(new);
     }
 
     /// Begins anew behind an image.
     pub fn restore(&mut self, image: &Snapshot) {
         let about = image.get_metadata();
-        self.steps.clear();
+        self.entries.clear();
         self.bytes = 0;
-        self.before = (about.index, about.term);
-        self.members = about.get_conf_state().clone();
-        self.hard.term = self.hard.term.max(about.term);
-        self.hard.commit = about.index;
-        self.image.replace(None);
+        self.compacted = (about.index, about.term);
+        self.conf_state = about.get_conf_state().clone();
+        self.hard_state.term = self.hard_state.term.max(about.term);
+        self.hard_state.commit = about.index;
+        self.snapshot.replace(None);
     }
 
     /// Lets go of steps up to one that was applied, while there are more than the bounds.
-    pub fn trim(&mut self, applied: u64, most: usize, most_bytes: usize) {
-        while (self.steps.len() > most || self.bytes > most_bytes)
-            && let Some(first) = self.steps.front()
+    pub fn compact(&mut self, applied: u64, most: usize, most_bytes: usize) {
+        while (self.entries.len() > most || self.bytes > most_bytes)
+            && let Some(first) = self.entries.front()
             && first.index <= applied
         {
-            self.before = (first.index, first.term);
-            self.bytes -= weight(first);
-            self.steps.pop_front();
+            self.compacted = (first.index, first.term);
+            self.bytes -= entry_bytes(first);
+            self.entries.pop_front();
         }
     }
 
     /// Somebody needs the whole, as far as this place at the least.
-    pub fn wanted(&self) -> Option<u64> {
-        self.wanted.borrow_mut().take()
+    pub fn snapshot_wanted(&self) -> Option<u64> {
+        self.snapshot_wanted.borrow_mut().take()
     }
 
     /// The whole as of a step that was applied.
-    pub fn keep_image(&self, applied: u64, data: Vec<u8>) {
+    pub fn store_snapshot(&self, applied: u64, data: Vec<u8>) {
         let mut image = Snapshot::default();
         let about = image.mut_metadata();
         about.index = applied;
-        about.term = self.term(applied).unwrap_or(self.before.1);
-        about.set_conf_state(self.members.clone());
+        about.term = self.term(applied).unwrap_or(self.compacted.1);
+        about.set_conf_state(self.conf_state.clone());
         image.data = data.into();
-        self.image.replace(Some(image));
+        self.snapshot.replace(Some(image));
     }
 
     /// Nobody needs it any more.
-    pub fn drop_image(&self) {
-        self.image.replace(None);
+    pub fn drop_snapshot(&self) {
+        self.snapshot.replace(None);
     }
 
-    pub fn image_bytes(&self) -> usize {
-        self.image.borrow().as_ref().map_or(0, |i| i.data.len())
+    pub fn snapshot_bytes(&self) -> usize {
+        self.snapshot.borrow().as_ref().map_or(0, |i| i.data.len())
     }
 }
 
-impl Storage for Steps {
+impl Storage for LogStorage {
     fn initial_state(&self) -> raft::Result<RaftState> {
-        Ok(RaftState { hard_state: self.hard.clone(), conf_state: self.members.clone() })
+        Ok(RaftState { hard_state: self.hard_state.clone(), conf_state: self.conf_state.clone() })
     }
 
     fn entries(
@@ -128,36 +128,36 @@
         most: impl Into<Option<u64>>,
         _: GetEntriesContext,
     ) -> raft::Result<Vec<Entry>> {
-        if low <= self.before.0 {
+        if low <= self.compacted.0 {
             return Err(Error::Store(StorageError::Compacted));
         }
         if high > self.last() + 1 {
             return Err(Error::Store(StorageError::Unavailable));
         }
         let most = most.into().unwrap_or(u64::MAX) as usize;
-        let (from, to) = ((low - self.before.0 - 1) as usize, (high - self.before.0 - 1) as usize);
+        let (from, to) = ((low - self.compacted.0 - 1) as usize, (high - self.compacted.0 - 1) as usize);
         let mut bytes = 0;
         let fits = |e: &&Entry| {
-            bytes += weight(e);
+            bytes += entry_bytes(e);
             // The first one always goes.
-            bytes <= most || bytes == weight(e)
+            bytes <= most || bytes == entry_bytes(e)
         };
-        Ok(self.steps.range(from..to).take_while(fits).cloned().collect())
+        Ok(self.entries.range(from..to).take_while(fits).cloned().collect())
     }
 
     fn term(&self, index: u64) -> raft::Result<u64> {
-        if index == self.before.0 {
-            return Ok(self.before.1);
+        if index == self.compacted.0 {
+            return Ok(self.compacted.1);
         }
-        if index < self.before.0 {
+        if index < self.compacted.0 {
             return Err(Error::Store(StorageError::Compacted));
         }
-        let step = self.steps.get((index - self.before.0 - 1) as usize);
+        let step = self.entries.get((index - self.compacted.0 - 1) as usize);
         step.map(|e| e.term).ok_or(Error::Store(StorageError::Unavailable))
     }
 
     fn first_index(&self) -> raft::Result<u64> {
-        Ok(self.before.0 + 1)
+        Ok(self.compacted.0 + 1)
     }
 
     fn last_index(&self) -> raft::Result<u64> {
@@ -166,11 +166,11 @@
 
     fn snapshot(&self, index: u64, _: u64) -> raft::Result<Snapshot> {
         // One that is older than the steps kept would leave a gap.
-        let enough = |i: &Snapshot| i.get_metadata().index >= index.max(self.before.0);
-        match &*self.image.borrow() {
+        let enough = |i: &Snapshot| i.get_metadata().index >= index.max(self.compacted.0);
+        match &*self.snapshot.borrow() {
             Some(image) if enough(image) => Ok(image.clone()),
             _ => {
-                self.wanted.replace(Some(index));
+                self.snapshot_wanted.replace(Some(index));
                 Err(Error::Store(StorageError::SnapshotTemporarilyUnavailable))
             }
         }
@@ -187,7 +187,7 @@
 
     #[test]
     fn what_stood_at_the_places_of_new_steps_goes() {
-        let mut steps = Steps::founded(7);
+        let mut steps = LogStorage::bootstrapped(7);
         steps.append((2..=5).map(|i| step(i, 1)).collect());
         steps.append(vec![step(4, 2)]);
         assert_eq!((steps.last(), steps.len(), steps.bytes()), (4, 3, 3 * 74));
@@ -198,13 +198,13 @@
 
     #[test]
     fn only_what_was_applied_is_let_go_of() {
-        let mut steps = Steps::founded(7);
+        let mut steps = LogStorage::bootstrapped(7);
         steps.append((2..=50).map(|i| step(i, 1)).collect());
-        steps.trim(10, 0, 0);
+        steps.compact(10, 0, 0);
         assert_eq!((steps.first_index().unwrap(), steps.last()), (11, 50));
         assert!(steps.entries(10, 12, None, GetEntriesContext::empty(false)).is_err());
-        assert!(steps.snapshot(0, 1).is_err() && steps.wanted() == Some(0));
-        steps.keep_image(40, vec![1]);
+        assert!(steps.snapshot(0, 1).is_err() && steps.snapshot_wanted() == Some(0));
+        steps.store_snapshot(40, vec![1]);
         assert_eq!(steps.snapshot(0, 1).unwrap().get_metadata().term, 1);
     }
 }
--- a/copies/tests/common/mod.rs
+++ b/copies/tests/common/mod.rs
@@ -268,7 +268,7 @@
         let names: BTreeSet<String> = gone.iter().map(|i| format!("g{i}")).collect();
         self.files.iter_mut().for_each(|f| f.lost.clone_from(&names));
         for i in 0..self.all.len() {
-            self.tell(i, |node, _| node.lost(&names));
+            self.tell(i, |node, _| node.set_lost_holders(&names));
         }
     }
 
@@ -356,8 +356,11 @@
     }
 
     fn watch_leader(&mut self) {
-        let led =
-            self.all.iter().filter_map(|p| p.node.as_ref()).any(|n| n.member(0).is_some_and(|m| m.ready()));
+        let led = self
+            .all
+            .iter()
+            .filter_map(|p| p.node.as_ref())
+            .any(|n| n.member(0).is_some_and(|m| m.is_ready()));
         match (led, self.without_leader) {
             (false, None) => self.without_leader = Some(self.now),
             (true, Some(since)) => {
@@ -377,21 +380,21 @@
         while let Some(out) = node.poll() {
             outs.push(out);
         }
-        if let Err(why) = node.check_rules() {
+        if let Err(why) = node.check_invariants() {
             self.broken.push(why);
         }
         let wake = self.all[i].node.as_ref().map_or(now, |n| n.next_wake().saturating_sub(ahead));
         self.all[i].wake = wake.max(now + ms(1));
         for out in outs {
             match out {
-                Out::Send { holder, frame, image } => self.send(i, id, holder, frame, image),
-                Out::Told(told) => self.told(i, id, told),
-                Out::Write { mark, notes } => {
-                    self.writing.insert((i, id, mark), notes);
+                Out::Send { holder, frame, is_snapshot } => self.send(i, id, holder, frame, is_snapshot),
+                Out::Response(told) => self.told(i, id, told),
+                Out::Write { mark, records } => {
+                    self.writing.insert((i, id, mark), records);
                     let after = ms(self.rng.random_range(1..5));
                     self.at(after, Do::Written { at: i, id, mark });
                 }
-                Out::Ledger { group, ledger } => self.ledger_is(i, group, ledger),
+                Out::LedgerChanged { group, ledger } => self.ledger_is(i, group, ledger),
             }
         }
         Some(given)
@@ -440,7 +443,7 @@
                     return self.at(ms(50), what);
                 }
                 if self.up(to) && !self.cuts.contains(&(from, to)) {
-                    self.tell(to, |node, now| node.frame(now, from, id, &frame));
+                    self.tell(to, |node, now| node.frame_received(now, from, id, &frame));
                 }
             }
             Do::Meet { a, b } => {
@@ -452,9 +455,9 @@
                     return self.at(ms(100), what);
                 }
                 let greetings =
-                    [a, b].map(|i| self.all[i].node.as_ref().map(Node::greeting).unwrap_or_default());
-                self.tell(a, |node, now| node.greeted(now, &greetings[1]).unwrap());
-                self.tell(b, |node, now| node.greeted(now, &greetings[0]).unwrap());
+                    [a, b].map(|i| self.all[i].node.as_ref().map(Node::hello).unwrap_or_default());
+                self.tell(a, |node, now| node.hello_received(now, &greetings[1]).unwrap());
+                self.tell(b, |node, now| node.hello_received(now, &greetings[0]).unwrap());
                 if let (Some(x), Some(y)) = (self.id(a), self.id(b)) {
                     self.known.insert((a, b), (x, y));
                 }
@@ -497,7 +500,7 @@
                     let notes = self.writing.remove(&m).unwrap_or_default();
                     self.all[at].disk.extend(notes);
                 }
-                self.tell(at, |node, now| node.written(now, mark));
+                self.tell(at, |node, now| node.writes_persisted(now, mark));
             }
         }
     }
@@ -507,7 +510,7 @@
         // The number is known before anything can come of it.
         let asked = self.all[at].node.as_mut().map(|node| {
             let group = node.group_of(sender);
-            node.ask(now + ahead, group, importance, word)
+            node.submit(now + ahead, group, importance, word)
         });
         if let Some(ask) = asked {
             self.all[at].waits.insert(ask, (why, now));
@@ -778,12 +781,13 @@
 
     /// How many vote in a group, by its leader.
     pub fn voters(&self, group: u32) -> Vec<u64> {
-        let leads = |n: &Node| n.member(group).filter(|m| m.ready()).map(|m| m.voters().to_vec());
+        let leads = |n: &Node| n.member(group).filter(|m| m.is_ready()).map(|m| m.voters().to_vec());
         self.all.iter().filter_map(|p| p.node.as_ref()).find_map(leads).unwrap_or_default()
     }
 
     pub fn leader(&self, group: u32) -> Option<usize> {
-        let leads = |p: &Place| p.node.as_ref().is_some_and(|n| n.member(group).is_some_and(|m| m.ready()));
+        let leads =
+            |p: &Place| p.node.as_ref().is_some_and(|n| n.member(group).is_some_and(|m| m.is_ready()));
         self.all.iter().position(leads)
     }
 
@@ -801,23 +805,23 @@
                 node.totals
             );
             for m in (0..self.files[0].groups).filter_map(|g| node.member(g)) {
-                let (conf, steps) = (&m.steps().members, m.steps());
+                let (conf, steps) = (&m.log().conf_state, m.log());
                 out += &format!(
                     "  group {} ledger {:x} id {:x} leads {} ready {} term {} leader {:x?} last {} commit {}\n    \
                     voters {:x?} before {:x?} learners {:x?} members {:x?}\n",
                     m.number,
                     m.ledger,
                     m.id,
-                    m.leads(),
-                    m.ready(),
+                    m.is_leader(),
+                    m.is_ready(),
                     m.term(),
                     m.leader(),
                     steps.last(),
-                    steps.hard.commit,
+                    steps.hard_state.commit,
                     conf.voters,
                     conf.voters_outgoing,
                     conf.learners,
-                    m.members().map(|m| (m.id, m.holder, m.run)).collect::<Vec<_>>()
+                    m.members().map(|m| (m.id, m.holder, m.run_id)).collect::<Vec<_>>()
                 );
             }
         }
@@ -826,7 +830,7 @@
 
     /// Memberships that the library gave up on.
     pub fn given_up(&self) -> u64 {
-        self.all.iter().filter_map(|p| p.node.as_ref()).map(|n| n.totals.given_up).sum()
+        self.all.iter().filter_map(|p| p.node.as_ref()).map(|n| n.totals.raft_panics).sum()
     }
 
     /// What a gateway is told of a question, in three seconds.
--- a/copies/tests/composed.rs
+++ b/copies/tests/composed.rs
@@ -238,7 +238,7 @@
     /// Holders that do not know each other find together.
     fn meet(&mut self) {
         let greetings: Vec<Option<Vec<u8>>> =
-            self.fars.iter().map(|f| f.as_ref().filter(|f| !f.stopped).map(|f| f.node.greeting())).collect();
+            self.fars.iter().map(|f| f.as_ref().filter(|f| !f.stopped).map(|f| f.node.hello())).collect();
         if !self.now.as_micros().is_multiple_of(100_000) {
             return;
         }
@@ -249,7 +249,7 @@
                 if let (Some(greeting), Some(end)) =
                     (&greetings[b], self.fars[a].as_mut().filter(|f| !f.stopped))
                 {
-                    end.node.greeted(now, greeting).unwrap();
+                    end.node.hello_received(now, greeting).unwrap();
                 }
             }
         }
@@ -262,7 +262,7 @@
             if at > self.now || stopped {
                 self.frames.push_back((at, from, id, to, frame));
             } else if let Some(end) = self.fars[to].as_mut() {
-                end.node.frame(self.now, from, id, &frame);
+                end.node.frame_received(self.now, from, id, &frame);
             }
         }
     }
@@ -547,11 +547,11 @@
                         self.frames.push_back((now + Span::from_millis(delay), i, id, holder, frame));
                     }
                 }
-                Some(Out::Ledger { group, ledger }) => {
+                Some(Out::LedgerChanged { group, ledger }) => {
                     let node = &end.node;
                     end.core.replica_ledger_changed(now, ledger, |sender| node.group_of(sender) == group);
                 }
-                Some(Out::Told(told)) => self.told(i, told.request_id, told.result),
+                Some(Out::Response(told)) => self.told(i, told.request_id, told.result),
                 Some(Out::Write { .. }) => unreachable!("no disk here"),
             }
         }
@@ -586,7 +586,7 @@
         let now = self.now;
         let Some(end) = self.fars[i].as_mut() else { return };
         let group = end.node.group_of(sender);
-        let ask = end.node.ask(now, group, 9, word);
+        let ask = end.node.submit(now, group, 9, word);
         end.asks.insert(ask, why(group));
     }
 
@@ -693,7 +693,7 @@
     }
 
     fn leader(&self) -> Option<usize> {
-        let leads = |f: &FarEnd| (0..2).any(|g| f.node.member(g).is_some_and(|m| m.ready()));
+        let leads = |f: &FarEnd| (0..2).any(|g| f.node.member(g).is_some_and(|m| m.is_ready()));
         self.fars.iter().position(|f| f.as_ref().is_some_and(leads))
     }
 }
--- a/copies/tests/exhaustive.rs
+++ b/copies/tests/exhaustive.rs
@@ -88,9 +88,9 @@
     }
 
     fn meet(&mut self, i: usize, j: usize) {
-        let Some(greeting) = self.all[j].as_ref().map(Node::greeting) else { return };
+        let Some(greeting) = self.all[j].as_ref().map(Node::hello) else { return };
         if let Some(node) = &mut self.all[i] {
-            node.greeted(self.now, &greeting).unwrap();
+            node.hello_received(self.now, &greeting).unwrap();
         }
     }
 
@@ -98,7 +98,7 @@
         let now = self.now;
         let Some(node) = &mut self.all[at] else { return };
         let group = node.group_of(KEY.sender);
-        let ask = node.ask(now, group, 9, word);
+        let ask = node.submit(now, group, 9, word);
         self.asks.insert((at, ask), why);
         self.pull(at);
     }
@@ -109,11 +109,11 @@
                 Out::Send { holder, frame, .. } => {
                     self.links.entry((i, holder)).or_default().push_back((id, frame));
                 }
-                Out::Told(told) => {
+                Out::Response(told) => {
                     let why = self.asks.remove(&(i, told.request_id));
                     self.told(i, why.unwrap_or("late"), told.result.ok());
                 }
-                Out::Write { .. } | Out::Ledger { .. } => {}
+                Out::Write { .. } | Out::LedgerChanged { .. } => {}
             }
         }
     }
@@ -156,7 +156,7 @@
         let Some((id, frame)) = self.links.get_mut(&(from, to)).and_then(VecDeque::pop_front) else { return };
         let now = self.now;
         if let Some(node) = &mut self.all[to] {
-            node.frame(now, from, id, &frame);
+            node.frame_received(now, from, id, &frame);
             self.pull(to);
         }
     }
--- a/copies/tests/model.rs
+++ b/copies/tests/model.rs
@@ -362,18 +362,18 @@
     let now = Time::from_micros(1_000_000);
     let file = |i| common::file(i, 3, 3, 1, false);
     let mut nodes: Vec<Node> = (0..3).map(|i| Node::new(&file(i), 10 + i as u64, 1, now).unwrap()).collect();
-    let greetings: Vec<Vec<u8>> = nodes.iter().map(Node::greeting).collect();
+    let greetings: Vec<Vec<u8>> = nodes.iter().map(Node::hello).collect();
     let called = &mut nodes[0];
-    called.greeted(now, &greetings[1]).unwrap();
-    called.greeted(now, &greetings[2]).unwrap();
+    called.hello_received(now, &greetings[1]).unwrap();
+    called.hello_received(now, &greetings[2]).unwrap();
     let mut message = Message { from: 500, to: 600, term: 2, ..Message::default() };
     message.set_msg_type(MessageType::MsgHeartbeat);
     let message = message.write_to_bytes().unwrap();
     let member = wire::RaftMessage { group: 0, ledger: 9, message, to_run_id: 10, from: 500 };
-    called.frame(now, 1, 11, &wire::encode(Payload::RaftMessage(member)));
+    called.frame_received(now, 1, 11, &wire::encode(Payload::RaftMessage(member)));
     assert!(called.member(0).is_some());
     while called.poll().is_some() {}
-    called.frame(now, 2, 12, &wire::encode(Payload::FindGroup(wire::FindGroup { group: 0 })));
+    called.frame_received(now, 2, 12, &wire::encode(Payload::FindGroup(wire::FindGroup { group: 0 })));
     let frames = std::iter::from_fn(|| called.poll()).filter_map(|out| match out {
         Out::Send { holder: 2, frame, .. } => wire::decode(&frame),
         _ => None,
--- a/gateway/src/sites/acceptor.rs
+++ b/gateway/src/sites/acceptor.rs
@@ -2,7 +2,7 @@
 //! into txns for the dispatcher, and writes the answers. Must never hand a request to the dispatcher without the core's word, nor
 //! answer one twice.
 
-use super::copies::{Copies, Heard};
+use super::copies::{Copies, Event};
 use super::{Frame, LinkContext, MIN_SLEEP, random_id, write_frames};
 use crate::buffers::Body;
 use crate::counters::CountGuard;
@@ -85,7 +85,7 @@
         context: &LinkContext,
         settings: &Rc<Sites>,
         endpoint: &Endpoint,
-        copies: Option<(Rc<Copies>, Receiver<Heard>)>,
+        copies: Option<(Rc<Copies>, Receiver<Event>)>,
     ) -> Result<Rc<AcceptorDriver>, String> {
         let mut core = Acceptor::new(settings, context.clock.now());
         let (copies, heard) = copies.unzip();
@@ -162,16 +162,16 @@
     }
 
     /// What those who keep copies say.
-    async fn handle_replica_events(self: Rc<Self>, heard: Receiver<Heard>) {
+    async fn handle_replica_events(self: Rc<Self>, heard: Receiver<Event>) {
         while let Ok(word) = heard.recv().await {
             match word {
-                Heard::Ledger(group, ledger) => {
+                Event::LedgerChanged(group, ledger) => {
                     let Some(copies) = &self.copies else { return };
                     self.with_core(|core, now| {
                         core.replica_ledger_changed(now, ledger, |sender| copies.group_of(sender) == group)
                     });
                 }
-                Heard::Told(ask, result) => self.handle_replica_answer(ask, result),
+                Event::Response(ask, result) => self.handle_replica_answer(ask, result),
             }
             self.wakeup.notify(1);
         }
@@ -207,7 +207,7 @@
 
     /// How long a gateway may act on its right to run a txn after it asked for it.
     fn lease(&self) -> Span {
-        self.copies.as_ref().map_or(Span::ZERO, |copies| copies.right())
+        self.copies.as_ref().map_or(Span::ZERO, |copies| copies.accept_validity())
     }
 
     fn query_replicas(
@@ -219,9 +219,9 @@
     ) {
         let Some(copies) = &self.copies else { return };
         let group = copies.group_of(sender);
-        let ask = copies.ask(group, importance, word);
+        let ask = copies.submit(group, importance, word);
         self.replica_queries.borrow_mut().insert(ask, why(group));
-        copies.kick();
+        copies.flush();
     }
 
     /// Tells the core something and carries out what it orders then.
@@ -329,7 +329,7 @@
                     });
                 }
                 SessionAction::ReplicateOutcome { call, key, answer, ledger: of } => {
-                    let most = self.copies.as_ref().map_or(0, |copies| copies.most_answer());
+                    let most = self.copies.as_ref().map_or(0, |copies| copies.max_answer_bytes());
                     let word = if answer.body.len() > most {
                         self.context.counters.add("far answers too long to be kept");
                         Command::end(key, &Answer { outcome: TxnOutcome::Aborted, body: Vec::new() }, of)
--- a/gateway/src/sites/copies.rs
+++ b/gateway/src/sites/copies.rs
@@ -9,9 +9,9 @@
 use kelpcart::{Span, Time};
 use kelpcart_copies::client::RequestError;
 use kelpcart_copies::command::{CommandResult, Operation};
-use kelpcart_copies::node::{Node, Out, framed};
+use kelpcart_copies::node::{Node, Out, length_prefixed};
 use kelpcart_copies::outcome_log::{OutcomeLog, Writer};
-use kelpcart_copies::settings::Copies as File;
+use kelpcart_copies::settings::Copies as Settings;
 use kelpcart_copies::wire::{MAX_FRAME_BYTES, MAX_SNAPSHOT_BYTES};
 use kelpcart_sites::quic::{self, Connection, Endpoint, Incoming, RecvStream};
 use kelpcart_sites::settings::Sites;
@@ -20,47 +20,47 @@
 use std::rc::Rc;
 
 /// From a dial to its connection, and from a connection to its first frame.
-const CONNECTS: Span = Span::from_millis(1_000);
+const CONNECT_TIMEOUT: Span = Span::from_millis(1_000);
 /// Between two dials, each spread by half of it.
-const AGAIN: Span = Span::from_millis(150);
+const REDIAL_INTERVAL: Span = Span::from_millis(150);
 /// A holder that is not heard for this time is dialled anew.
-const SILENT: Span = Span::from_millis(1_200);
+const IDLE_TIMEOUT: Span = Span::from_millis(1_200);
 /// Frames that wait for a connection; beyond that they are lost, as on a bad network.
-const MOST_WAITING: usize = 4_096;
+const MAX_QUEUED_FRAMES: usize = 4_096;
 /// Bytes of an image between which others have their turn.
-const SLICE: usize = 64 * 1024;
+const CHUNK_BYTES: usize = 64 * 1024;
 /// Frames in one write.
-const AT_ONCE: usize = 64;
+const MAX_FRAMES_PER_WRITE: usize = 64;
 /// Images on their way to one holder.
-const MOST_IMAGES: usize = 2;
+const MAX_QUEUED_SNAPSHOTS: usize = 2;
 
 /// What a group says of a question, and that a group has another ledger.
-pub enum Heard {
-    Told(u64, Result<CommandResult, RequestError>),
-    Ledger(u32, u64),
+pub enum Event {
+    Response(u64, Result<CommandResult, RequestError>),
+    LedgerChanged(u32, u64),
 }
 
 #[derive(Default)]
 struct Peer {
     /// To its connection, while one stands.
     frames: Option<Sender<Vec<u8>>>,
-    images: Option<Sender<Vec<u8>>>,
+    snapshots: Option<Sender<Vec<u8>>>,
     /// The present connection is of no use any more.
     renew: Rc<Woken>,
-    heard: Cell<Time>,
+    last_heard: Cell<Time>,
 }
 
 pub struct Copies {
-    means: LinkContext,
-    file: File,
+    context: LinkContext,
+    settings: Settings,
     site: String,
     node: RefCell<Node>,
     endpoint: Endpoint,
     keys: Rc<RefCell<quic::Keys>>,
     peers: RefCell<Vec<Peer>>,
-    moved: Woken,
+    wake: Woken,
     sleeps_until: Cell<Time>,
-    words: Sender<Heard>,
+    events: Sender<Event>,
     /// To the disk, where endings are kept there, too.
     writer: Option<Writer>,
 }
@@ -68,12 +68,12 @@
 impl Copies {
     /// Gives what is told of questions, too.
     pub fn start(
-        means: &LinkContext,
+        context: &LinkContext,
         text: &str,
         sites: &Sites,
         keys: &Rc<RefCell<quic::Keys>>,
-    ) -> Result<(Rc<Copies>, Receiver<Heard>), String> {
-        let file = File::parse(text).map_err(|e| e.to_string())?;
+    ) -> Result<(Rc<Copies>, Receiver<Event>), String> {
+        let file = Settings::parse(text).map_err(|e| e.to_string())?;
         if sites.ledger.file.is_some() {
             return Err("a ledger in a file and copies of it are not kept together".to_owned());
         }
@@ -81,7 +81,7 @@
             return Err("the site's file has no `listen`: nothing is taken in that copies could be kept of"
                 .to_owned());
         }
-        let now = means.clock.now();
+        let now = context.clock.now();
         let mut node =
             Node::new(&file, random_id(), rand::rng().random(), now).ok_or("gateway: no holder")?;
         let mut writer = None;
@@ -99,30 +99,30 @@
         let (words, told) = async_channel::unbounded();
         let peers = (0..node.holders()).map(|_| Peer::default()).collect();
         let copies = Rc::new(Copies {
-            means: means.clone(),
+            context: context.clone(),
             site: sites.site.clone(),
             node: RefCell::new(node),
             endpoint,
             keys: Rc::clone(keys),
             peers: RefCell::new(peers),
-            moved: Woken::new(),
+            wake: Woken::new(),
             sleeps_until: Cell::new(now),
-            words,
+            events: words,
             writer,
-            file,
+            settings: file,
         });
         let driven = copies.endpoint.clone();
-        means.tasks.spawn(async move { driven.drive().await }).detach();
-        means.tasks.spawn(Rc::clone(&copies).keep_time()).detach();
-        means.tasks.spawn(Rc::clone(&copies).accept()).detach();
+        context.tasks.spawn(async move { driven.drive().await }).detach();
+        context.tasks.spawn(Rc::clone(&copies).run_timer()).detach();
+        context.tasks.spawn(Rc::clone(&copies).accept()).detach();
         if copies.writer.is_some() {
-            means.tasks.spawn(Rc::clone(&copies).hear_disk()).detach();
+            context.tasks.spawn(Rc::clone(&copies).receive_write_results()).detach();
         }
-        let me = copies.file.me();
-        for holder in (0..copies.file.holders.len()).filter(|h| Some(*h) != me) {
-            means.tasks.spawn(Rc::clone(&copies).reach(holder)).detach();
+        let me = copies.settings.me();
+        for holder in (0..copies.settings.holders.len()).filter(|h| Some(*h) != me) {
+            context.tasks.spawn(Rc::clone(&copies).maintain_connection(holder)).detach();
         }
-        let f = &copies.file;
+        let f = &copies.settings;
         log::info!("{} keeps copies with {} others at {}", f.gateway, f.holders.len() - 1, f.listen);
         Ok((copies, told))
     }
@@ -130,12 +130,12 @@
     /// Takes keys and the holders that are lost for good from the file as it is now.
     pub fn reread(&self, text: Result<String, String>) {
         self.endpoint.set_keys(&self.keys.borrow(), true);
-        match text.and_then(|text| File::parse(&text).map_err(|e| e.to_string())) {
+        match text.and_then(|text| Settings::parse(&text).map_err(|e| e.to_string())) {
             Ok(file) => {
                 if !file.lost.is_empty() {
                     log::warn!("{:?} are lost for good: what only they knew is unknown", file.lost);
                 }
-                self.node.borrow_mut().lost(&file.lost);
+                self.node.borrow_mut().set_lost_holders(&file.lost);
             }
             Err(why) => log::warn!("the copies' file: {why}; all stays"),
         }
@@ -150,37 +150,37 @@
     }
 
     /// Puts a question; `kick` has to follow once its number is noted.
-    pub fn ask(&self, group: u32, importance: u8, word: Operation) -> u64 {
-        let now = self.means.clock.now();
-        self.node.borrow_mut().ask(now, group, importance.into(), word)
+    pub fn submit(&self, group: u32, importance: u8, word: Operation) -> u64 {
+        let now = self.context.clock.now();
+        self.node.borrow_mut().submit(now, group, importance.into(), word)
     }
 
-    pub fn kick(&self) {
-        self.pull();
-        let now = self.means.clock.now();
-        self.hurry(now);
+    pub fn flush(&self) {
+        self.process_outputs();
+        let now = self.context.clock.now();
+        self.wake_if_earlier(now);
     }
 
     /// How long after it asked a gateway may act on its right to run a txn: nobody calls it lost before.
-    pub fn right(&self) -> Span {
-        Span::from_millis(self.file.times.wait_ms)
+    pub fn accept_validity(&self) -> Span {
+        Span::from_millis(self.settings.times.wait_ms)
     }
 
     /// An answer with a longer body is not kept.
-    pub fn most_answer(&self) -> usize {
-        self.file.bounds.answer_kb * 1024
+    pub fn max_answer_bytes(&self) -> usize {
+        self.settings.bounds.answer_kb * 1024
     }
 
     pub fn stop(&self) {
-        let now = self.means.clock.now();
+        let now = self.context.clock.now();
         self.node.borrow_mut().leave(now);
-        self.moved.notify(1);
+        self.wake.notify(1);
     }
 
     pub fn sizes(&self) -> Vec<(&'static str, usize)> {
         let node = self.node.borrow();
-        let (t, c, (told_off, unheard)) = (&node.totals, node.counts(), node.failed());
-        let (led, _) = node.phase(self.means.clock.now());
+        let (t, c, (told_off, unheard)) = (&node.totals, node.counters(), node.failed_requests());
+        let (led, _) = node.leader_counts(self.context.clock.now());
         let mut all = node.sizes().to_vec();
         all.extend(
             [
@@ -190,137 +190,147 @@
                 ("copies memberships dropped", t.dropped),
                 ("copies majorities lost", t.lost_majorities),
                 ("copies elections", c.elections),
-                ("copies led before", c.led),
+                ("copies led before", c.leaderships),
                 ("copies steps proposed", c.proposed),
                 ("copies steps applied", c.applied),
                 ("copies told off for room", c.busy),
                 ("copies members replaced", c.replaced),
-                ("copies images made", c.images_made),
-                ("copies images taken", c.images_taken),
+                ("copies images made", c.snapshots_created),
+                ("copies images taken", c.snapshots_installed),
                 ("copies questions told off", told_off),
                 ("copies questions unheard", unheard),
-                ("copies endings recalled", t.recalled),
+                ("copies endings recalled", t.imported),
                 ("copies frames in", t.frames_in),
                 ("copies bytes in", t.bytes_in),
                 ("copies frames out", t.frames_out),
                 ("copies bytes out", t.bytes_out),
-                ("copies frames refused", t.refused),
+                ("copies frames refused", t.invalid_frames),
             ]
             .map(|(name, n)| (name, n as usize)),
         );
         all
     }
 
-    async fn keep_time(self: Rc<Self>) {
+    async fn run_timer(self: Rc<Self>) {
         loop {
-            let now = self.means.clock.now();
+            let now = self.context.clock.now();
             self.node.borrow_mut().tick(now);
-            self.pull();
-            let moved = self.moved.listen();
+            self.process_outputs();
+            let moved = self.wake.listen();
             let at = self.node.borrow().next_wake().max(now + MIN_SLEEP);
             self.sleeps_until.set(at);
-            self.means.clock.timeout_at(at, moved).await;
+            self.context.clock.timeout_at(at, moved).await;
         }
     }
 
-    async fn hear_disk(self: Rc<Self>) {
+    async fn receive_write_results(self: Rc<Self>) {
         let Some(writer) = &self.writer else { return };
         while let Ok((mark, written)) = writer.completions.recv().await {
-            self.tell(|node, now| if written { node.written(now, mark) } else { node.unwritten(now) });
+            self.with_node(
+                |node, now| if written { node.writes_persisted(now, mark) } else { node.write_failed(now) },
+            );
         }
     }
 
     /// Has the core called sooner where what came asks for it.
-    fn hurry(&self, now: Time) {
+    fn wake_if_earlier(&self, now: Time) {
         if self.node.borrow().next_wake().max(now) < self.sleeps_until.get() {
-            self.moved.notify(1);
+            self.wake.notify(1);
         }
     }
 
-    fn pull(&self) {
+    fn process_outputs(&self) {
         loop {
             let Some(out) = self.node.borrow_mut().poll() else { return };
             match out {
-                Out::Send { holder, frame, image } => {
+                Out::Send { holder, frame, is_snapshot } => {
                     let peers = self.peers.borrow();
-                    let way = if image { &peers[holder].images } else { &peers[holder].frames };
+                    let way = if is_snapshot { &peers[holder].snapshots } else { &peers[holder].frames };
                     // Lost here or on the way is the same to the core.
                     if way.as_ref().is_none_or(|way| way.try_send(frame).is_err()) {
-                        self.means.counters.add("copies frames not sent");
+                        self.context.counters.add("copies frames not sent");
                     }
                 }
-                Out::Write { mark, notes } => {
-                    let waits = self.writer.as_ref().is_some_and(|w| w.write(mark, notes));
+                Out::Write { mark, records } => {
+                    let waits = self.writer.as_ref().is_some_and(|w| w.write(mark, records));
                     if !waits {
-                        self.means.counters.add("copies writes without room");
-                        let now = self.means.clock.now();
-                        self.node.borrow_mut().unwritten(now);
+                        self.context.counters.add("copies writes without room");
+                        let now = self.context.clock.now();
+                        self.node.borrow_mut().write_failed(now);
                     }
                 }
                 // Both fail only when the process ends.
-                Out::Told(told) => _ = self.words.try_send(Heard::Told(told.request_id, told.result)),
-                Out::Ledger { group, ledger } => _ = self.words.try_send(Heard::Ledger(group, ledger)),
+                Out::Response(told) => {
+                    _ = self.events.try_send(Event::Response(told.request_id, told.result))
+                }
+                Out::LedgerChanged { group, ledger } => {
+                    _ = self.events.try_send(Event::LedgerChanged(group, ledger))
+                }
             }
         }
     }
 
-    fn tell<T>(&self, what: impl FnOnce(&mut Node, Time) -> T) -> T {
-        let now = self.means.clock.now();
+    fn with_node<T>(&self, what: impl FnOnce(&mut Node, Time) -> T) -> T {
+        let now = self.context.clock.now();
         let given = what(&mut self.node.borrow_mut(), now);
-        self.pull();
-        self.hurry(now);
+        self.process_outputs();
+        self.wake_if_earlier(now);
         given
     }
 
     /// Keeps a connection to a holder, for what this gateway says.
-    async fn reach(self: Rc<Self>, holder: usize) {
-        let clock = self.means.clock;
+    async fn maintain_connection(self: Rc<Self>, holder: usize) {
+        let clock = self.context.clock;
         loop {
             let keys = self.keys.borrow().clone();
-            let address = self.file.holders[holder].address;
+            let address = self.settings.holders[holder].address;
             let dial = self.endpoint.dial(&keys, address, &self.site);
-            match clock.timeout(CONNECTS, dial).await {
+            match clock.timeout(CONNECT_TIMEOUT, dial).await {
                 Some(Ok(connection)) => {
-                    self.say_to(holder, &connection).await;
+                    self.send_to(holder, &connection).await;
                     quic::close(&connection, "renewed");
                     {
                         let peer = &mut self.peers.borrow_mut()[holder];
-                        (peer.frames, peer.images) = (None, None);
+                        (peer.frames, peer.snapshots) = (None, None);
                     }
-                    self.tell(|node, now| node.broken(now, holder));
+                    self.with_node(|node, now| node.connection_lost(now, holder));
+                }
+                Some(Err(why)) => {
+                    log::debug!("no connection to {}: {why}", self.settings.holders[holder].name)
                 }
-                Some(Err(why)) => log::debug!("no connection to {}: {why}", self.file.holders[holder].name),
                 None => {}
             }
-            let wait = AGAIN * rand::rng().random_range(0.5..1.0);
+            let wait = REDIAL_INTERVAL * rand::rng().random_range(0.5..1.0);
             clock.sleep(wait).await;
         }
     }
 
     /// Until the connection is of no use.
-    async fn say_to(&self, holder: usize, connection: &Connection) {
-        let clock = self.means.clock;
-        let Some(Ok((mut send, _recv))) = clock.timeout(CONNECTS, connection.open_bi()).await else { return };
+    async fn send_to(&self, holder: usize, connection: &Connection) {
+        let clock = self.context.clock;
+        let Some(Ok((mut send, _recv))) = clock.timeout(CONNECT_TIMEOUT, connection.open_bi()).await else {
+            return;
+        };
         _ = send.set_priority(1);
-        let greeting = framed(&self.node.borrow().greeting());
+        let greeting = length_prefixed(&self.node.borrow().hello());
         if quic::write(&mut send, &greeting).await.is_err() {
             return;
         }
-        let (frames, waiting) = async_channel::bounded::<Vec<u8>>(MOST_WAITING);
-        let (images, whole) = async_channel::bounded::<Vec<u8>>(MOST_IMAGES);
+        let (frames, waiting) = async_channel::bounded::<Vec<u8>>(MAX_QUEUED_FRAMES);
+        let (images, whole) = async_channel::bounded::<Vec<u8>>(MAX_QUEUED_SNAPSHOTS);
         let renew = {
             let peer = &mut self.peers.borrow_mut()[holder];
-            (peer.frames, peer.images) = (Some(frames), Some(images));
-            peer.heard.set(clock.now());
+            (peer.frames, peer.snapshots) = (Some(frames), Some(images));
+            peer.last_heard.set(clock.now());
             Rc::clone(&peer.renew)
         };
         let renewed = renew.listen();
         let write = async {
             while let Ok(frame) = waiting.recv().await {
-                let mut bytes = framed(&frame);
-                for _ in 0..AT_ONCE {
+                let mut bytes = length_prefixed(&frame);
+                for _ in 0..MAX_FRAMES_PER_WRITE {
                     let Ok(more) = waiting.try_recv() else { break };
-                    bytes.extend(framed(&more));
+                    bytes.extend(length_prefixed(&more));
                 }
                 if quic::write(&mut send, &bytes).await.is_err() {
                     return;
@@ -332,8 +342,8 @@
                 let Ok((mut send, _recv)) = connection.open_bi().await else { return };
                 // Behind all else on the connection.
                 _ = send.set_priority(0);
-                let bytes = framed(&image);
-                for slice in bytes.chunks(SLICE) {
+                let bytes = length_prefixed(&image);
+                for slice in bytes.chunks(CHUNK_BYTES) {
                     if quic::write(&mut send, slice).await.is_err() {
                         return;
                     }
@@ -344,7 +354,7 @@
         };
         let silent = async {
             loop {
-                let at = self.peers.borrow()[holder].heard.get() + SILENT;
+                let at = self.peers.borrow()[holder].last_heard.get() + IDLE_TIMEOUT;
                 if at <= clock.now() {
                     return;
                 }
@@ -359,61 +369,61 @@
     async fn accept(self: Rc<Self>) {
         let connections = Rc::new(Cell::new(0));
         while let Some(incoming) = self.endpoint.accept().await {
-            if connections.get() >= 4 * self.file.holders.len() {
-                self.means.counters.add("copies connections over the bound");
+            if connections.get() >= 4 * self.settings.holders.len() {
+                self.context.counters.add("copies connections over the bound");
                 incoming.refuse();
                 continue;
             }
             connections.set(connections.get() + 1);
             let (copies, count) = (Rc::clone(&self), Rc::clone(&connections));
             let work = async move {
-                if let Err(why) = copies.hear(incoming).await {
-                    copies.means.counters.add("copies connections turned away");
+                if let Err(why) = copies.receive(incoming).await {
+                    copies.context.counters.add("copies connections turned away");
                     log::warn!("a connection for copies is turned away: {why}");
                 }
                 count.set(count.get() - 1);
             };
-            self.means.tasks.spawn(work).detach();
+            self.context.tasks.spawn(work).detach();
         }
     }
 
     /// Subscriber a holder until its connection ends.
-    async fn hear(self: &Rc<Self>, incoming: Incoming) -> Result<(), String> {
-        let clock = self.means.clock;
+    async fn receive(self: &Rc<Self>, incoming: Incoming) -> Result<(), String> {
+        let clock = self.context.clock;
         let begun = async {
             let connection = incoming.await.map_err(|e| e.to_string())?;
             if !quic::certifies_site(&connection, &self.site) {
                 return Err("its certificate is not this site's".to_owned());
             }
             let (_, mut recv) = connection.accept_bi().await.map_err(|e| e.to_string())?;
-            let first = read(&mut recv, MAX_FRAME_BYTES).await.ok_or("it says nothing")?;
+            let first = read_frame(&mut recv, MAX_FRAME_BYTES).await.ok_or("it says nothing")?;
             Ok((connection, recv, first))
         };
         // One that gave up before it said anything is no sign of harm.
-        let Some(begun) = clock.timeout(CONNECTS * 2.0, begun).await else { return Ok(()) };
+        let Some(begun) = clock.timeout(CONNECT_TIMEOUT * 2.0, begun).await else { return Ok(()) };
         let (connection, mut recv, initial_window) = begun?;
         let known = self.peers.borrow().len();
-        let (holder, id) = self.tell(|node, now| node.greeted(now, &initial_window))?;
+        let (holder, id) = self.with_node(|node, now| node.hello_received(now, &initial_window))?;
         debug_assert!(holder < known);
-        log::info!("{} is here", self.file.holders[holder].name);
+        log::info!("{} is here", self.settings.holders[holder].name);
         {
             // A start that was not known before is not at the other end of what was dialled before.
             let peers = self.peers.borrow();
-            if peers[holder].heard.get() + SILENT * 0.5 < clock.now() {
+            if peers[holder].last_heard.get() + IDLE_TIMEOUT * 0.5 < clock.now() {
                 peers[holder].renew.notify(1);
             }
-            peers[holder].heard.set(clock.now());
+            peers[holder].last_heard.set(clock.now());
         }
         let frames = async {
-            while let Some(frame) = read(&mut recv, MAX_FRAME_BYTES).await {
-                self.peers.borrow()[holder].heard.set(clock.now());
-                self.tell(|node, now| node.frame(now, holder, id, &frame));
+            while let Some(frame) = read_frame(&mut recv, MAX_FRAME_BYTES).await {
+                self.peers.borrow()[holder].last_heard.set(clock.now());
+                self.with_node(|node, now| node.frame_received(now, holder, id, &frame));
             }
         };
         let images = async {
             while let Ok((_, mut recv)) = connection.accept_bi().await {
-                if let Some(image) = read(&mut recv, MAX_SNAPSHOT_BYTES).await {
-                    self.tell(|node, now| node.frame(now, holder, id, &image));
+                if let Some(image) = read_frame(&mut recv, MAX_SNAPSHOT_BYTES).await {
+                    self.with_node(|node, now| node.frame_received(now, holder, id, &image));
                 }
             }
         };
@@ -424,7 +434,7 @@
 }
 
 /// The next frame; `None` where there is none, or one too long.
-async fn read(stream: &mut RecvStream, most: usize) -> Option<Vec<u8>> {
+async fn read_frame(stream: &mut RecvStream, most: usize) -> Option<Vec<u8>> {
     let mut length = [0; 4];
     stream.read_exact(&mut length).await.ok()?;
     let length = u32::from_be_bytes(length) as usize;
@@ -435,7 +445,7 @@
     // What is told is believed as it comes.
     while bytes.len() < length {
         let from = bytes.len();
-        bytes.resize(length.min(from + SLICE), 0);
+        bytes.resize(length.min(from + CHUNK_BYTES), 0);
         stream.read_exact(&mut bytes[from..]).await.ok()?;
     }
     Some(bytes)
--- a/scale/src/ladders/roles.rs
+++ b/scale/src/ladders/roles.rs
@@ -288,11 +288,11 @@
             copies::Node::new(&file, 1_000 + i as u64, seed + i as u64, now).expect("a holder")
         };
         let all: Vec<copies::Node> = (0..HOLDERS).map(node).collect();
-        let greetings: Vec<Vec<u8>> = all.iter().map(copies::Node::greeting).collect();
+        let greetings: Vec<Vec<u8>> = all.iter().map(copies::Node::hello).collect();
         let mut world = Holders { now, all, frames: VecDeque::new(), told: 0, bytes: 0 };
         for (i, node) in world.all.iter_mut().enumerate() {
             for (_, greeting) in greetings.iter().enumerate().filter(|(j, _)| *j != i) {
-                node.greeted(now, greeting).expect("a holder");
+                node.hello_received(now, greeting).expect("a holder");
             }
         }
         world.pass(Span::from_millis(20_000));
@@ -306,8 +306,10 @@
                     self.bytes += frame.len() as u64;
                     self.frames.push_back((i, holder, frame));
                 }
-                copies::Out::Told(told) => self.told += u64::from(told.result != Ok(CommandResult::Running)),
-                copies::Out::Ledger { .. } | copies::Out::Write { .. } => {}
+                copies::Out::Response(told) => {
+                    self.told += u64::from(told.result != Ok(CommandResult::Running))
+                }
+                copies::Out::LedgerChanged { .. } | copies::Out::Write { .. } => {}
             }
         }
     }
@@ -316,7 +318,7 @@
         (0..HOLDERS).for_each(|i| self.pull(i));
         while let Some((from, to, frame)) = self.frames.pop_front() {
             let (now, id) = (self.now, self.all[from].id());
-            self.all[to].frame(now, from, id, &frame);
+            self.all[to].frame_received(now, from, id, &frame);
             self.pull(to);
         }
     }
@@ -337,7 +339,7 @@
     let senders: Vec<u64> = (1..=64).collect();
     for &sender in &senders {
         let group = world.all[0].group_of(sender);
-        world.all[0].ask(
+        world.all[0].submit(
             world.now,
             group,
             9,
@@ -355,7 +357,7 @@
                 let group = world.all[at].group_of(key.sender);
                 let answer = Answer { outcome: TxnOutcome::Served, body: one.to_be_bytes().repeat(2) };
                 let word = if end { Operation::end(key, &answer, 0) } else { Operation::accept(key) };
-                world.all[at].ask(world.now, group, 9, word);
+                world.all[at].submit(world.now, group, 9, word);
             }
             world.settle();
         }
