--- a/gateway/src/sites/acceptor.rs
+++ b/gateway/src/sites/acceptor.rs
@@ -2,7 +2,7 @@
 //! into txns for the dispatcher, and writes the answers. Must never hand a request to the dispatcher without the core's word, nor
 //! answer one twice.
 
-use super::copies::{Copies, Event};
+use super::copies::{Copies, GroupEvent};
 use super::{Frame, LinkContext, MIN_SLEEP, random_id, write_frames};
 use crate::buffers::Body;
 use crate::counters::CountGuard;
@@ -85,7 +85,7 @@
         context: &LinkContext,
         settings: &Rc<Sites>,
         endpoint: &Endpoint,
-        copies: Option<(Rc<Copies>, Receiver<Event>)>,
+        copies: Option<(Rc<Copies>, Receiver<GroupEvent>)>,
     ) -> Result<Rc<AcceptorDriver>, String> {
         let mut core = Acceptor::new(settings, context.clock.now());
         let (copies, heard) = copies.unzip();
@@ -162,16 +162,16 @@
     }
 
     /// What those who keep copies say.
-    async fn handle_replica_events(self: Rc<Self>, heard: Receiver<Event>) {
+    async fn handle_replica_events(self: Rc<Self>, heard: Receiver<GroupEvent>) {
         while let Ok(word) = heard.recv().await {
             match word {
-                Event::LedgerChanged(group, ledger) => {
+                GroupEvent::LedgerChanged(group, ledger) => {
                     let Some(copies) = &self.copies else { return };
                     self.with_core(|core, now| {
                         core.replica_ledger_changed(now, ledger, |sender| copies.group_of(sender) == group)
                     });
                 }
-                Event::Response(ask, result) => self.handle_replica_answer(ask, result),
+                GroupEvent::Response(ask, result) => self.handle_replica_answer(ask, result),
             }
             self.wakeup.notify(1);
         }
@@ -207,7 +207,7 @@
 
     /// How long a gateway may act on its right to run a txn after it asked for it.
     fn lease(&self) -> Span {
-        self.copies.as_ref().map_or(Span::ZERO, |copies| copies.accept_validity())
+        self.copies.as_ref().map_or(Span::ZERO, |copies| copies.accept_lease())
     }
 
     fn query_replicas(
--- a/gateway/src/sites/copies.rs
+++ b/gateway/src/sites/copies.rs
@@ -4,7 +4,7 @@
 
 use super::{LinkContext, MIN_SLEEP, random_id};
 use async_channel::{Receiver, Sender};
-use event_listener::Event as Woken;
+use event_listener::Event as Wakeup;
 use futures_lite::future;
 use kelpcart::{Span, Time};
 use kelpcart_copies::client::RequestError;
@@ -35,7 +35,7 @@
 const MAX_QUEUED_SNAPSHOTS: usize = 2;
 
 /// What a group says of a question, and that a group has another ledger.
-pub enum Event {
+pub enum GroupEvent {
     Response(u64, Result<CommandResult, RequestError>),
     LedgerChanged(u32, u64),
 }
@@ -46,7 +46,7 @@
     frames: Option<Sender<Vec<u8>>>,
     snapshots: Option<Sender<Vec<u8>>>,
     /// The present connection is of no use any more.
-    renew: Rc<Woken>,
+    renew: Rc<Wakeup>,
     last_heard: Cell<Time>,
 }
 
@@ -58,9 +58,9 @@
     endpoint: Endpoint,
     keys: Rc<RefCell<quic::Keys>>,
     peers: RefCell<Vec<Peer>>,
-    wake: Woken,
+    wake: Wakeup,
     sleeps_until: Cell<Time>,
-    events: Sender<Event>,
+    events: Sender<GroupEvent>,
     /// To the disk, where endings are kept there, too.
     writer: Option<Writer>,
 }
@@ -72,7 +72,7 @@
         text: &str,
         sites: &Sites,
         keys: &Rc<RefCell<quic::Keys>>,
-    ) -> Result<(Rc<Copies>, Receiver<Event>), String> {
+    ) -> Result<(Rc<Copies>, Receiver<GroupEvent>), String> {
         let file = Settings::parse(text).map_err(|e| e.to_string())?;
         if sites.ledger.file.is_some() {
             return Err("a ledger in a file and copies of it are not kept together".to_owned());
@@ -105,7 +105,7 @@
             endpoint,
             keys: Rc::clone(keys),
             peers: RefCell::new(peers),
-            wake: Woken::new(),
+            wake: Wakeup::new(),
             sleeps_until: Cell::new(now),
             events: words,
             writer,
@@ -162,7 +162,7 @@
     }
 
     /// How long after it asked a gateway may act on its right to run a txn: nobody calls it lost before.
-    pub fn accept_validity(&self) -> Span {
+    pub fn accept_lease(&self) -> Span {
         Span::from_millis(self.settings.times.wait_ms)
     }
 
@@ -261,10 +261,10 @@
                 }
                 // Both fail only when the process ends.
                 Out::Response(told) => {
-                    _ = self.events.try_send(Event::Response(told.request_id, told.result))
+                    _ = self.events.try_send(GroupEvent::Response(told.request_id, told.result))
                 }
                 Out::LedgerChanged { group, ledger } => {
-                    _ = self.events.try_send(Event::LedgerChanged(group, ledger))
+                    _ = self.events.try_send(GroupEvent::LedgerChanged(group, ledger))
                 }
             }
         }
