--- a/copies/src/client.rs
+++ b/copies/src/client.rs
@@ -32,13 +32,13 @@
 /// how long after its question it may act: nobody calls it lost before, but somebody may after that.
 pub fn accept_result(
     result: Result<CommandResult, RequestError>,
-    asked: Time,
-    heard: Time,
-    right: Span,
+    submitted: Time,
+    received: Time,
+    lease: Span,
 ) -> AcceptResult {
     match result {
         // Who was stopped in between may be held to be lost by now.
-        Ok(CommandResult::Granted) if heard - asked < right => AcceptResult::Granted,
+        Ok(CommandResult::Granted) if received - submitted < lease => AcceptResult::Granted,
         Ok(CommandResult::Running) => AcceptResult::Running,
         Ok(CommandResult::Ended(answer)) => AcceptResult::Ended(answer),
         Ok(CommandResult::Unknown) => AcceptResult::Unknown,
@@ -105,10 +105,10 @@
 }
 
 impl Client {
-    pub fn new(wait: Span, leads_for: Span) -> Client {
+    pub fn new(request_timeout: Span, leader_timeout: Span) -> Client {
         Client {
-            request_timeout: wait,
-            leader_timeout: leads_for,
+            request_timeout,
+            leader_timeout,
             leaders: BTreeMap::new(),
             pending: BTreeMap::new(),
             last_request_id: 0,
@@ -121,8 +121,8 @@
 
     /// The leader, while it is heard and may give promises.
     pub fn leader(&self, now: Time, group: u32) -> Option<Leader> {
-        let heard = |l: &&Leader| l.ready && now - l.last_heard < self.leader_timeout;
-        self.leaders.get(&group).filter(heard).copied()
+        let is_current = |l: &&Leader| l.ready && now - l.last_heard < self.leader_timeout;
+        self.leaders.get(&group).filter(is_current).copied()
     }
 
     /// The ledger that the group has, as far as is known; a new one has forgotten all.
@@ -135,80 +135,81 @@
         let before = self.leaders.get(&group).copied();
         if let Some(known) = before {
             let same = known.ledger == leader.ledger;
-            let older = same && known.term > leader.term;
-            let other = !same && now - known.last_heard < self.leader_timeout && known.ready;
-            if older || other {
+            let stale = same && known.term > leader.term;
+            let rival = !same && now - known.last_heard < self.leader_timeout && known.ready;
+            if stale || rival {
                 return false;
             }
         }
         self.leaders.insert(group, leader);
-        let moved = before.is_none_or(|b| b.run_id != leader.run_id || b.ready != leader.ready);
-        if moved && leader.ready {
-            let waits: Vec<u64> =
+        let changed = before.is_none_or(|b| b.run_id != leader.run_id || b.ready != leader.ready);
+        if changed && leader.ready {
+            let waiting: Vec<u64> =
                 self.pending.iter().filter(|(_, p)| p.group == group).map(|(a, _)| *a).collect();
-            waits.into_iter().for_each(|ask| self.transmit(now, ask));
+            waiting.into_iter().for_each(|request_id| self.transmit(now, request_id));
         }
         before.is_none_or(|b| b.ledger != leader.ledger)
     }
 
     /// Asks a group for something; the number under which it will be told what came of it.
-    pub fn submit(&mut self, now: Time, group: u32, importance: u32, word: Operation) -> u64 {
+    pub fn submit(&mut self, now: Time, group: u32, importance: u32, operation: Operation) -> u64 {
         self.last_request_id += 1;
-        let ask = self.last_request_id;
-        let promise = matches!(word, Operation::Accept(_) | Operation::RegisterSender(_));
-        let lasts = if matches!(word, Operation::End(_)) { OUTCOME_TIMEOUT } else { self.request_timeout };
-        if self.pending.len() >= MAX_PENDING || promise && self.leader(now, group).is_none() {
+        let request_id = self.last_request_id;
+        let needs_leader = matches!(operation, Operation::Accept(_) | Operation::RegisterSender(_));
+        let timeout =
+            if matches!(operation, Operation::End(_)) { OUTCOME_TIMEOUT } else { self.request_timeout };
+        if self.pending.len() >= MAX_PENDING || needs_leader && self.leader(now, group).is_none() {
             self.refused += 1;
-            self.responses.push(Response { request_id: ask, result: Err(RequestError::NotSent) });
-            return ask;
+            self.responses.push(Response { request_id, result: Err(RequestError::NotSent) });
+            return request_id;
         }
-        let command = Command { operation: Some(word) };
-        let until = now + lasts;
+        let command = Command { operation: Some(operation) };
+        let deadline = now + timeout;
         self.pending.insert(
-            ask,
-            Pending { group, importance, command, deadline: until, sent: None, was_sent: false },
+            request_id,
+            Pending { group, importance, command, deadline, sent: None, was_sent: false },
         );
-        self.transmit(now, ask);
-        ask
+        self.transmit(now, request_id);
+        request_id
     }
 
     /// Nobody waits for it any more.
-    pub fn cancel(&mut self, ask: u64) {
-        self.pending.remove(&ask);
+    pub fn cancel(&mut self, request_id: u64) {
+        self.pending.remove(&request_id);
     }
 
-    fn transmit(&mut self, now: Time, ask: u64) {
-        let Some(group) = self.pending.get(&ask).map(|p| p.group) else { return };
+    fn transmit(&mut self, now: Time, request_id: u64) {
+        let Some(group) = self.pending.get(&request_id).map(|p| p.group) else { return };
         let Some(leader) = self.leader(now, group) else { return };
-        let Some(p) = self.pending.get_mut(&ask) else { return };
+        let Some(p) = self.pending.get_mut(&request_id) else { return };
         p.sent = Some((leader.run_id, now));
         p.was_sent = true;
         self.outgoing.push(OutgoingRequest {
             to: leader.run_id,
             group,
             ledger: leader.ledger,
-            request_id: ask,
+            request_id,
             importance: p.importance,
             command: p.command.clone(),
         });
     }
 
-    pub fn reply_received(&mut self, ask: u64, outcome: CommandResult) {
-        if self.pending.remove(&ask).is_some() {
-            self.responses.push(Response { request_id: ask, result: Ok(outcome) });
+    pub fn reply_received(&mut self, request_id: u64, outcome: CommandResult) {
+        if self.pending.remove(&request_id).is_some() {
+            self.responses.push(Response { request_id, result: Ok(outcome) });
         }
     }
 
     /// One that it was sent to has no part in it: nothing was done.
-    pub fn refusal_received(&mut self, now: Time, from: u64, ask: u64, busy: bool) {
-        let Some(p) = self.pending.get_mut(&ask) else { return };
+    pub fn refusal_received(&mut self, now: Time, from: u64, request_id: u64, busy: bool) {
+        let Some(p) = self.pending.get_mut(&request_id) else { return };
         if p.sent.is_none_or(|(to, _)| to != from) {
             return;
         }
         if busy {
-            self.pending.remove(&ask);
+            self.pending.remove(&request_id);
             self.refused += 1;
-            self.responses.push(Response { request_id: ask, result: Err(RequestError::NotSent) });
+            self.responses.push(Response { request_id, result: Err(RequestError::NotSent) });
             return;
         }
         let group = p.group;
@@ -217,22 +218,22 @@
         if self.leaders.get(&group).is_some_and(|l| l.run_id == from) {
             self.leaders.entry(group).and_modify(|l| l.ready = false);
         }
-        self.transmit(now, ask);
+        self.transmit(now, request_id);
     }
 
     pub fn tick(&mut self, now: Time) {
-        let over: Vec<u64> =
+        let expired: Vec<u64> =
             self.pending.iter().filter(|(_, p)| p.deadline <= now).map(|(a, _)| *a).collect();
-        for ask in over {
-            if let Some(p) = self.pending.remove(&ask) {
+        for request_id in expired {
+            if let Some(p) = self.pending.remove(&request_id) {
                 self.timed_out += 1;
                 let failed = if p.was_sent { RequestError::Unconfirmed } else { RequestError::NotSent };
-                self.responses.push(Response { request_id: ask, result: Err(failed) });
+                self.responses.push(Response { request_id, result: Err(failed) });
             }
         }
-        let again = |p: &Pending| p.sent.is_none_or(|(_, at)| now - at >= RETRANSMIT_INTERVAL);
-        let again: Vec<u64> = self.pending.iter().filter(|(_, p)| again(p)).map(|(a, _)| *a).collect();
-        again.into_iter().for_each(|ask| self.transmit(now, ask));
+        let due = |p: &Pending| p.sent.is_none_or(|(_, at)| now - at >= RETRANSMIT_INTERVAL);
+        let due: Vec<u64> = self.pending.iter().filter(|(_, p)| due(p)).map(|(a, _)| *a).collect();
+        due.into_iter().for_each(|request_id| self.transmit(now, request_id));
     }
 
     pub fn next_wake(&self) -> Option<Time> {
--- a/copies/src/command.rs
+++ b/copies/src/command.rs
@@ -129,8 +129,8 @@
 impl From<&Answer> for StoredAnswer {
     fn from(answer: &Answer) -> StoredAnswer {
         // Its number stands with the key.
-        let told = wire::Answer::new(0, answer.outcome, answer.body.len());
-        StoredAnswer { answer: Some(told), body: answer.body.clone() }
+        let header = wire::Answer::new(0, answer.outcome, answer.body.len());
+        StoredAnswer { answer: Some(header), body: answer.body.clone() }
     }
 }
 
--- a/copies/src/group.rs
+++ b/copies/src/group.rs
@@ -122,17 +122,23 @@
 impl GroupMember {
     /// A member of a group that it founds: alone at first, and not ready for promises before others have joined.
     pub fn bootstrap(
-        file: &Copies,
+        settings: &Copies,
         number: u32,
         ledger: u64,
-        run: u64,
+        run_id: u64,
         seed: u64,
         now: Time,
     ) -> Option<GroupMember> {
-        let (holder, id) = (file.me()? as u32, run);
-        let mut group =
-            GroupMember::start(file, (number, ledger), (id, run), seed, now, LogStorage::bootstrapped(id))?;
-        group.machine.members.insert(id, Member { id, holder, run_id: run });
+        let (holder, id) = (settings.own_index()? as u32, run_id);
+        let mut group = GroupMember::start(
+            settings,
+            (number, ledger),
+            (id, run_id),
+            seed,
+            now,
+            LogStorage::bootstrapped(id),
+        )?;
+        group.machine.members.insert(id, Member { id, holder, run_id });
         // It fails only where it is no voter, which it is.
         _ = group.raft.campaign();
         group.process_ready(now);
@@ -141,20 +147,20 @@
 
     /// A member that another one has called, under an id that it gave: it learns all from the leader.
     pub fn join(
-        file: &Copies,
+        settings: &Copies,
         of: (u32, u64),
         as_who: (u64, u64),
         seed: u64,
         now: Time,
     ) -> Option<GroupMember> {
-        GroupMember::start(file, of, as_who, seed, now, LogStorage::default())
+        GroupMember::start(settings, of, as_who, seed, now, LogStorage::default())
     }
 
     /// `of`: the group's number and its ledger; `as_who`: the id of the membership, and this start of the gateway.
     fn start(
-        file: &Copies,
+        settings: &Copies,
         (number, ledger): (u32, u64),
-        (id, run): (u64, u64),
+        (id, run_id): (u64, u64),
         seed: u64,
         now: Time,
         log: LogStorage,
@@ -162,12 +168,12 @@
         let applied = log.hard_state.commit;
         let logger = slog::Logger::root(slog::Discard, slog::o!());
         let raft = RawNode::new(&Config { applied, ..config(id) }, log, &logger).ok()?;
-        let (t, b, step) = (&file.times, &file.bounds, file.times.step());
+        let (t, b, step) = (&settings.times, &settings.bounds, settings.times.tick_interval());
         Some(GroupMember {
             number,
             ledger,
             id,
-            run_id: run,
+            run_id,
             raft,
             machine: Machine::new(machine::bounds(b), ledger),
             seed,
@@ -176,7 +182,7 @@
             led_since: None,
             repair: MembershipRepair::default(),
             repair_limits: membership_repair::Limits {
-                copies: file.copies,
+                copies: settings.copies,
                 absent_after: Span::from_millis(t.absent_ms),
                 min_interval: Span::from_millis(t.replace_ms),
                 silent_after: Span::from_millis(t.lost_ms),
@@ -192,7 +198,7 @@
             counts: Counters::default(),
             outbound: VecDeque::new(),
             completed: VecDeque::new(),
-            persist_outcomes: file.disk.is_some(),
+            persist_outcomes: settings.disk.is_some(),
             unpersisted: VecDeque::new(),
             outcome_writes: VecDeque::new(),
         })
@@ -262,7 +268,7 @@
         &mut self,
         now: Time,
         run_id: u64,
-        ask: u64,
+        request_id: u64,
         importance: u32,
         command: Command,
     ) -> Result<(), ProposeError> {
@@ -271,19 +277,26 @@
         }
         // Room for the least important ends at half, and grows with importance; endings and questions always pass,
         // since each makes room or lets somebody stop waiting.
-        let part = 0.5 + 0.5 * f64::from(importance.min(9)) / 9.0;
-        let takes = matches!(command.operation, Some(Operation::Accept(_) | Operation::RegisterSender(_)));
-        if takes && self.uncommitted() as f64 >= self.max_uncommitted as f64 * part {
+        let share = 0.5 + 0.5 * f64::from(importance.min(9)) / 9.0;
+        let needs_room =
+            matches!(command.operation, Some(Operation::Accept(_) | Operation::RegisterSender(_)));
+        if needs_room && self.uncommitted() as f64 >= self.max_uncommitted as f64 * share {
             self.counts.busy += 1;
             return Err(ProposeError::Busy);
         }
         self.counts.proposed += 1;
-        self.append(now, run_id, ask, command)
+        self.append(now, run_id, request_id, command)
     }
 
-    fn append(&mut self, now: Time, run: u64, ask: u64, command: Command) -> Result<(), ProposeError> {
+    fn append(
+        &mut self,
+        now: Time,
+        run_id: u64,
+        request_id: u64,
+        command: Command,
+    ) -> Result<(), ProposeError> {
         let at = self.group_time(now).as_micros();
-        let step = LogEntry { at_us: at, run_id: run, request_id: ask, command: Some(command) };
+        let step = LogEntry { at_us: at, run_id, request_id, command: Some(command) };
         self.raft.propose(Vec::new(), step.encode_to_vec()).map_err(|_| ProposeError::NotLeader)
     }
 
@@ -294,8 +307,8 @@
     }
 
     /// A start of a holder can't be reached at the moment.
-    pub fn report_unreachable(&mut self, run: u64) {
-        let of_run = self.machine.members.values().filter(|m| m.run_id == run).map(|m| m.id);
+    pub fn report_unreachable(&mut self, run_id: u64) {
+        let of_run = self.machine.members.values().filter(|m| m.run_id == run_id).map(|m| m.id);
         for id in of_run.collect::<Vec<_>>() {
             self.raft.report_unreachable(id);
             if self.snapshots_in_flight.remove(&id).is_some() {
@@ -310,7 +323,7 @@
         self.next_tick
     }
 
-    pub fn tick(&mut self, now: Time, holders: &[Holder], order: &[usize], heard: &[PeerState]) {
+    pub fn tick(&mut self, now: Time, holders: &[Holder], order: &[usize], peers: &[PeerState]) {
         let mut steps = 0;
         while self.next_tick <= now {
             self.next_tick += self.tick_interval;
@@ -324,27 +337,27 @@
             }
         }
         if self.is_leader() {
-            self.check_timeouts(now, heard);
-            self.repair_membership(now, holders, order, heard);
+            self.check_timeouts(now, peers);
+            self.repair_membership(now, holders, order, peers);
         }
     }
 
     /// Gateways that are gone take what they ran with them; what is old is let go of.
-    fn check_timeouts(&mut self, now: Time, heard: &[PeerState]) {
+    fn check_timeouts(&mut self, now: Time, peers: &[PeerState]) {
         let Some((_, since)) = self.led_since else { return };
-        for run in self.machine.runners().into_keys() {
-            if run == self.run_id
-                || self.reported_lost.get(&run).is_some_and(|at| now - *at < self.lost_after)
+        for run_id in self.machine.runners().into_keys() {
+            if run_id == self.run_id
+                || self.reported_lost.get(&run_id).is_some_and(|at| now - *at < self.lost_after)
             {
                 continue;
             }
-            let one = heard.iter().find(|h| h.run_id == Some(run));
+            let one = peers.iter().find(|h| h.run_id == Some(run_id));
             let gone = one
                 .map_or(now - since >= self.lost_after, |h| now - h.last_heard.max(since) >= self.lost_after);
             if gone {
-                self.reported_lost.insert(run, now);
+                self.reported_lost.insert(run_id, now);
                 // It is tried again where leadership is lost meanwhile.
-                _ = self.append(now, 0, 0, Command { operation: Some(Operation::RunnerLost(run)) });
+                _ = self.append(now, 0, 0, Command { operation: Some(Operation::RunnerLost(run_id)) });
             }
         }
         if now >= self.next_expiry {
@@ -365,7 +378,7 @@
         }
     }
 
-    fn repair_membership(&mut self, now: Time, holders: &[Holder], order: &[usize], heard: &[PeerState]) {
+    fn repair_membership(&mut self, now: Time, holders: &[Holder], order: &[usize], peers: &[PeerState]) {
         let conf = &self.raft.store().conf_state;
         let busy = self.raft.raft.has_pending_conf() || !conf.voters_outgoing.is_empty();
         if busy || !self.raft.raft.commit_to_current_term() {
@@ -377,18 +390,12 @@
             .iter()
             .chain(&conf.learners)
             .filter_map(|&id| {
-                let Member { holder, run_id: run, .. } = *self.machine.members.get(&id)?;
+                let Member { holder, run_id, .. } = *self.machine.members.get(&id)?;
                 let holder = holder as usize;
                 let progress = self.raft.raft.prs().get(id)?;
                 let has = progress.matched > 0 && progress.state != ProgressState::Snapshot;
                 let close = id == self.id || has && progress.matched + CAUGHT_UP_ENTRIES >= last;
-                Some(MemberView {
-                    id,
-                    run_id: run,
-                    holder,
-                    voter: conf.voters.contains(&id),
-                    caught_up: close,
-                })
+                Some(MemberView { id, run_id, holder, voter: conf.voters.contains(&id), caught_up: close })
             })
             .collect();
         let view = membership_repair::GroupView {
@@ -399,7 +406,7 @@
             holders,
             preference: order,
             members: &seen,
-            peers: heard,
+            peers,
         };
         let next = self.repair.next_action(&view);
         let Some(next) = next else { return };
@@ -411,12 +418,12 @@
         };
         let mut change = ConfChangeV2::default();
         match next {
-            membership_repair::RepairAction::AddLearner { run_id: run, holder } => {
+            membership_repair::RepairAction::AddLearner { run_id, holder } => {
                 // Never one that was: what was sent to an earlier membership may still be under way.
-                let id = Pcg64Mcg::seed_from_u64(self.seed ^ last.rotate_left(32) ^ run)
+                let id = Pcg64Mcg::seed_from_u64(self.seed ^ last.rotate_left(32) ^ run_id)
                     .random_range(1..=u64::MAX);
                 change.mut_changes().push(one(ConfChangeType::AddLearnerNode, id));
-                change.context = Member { id, holder: holder as u32, run_id: run }.encode_to_vec().into();
+                change.context = Member { id, holder: holder as u32, run_id }.encode_to_vec().into();
             }
             membership_repair::RepairAction::Promote { id, instead_of } => {
                 change.mut_changes().push(one(ConfChangeType::AddNode, id));
@@ -465,8 +472,8 @@
         if let Some(index) = self.raft.store().snapshot_wanted()
             && index <= self.applied
         {
-            let image = self.machine.snapshot();
-            self.raft.store().store_snapshot(self.applied, image);
+            let snapshot = self.machine.snapshot();
+            self.raft.store().store_snapshot(self.applied, snapshot);
             self.counts.snapshots_created += 1;
         }
         let (most, bytes) = self.log_limits;
@@ -515,9 +522,9 @@
 
     fn update_role(&mut self, now: Time) {
         // In place of what the library draws from the process's own chance: by the seed, anew in each term.
-        let drawn =
+        let timeout_ticks =
             ELECTION_TICKS + Pcg64Mcg::seed_from_u64(self.seed ^ self.term()).random_range(0..ELECTION_TICKS);
-        self.raft.raft.set_randomized_election_timeout(drawn);
+        self.raft.raft.set_randomized_election_timeout(timeout_ticks);
         let role = self.raft.raft.state;
         if role != self.role {
             self.role = role;
@@ -537,8 +544,8 @@
 
     fn queue_messages(&mut self, now: Time, messages: Vec<Message>) {
         for message in messages {
-            let image = message.get_msg_type() == MessageType::MsgSnapshot;
-            if image {
+            let is_snapshot = message.get_msg_type() == MessageType::MsgSnapshot;
+            if is_snapshot {
                 self.snapshots_in_flight.insert(message.to, now);
             }
             if let Ok(bytes) = message.write_to_bytes() {
@@ -546,19 +553,19 @@
                     from: self.id,
                     to: message.to,
                     message: bytes,
-                    is_snapshot: image,
+                    is_snapshot,
                 });
             }
         }
     }
 
-    fn install_snapshot(&mut self, image: &raft::eraftpb::Snapshot) {
-        if !self.machine.restore(&image.data) {
+    fn install_snapshot(&mut self, snapshot: &raft::eraftpb::Snapshot) {
+        if !self.machine.restore(&snapshot.data) {
             // Its own kind made it: nothing here can go on from a state that is not the group's.
             ::log::error!("group {}: the ledger as it was sent can't be read", self.number);
         }
-        self.raft.mut_store().restore(image);
-        self.applied = image.get_metadata().index;
+        self.raft.mut_store().restore(snapshot);
+        self.applied = snapshot.get_metadata().index;
         self.counts.snapshots_installed += 1;
     }
 
@@ -576,8 +583,8 @@
 
     fn apply_command(&mut self, entry: &Entry) {
         let Ok(step) = LogEntry::decode(&entry.data[..]) else { return };
-        let Some(word) = step.command.and_then(|c| c.operation) else { return };
-        let outcome = self.machine.apply(Time::from_micros(step.at_us), step.run_id, &word);
+        let Some(operation) = step.command.and_then(|c| c.operation) else { return };
+        let outcome = self.machine.apply(Time::from_micros(step.at_us), step.run_id, &operation);
         // Who leads tells: one that led when it was proposed may not know that it does no more.
         if step.request_id != 0 && self.is_leader() {
             self.completed.push_back(CompletedProposal {
--- a/copies/src/machine.rs
+++ b/copies/src/machine.rs
@@ -46,7 +46,7 @@
     #[prost(message, repeated, tag = "4")]
     members: Vec<Member>,
     #[prost(message, repeated, tag = "5")]
-    recalled: Vec<ImportedOutcome>,
+    imported: Vec<ImportedOutcome>,
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -78,7 +78,7 @@
     #[prost(enumeration = "State", tag = "4")]
     state: i32,
     #[prost(fixed64, tag = "5")]
-    run: u64,
+    run_id: u64,
     #[prost(message, optional, tag = "6")]
     answer: Option<StoredAnswer>,
 }
@@ -123,27 +123,27 @@
     }
 
     /// `run`: the start of the gateway that asks.
-    pub fn apply(&mut self, at: Time, run: u64, word: &Operation) -> CommandResult {
+    pub fn apply(&mut self, at: Time, run_id: u64, operation: &Operation) -> CommandResult {
         // Guards against a leader whose steps were stamped before the last one's: time never goes back here.
         self.time = self.time.max(at);
         let now = self.time;
-        match word {
+        match operation {
             Operation::RegisterSender(g) => {
                 CommandResult::Registered(self.ledger.register(now, g.sender, g.next_number))
             }
-            Operation::Accept(n) => self.accept(now, run, (*n).into()),
+            Operation::Accept(n) => self.accept(now, run_id, (*n).into()),
             Operation::End(end) => {
                 let Some((key, answer)) = end.read() else { return CommandResult::Unknown };
                 if end.ledger != 0 && end.ledger != self.ledger_id {
                     return self.import(now, end.ledger, key, answer);
                 }
-                self.end(now, run, key, Arc::new(answer))
+                self.end(now, run_id, key, Arc::new(answer))
             }
             Operation::Query(find) => self.query(now, find),
             Operation::ImportOutcomes(recall) => {
-                for note in &recall.records {
-                    if let Some((key, answer)) = note.end.as_ref().and_then(EndTxn::read) {
-                        self.import(now, note.ledger, key, answer);
+                for record in &recall.records {
+                    if let Some((key, answer)) = record.end.as_ref().and_then(EndTxn::read) {
+                        self.import(now, record.ledger, key, answer);
                     }
                 }
                 CommandResult::Recorded
@@ -223,7 +223,7 @@
     /// All endings known here, for a ledger that follows this one.
     pub fn outcome_records(&self) -> Vec<OutcomeRecord> {
         let (_, entries) = self.ledger.snapshot();
-        let own = entries.into_iter().filter_map(|(key, _, stand)| match stand {
+        let own = entries.into_iter().filter_map(|(key, _, state)| match state {
             EntryState::Ended(answer) => {
                 Some(OutcomeRecord { ledger: self.ledger_id, end: Some(EndTxn::new(key, &answer)) })
             }
@@ -236,14 +236,14 @@
         own.chain(others).collect()
     }
 
-    fn accept(&mut self, now: Time, run: u64, key: Key) -> CommandResult {
+    fn accept(&mut self, now: Time, run_id: u64, key: Key) -> CommandResult {
         match self.ledger.accept(now, key) {
             Admission::New => {
-                self.runner_of.insert(key, run);
+                self.runner_of.insert(key, run_id);
                 CommandResult::Granted
             }
             // The same question again, since its first answer was lost.
-            Admission::Running if self.runner_of.get(&key) == Some(&run) => CommandResult::Granted,
+            Admission::Running if self.runner_of.get(&key) == Some(&run_id) => CommandResult::Granted,
             Admission::Running => CommandResult::Running,
             Admission::Ended(answer) => CommandResult::Ended(answer),
             Admission::Full => CommandResult::Full,
@@ -253,8 +253,8 @@
     }
 
     /// Only who runs it can end it, and only once.
-    fn end(&mut self, now: Time, run: u64, key: Key, answer: Arc<Answer>) -> CommandResult {
-        if self.runner_of.get(&key) == Some(&run) {
+    fn end(&mut self, now: Time, run_id: u64, key: Key, answer: Arc<Answer>) -> CommandResult {
+        if self.runner_of.get(&key) == Some(&run_id) {
             self.runner_of.remove(&key);
             self.ledger.finish(now, key, &answer);
             return CommandResult::Recorded;
@@ -274,7 +274,7 @@
     /// Starts of gateways that run something, and how much.
     pub fn runners(&self) -> BTreeMap<u64, usize> {
         let mut all = BTreeMap::new();
-        self.runner_of.values().for_each(|run| *all.entry(*run).or_default() += 1);
+        self.runner_of.values().for_each(|run_id| *all.entry(*run_id).or_default() += 1);
         all
     }
 
@@ -286,8 +286,8 @@
     pub fn snapshot(&self) -> Vec<u8> {
         let (senders, entries) = self.ledger.snapshot();
         let sender = |s: (u64, u64, Time)| Sender { sender: s.0, floor: s.1, last_seen_us: s.2.as_micros() };
-        let entry = |(key, at, stand): (Key, Time, EntryState)| {
-            let (state, answer) = match stand {
+        let entry = |(key, at, state): (Key, Time, EntryState)| {
+            let (state, answer) = match state {
                 EntryState::Running => (State::Running, None),
                 EntryState::Ended(answer) => (State::Ended, Some(StoredAnswer::from(&*answer))),
                 EntryState::Lost => (State::Lost, None),
@@ -298,11 +298,11 @@
                 number: key.number,
                 at_us: at.as_micros(),
                 state: state as i32,
-                run: self.runner_of.get(&key).copied().unwrap_or(0),
+                run_id: self.runner_of.get(&key).copied().unwrap_or(0),
                 answer,
             }
         };
-        let recalled = |((ledger, key), (at, answer)): (&(u64, Key), &Imported)| {
+        let imported = |((ledger, key), (at, answer)): (&(u64, Key), &Imported)| {
             // Without an answer: only the key.
             let end = answer
                 .as_ref()
@@ -312,52 +312,52 @@
                 note: Some(OutcomeRecord { ledger: *ledger, end: Some(end) }),
             }
         };
-        let image = Snapshot {
+        let snapshot = Snapshot {
             at_us: self.time.as_micros(),
             senders: senders.into_iter().map(sender).collect(),
             entries: entries.into_iter().map(entry).collect(),
             members: self.members.values().copied().collect(),
-            recalled: self.imported.iter().map(recalled).collect(),
+            imported: self.imported.iter().map(imported).collect(),
         };
-        image.encode_to_vec()
+        snapshot.encode_to_vec()
     }
 
     /// `None`: it is no image of ours, and nothing of it was taken in.
     pub fn from_snapshot(bounds: Bounds, number: u64, bytes: &[u8]) -> Option<Machine> {
-        let image = Snapshot::decode(bytes).ok()?;
-        let mut runs = BTreeMap::new();
-        let mut entries: Vec<EntrySnapshot> = Vec::with_capacity(image.entries.len());
-        for e in image.entries {
+        let snapshot = Snapshot::decode(bytes).ok()?;
+        let mut runner_of = BTreeMap::new();
+        let mut entries: Vec<EntrySnapshot> = Vec::with_capacity(snapshot.entries.len());
+        for e in snapshot.entries {
             let key = Key { sender: e.sender, number: e.number };
-            let stand = match State::try_from(e.state).ok()? {
+            let state = match State::try_from(e.state).ok()? {
                 State::Running => {
-                    runs.insert(key, e.run);
+                    runner_of.insert(key, e.run_id);
                     EntryState::Running
                 }
                 State::Ended => EntryState::Ended(Arc::new(e.answer?.answer()?)),
                 State::Lost => EntryState::Lost,
                 State::Fenced => EntryState::Fenced,
             };
-            entries.push((key, Time::from_micros(e.at_us), stand));
+            entries.push((key, Time::from_micros(e.at_us), state));
         }
-        let (mut recalled, mut recalled_bytes) = (BTreeMap::new(), 0);
-        for one in image.recalled {
-            let note = one.note?;
-            let end = note.end?;
+        let (mut imported, mut imported_bytes) = (BTreeMap::new(), 0);
+        for one in snapshot.imported {
+            let record = one.note?;
+            let end = record.end?;
             let answer = end.read().map(|(_, answer)| Arc::new(answer));
-            recalled_bytes += answer.as_ref().map_or(0, |a| a.body.len());
-            recalled.insert((note.ledger, end.key?.into()), (Time::from_micros(one.at_us), answer));
+            imported_bytes += answer.as_ref().map_or(0, |a| a.body.len());
+            imported.insert((record.ledger, end.key?.into()), (Time::from_micros(one.at_us), answer));
         }
-        let senders = image.senders.iter().map(|s| (s.sender, s.floor, Time::from_micros(s.last_seen_us)));
+        let senders = snapshot.senders.iter().map(|s| (s.sender, s.floor, Time::from_micros(s.last_seen_us)));
         Some(Machine {
             bounds,
-            time: Time::from_micros(image.at_us),
+            time: Time::from_micros(snapshot.at_us),
             ledger: Ledger::from_snapshot(bounds, senders, entries),
-            runner_of: runs,
-            members: image.members.iter().map(|m| (m.id, *m)).collect(),
+            runner_of,
+            members: snapshot.members.iter().map(|m| (m.id, *m)).collect(),
             ledger_id: number,
-            imported: recalled,
-            imported_bytes: recalled_bytes,
+            imported,
+            imported_bytes,
         })
     }
 
--- a/copies/src/node.rs
+++ b/copies/src/node.rs
@@ -120,11 +120,11 @@
 }
 
 impl Node {
-    /// `id`: a number that no other start of any gateway has. `None`: the file does not name this gateway.
-    pub fn new(file: &Copies, id: u64, seed: u64, now: Time) -> Option<Node> {
-        let me = file.me()?;
+    /// `id`: a number that no other start of any gateway has. `None`: the settings does not name this gateway.
+    pub fn new(settings: &Copies, id: u64, seed: u64, now: Time) -> Option<Node> {
+        let own_index = settings.own_index()?;
         let slot = |group| GroupSlot {
-            preference: placement::preference_order(&file.holders, group),
+            preference: placement::preference_order(&settings.holders, group),
             member: None,
             since: now,
             next_seek: now,
@@ -134,16 +134,16 @@
             excluded_since: None,
             was_ready: false,
         };
-        let pulse = Span::from_micros(file.times.election_ms * 500);
-        let mut peers = vec![PeerState::new(None, now); file.holders.len()];
-        peers[me].run_id = Some(id);
+        let heartbeat = Span::from_micros(settings.times.election_ms * 500);
+        let mut peers = vec![PeerState::new(None, now); settings.holders.len()];
+        peers[own_index].run_id = Some(id);
         Some(Node {
-            own_index: me,
+            own_index,
             id,
             rng: Pcg64Mcg::seed_from_u64(seed),
             peers,
-            groups: (0..file.groups).map(slot).collect(),
-            client: Client::new(Span::from_millis(file.times.wait_ms), pulse * 5.0),
+            groups: (0..settings.groups).map(slot).collect(),
+            client: Client::new(Span::from_millis(settings.times.wait_ms), heartbeat * 5.0),
             ended_memberships: BTreeSet::new(),
             pending_imports: BTreeMap::new(),
             own_requests: BTreeMap::new(),
@@ -152,14 +152,14 @@
             disk_failed: false,
             leaving: false,
             started: now,
-            heartbeat_interval: pulse,
+            heartbeat_interval: heartbeat,
             heartbeats_sent: 0,
             next_heartbeat: now,
             next_check: now,
             totals: Totals::default(),
             ended_counters: Counters::default(),
             outputs: VecDeque::new(),
-            settings: file.clone(),
+            settings: settings.clone(),
         })
     }
 
@@ -246,28 +246,30 @@
         if self.peers[holder].run_id != Some(id) {
             return;
         }
-        let Some(said) = wire::decode(bytes) else {
+        let Some(payload) = wire::decode(bytes) else {
             self.totals.invalid_frames += 1;
             return;
         };
         self.peers[holder].last_heard = now;
-        match said {
+        match payload {
             Payload::Hello(_) => self.totals.invalid_frames += 1,
-            Payload::Heartbeat(pulse) => self.heartbeat_received(now, holder, id, &pulse),
-            Payload::FindGroup(seek) => self.find_group_received(now, holder, id, seek.group),
-            Payload::GroupStatus(here) => {
-                if let Some(slot) = self.groups.get_mut(here.group as usize) {
-                    slot.statuses.insert(holder, (now, here));
+            Payload::Heartbeat(heartbeat) => self.heartbeat_received(now, holder, id, &heartbeat),
+            Payload::FindGroup(request) => self.find_group_received(now, holder, id, request.group),
+            Payload::GroupStatus(status) => {
+                if let Some(slot) = self.groups.get_mut(status.group as usize) {
+                    slot.statuses.insert(holder, (now, status));
                 }
             }
-            Payload::RaftMessage(member) => self.raft_message_received(now, holder, &member),
-            Payload::Request(ask) => self.request_received(now, holder, id, ask),
-            Payload::Reply(done) => {
-                if let Some(outcome) = done.result.and_then(crate::command::ResultMessage::into_result) {
-                    self.client.reply_received(done.request_id, outcome);
+            Payload::RaftMessage(message) => self.raft_message_received(now, holder, &message),
+            Payload::Request(request) => self.request_received(now, holder, id, request),
+            Payload::Reply(reply) => {
+                if let Some(result) = reply.result.and_then(crate::command::ResultMessage::into_result) {
+                    self.client.reply_received(reply.request_id, result);
                 }
             }
-            Payload::Refusal(not) => self.client.refusal_received(now, id, not.request_id, not.busy),
+            Payload::Refusal(refusal) => {
+                self.client.refusal_received(now, id, refusal.request_id, refusal.busy)
+            }
         }
         self.process(now);
     }
@@ -290,7 +292,7 @@
         let member = self.groups.get_mut(group)?.member.as_mut()?;
         // What was being done is never looked at again: the member goes.
         match catch_unwind(AssertUnwindSafe(|| what(member))) {
-            Ok(done) => Some(done),
+            Ok(completed) => Some(completed),
             Err(_) => {
                 self.totals.raft_panics += 1;
                 self.drop_member(group as u32, "the consensus library gave up on it");
@@ -300,37 +302,37 @@
     }
 
     /// Asks a group; what comes of it is told under the number.
-    pub fn submit(&mut self, now: Time, group: u32, importance: u32, word: Operation) -> u64 {
-        let ask = self.client.submit(now, group, importance, word);
+    pub fn submit(&mut self, now: Time, group: u32, importance: u32, operation: Operation) -> u64 {
+        let request_id = self.client.submit(now, group, importance, operation);
         self.process(now);
-        ask
+        request_id
     }
 
-    pub fn cancel(&mut self, ask: u64) {
-        self.client.cancel(ask);
+    pub fn cancel(&mut self, request_id: u64) {
+        self.client.cancel(request_id);
     }
 
     /// What the disk held at the start.
-    pub fn recover(&mut self, notes: Vec<OutcomeRecord>) {
-        for note in notes {
-            let sender = note.end.as_ref().and_then(|e| e.key).map_or(0, |k| k.sender);
+    pub fn recover(&mut self, records: Vec<OutcomeRecord>) {
+        for record in records {
+            let sender = record.end.as_ref().and_then(|e| e.key).map_or(0, |k| k.sender);
             let group = self.group_of(sender);
-            self.queue_import(group, note);
+            self.queue_import(group, record);
         }
     }
 
     fn queue_member_imports(&mut self, group: u32) {
         let member = self.groups[group as usize].member.as_ref();
         let known = member.map(|m| m.machine().outcome_records()).unwrap_or_default();
-        known.into_iter().for_each(|note| self.queue_import(group, note));
+        known.into_iter().for_each(|record| self.queue_import(group, record));
     }
 
-    fn queue_import(&mut self, group: u32, note: OutcomeRecord) {
+    fn queue_import(&mut self, group: u32, record: OutcomeRecord) {
         let all = self.pending_imports.entry(group).or_default();
         if all.len() >= self.settings.bounds.entries {
             all.pop_front();
         }
-        all.push_back(note);
+        all.push_back(record);
     }
 
     /// The disk has all up to the mark.
@@ -372,14 +374,14 @@
             && self.groups.iter().all(|s| s.member.as_ref().is_none_or(|m| !m.voters().contains(&m.id)))
     }
 
-    fn heartbeat_received(&mut self, now: Time, holder: usize, id: u64, pulse: &wire::Heartbeat) {
-        let heard = &mut self.peers[holder];
-        if pulse.sequence <= heard.sequence {
+    fn heartbeat_received(&mut self, now: Time, holder: usize, id: u64, heartbeat: &wire::Heartbeat) {
+        let peer = &mut self.peers[holder];
+        if heartbeat.sequence <= peer.sequence {
             return;
         }
-        (heard.sequence, heard.leaving) = (pulse.sequence, pulse.leaving);
-        heard.memberships = pulse.memberships.iter().map(|h| (h.group, h.id)).collect();
-        for lead in &pulse.leaderships {
+        (peer.sequence, peer.leaving) = (heartbeat.sequence, heartbeat.leaving);
+        peer.memberships = heartbeat.memberships.iter().map(|h| (h.group, h.id)).collect();
+        for lead in &heartbeat.leaderships {
             self.leadership_announced(now, id, lead);
         }
     }
@@ -430,8 +432,8 @@
         let Some(slot) = self.groups.get_mut(group as usize) else { return };
         let led = self.client.leader(now, group).map(|l| l.ledger);
         // One that was called and has been told nothing knows of no promise: it stands in nobody's way.
-        let told = slot.member.as_ref().filter(|m| !m.voters().is_empty());
-        let ledger = told.map(|m| m.ledger).or(led).unwrap_or(0);
+        let initialized = slot.member.as_ref().filter(|m| !m.voters().is_empty());
+        let ledger = initialized.map(|m| m.ledger).or(led).unwrap_or(0);
         let free = slot.founder_vote.is_none_or(|(of, until)| of == id || until <= now);
         let backs = ledger == 0 && free;
         if backs {
@@ -444,36 +446,36 @@
         );
     }
 
-    fn raft_message_received(&mut self, now: Time, holder: usize, said: &wire::RaftMessage) {
-        let Some(slot) = self.groups.get_mut(said.group as usize) else { return };
-        if said.to_run_id != self.id {
+    fn raft_message_received(&mut self, now: Time, holder: usize, message: &wire::RaftMessage) {
+        let Some(slot) = self.groups.get_mut(message.group as usize) else { return };
+        if message.to_run_id != self.id {
             return;
         }
         let free = slot.member.is_none() && !self.disk_failed;
-        let called = if free { invited_membership(&said.message) } else { None };
+        let called = if free { invited_membership(&message.message) } else { None };
         if let Some(id) = called.filter(|id| {
             self.ended_memberships.len() < MAX_ENDED_MEMBERSHIPS && !self.ended_memberships.contains(id)
         }) {
             let seed = self.rng.random();
             slot.member =
-                GroupMember::join(&self.settings, (said.group, said.ledger), (id, self.id), seed, now);
+                GroupMember::join(&self.settings, (message.group, message.ledger), (id, self.id), seed, now);
             (slot.since, slot.excluded_since) = (now, None);
             slot.routes.clear();
             self.totals.joined += 1;
         }
-        slot.routes.insert(said.from, holder);
-        self.with_member(said.group as usize, |m| {
-            if m.ledger == said.ledger {
-                m.receive(&said.message);
+        slot.routes.insert(message.from, holder);
+        self.with_member(message.group as usize, |m| {
+            if m.ledger == message.ledger {
+                m.receive(&message.message);
             }
         });
     }
 
     /// A gateway asks for something that the group's leader has to have agreed on.
-    fn request_received(&mut self, now: Time, holder: usize, id: u64, ask: wire::Request) {
-        let (group, no) = (ask.group, ask.request_id);
-        let refused = match ask.command {
-            Some(command) => self.propose(now, id, group, ask.ledger, no, ask.importance, command),
+    fn request_received(&mut self, now: Time, holder: usize, id: u64, request: wire::Request) {
+        let (group, no) = (request.group, request.request_id);
+        let refused = match request.command {
+            Some(command) => self.propose(now, id, group, request.ledger, no, request.importance, command),
             None => None,
         };
         if let Some(why) = refused {
@@ -489,16 +491,16 @@
     fn propose(
         &mut self,
         now: Time,
-        run: u64,
+        run_id: u64,
         group: u32,
         ledger: u64,
-        submit: u64,
+        request_id: u64,
         importance: u32,
         command: Command,
     ) -> Option<ProposeError> {
         let asked = self.with_member(group as usize, |m| {
             if m.ledger == ledger {
-                m.propose(now, run, submit, importance, command)
+                m.propose(now, run_id, request_id, importance, command)
             } else {
                 Err(ProposeError::NotLeader)
             }
@@ -519,11 +521,11 @@
         self.peers[self.own_index].last_heard = now;
         for group in 0..self.groups.len() {
             // Lent for the call, since the member is of the same value.
-            let (preference, heard) =
+            let (preference, peers) =
                 (std::mem::take(&mut self.groups[group].preference), std::mem::take(&mut self.peers));
             let holders = std::mem::take(&mut self.settings.holders);
-            self.with_member(group, |m| m.tick(now, &holders, &preference, &heard));
-            (self.groups[group].preference, self.peers, self.settings.holders) = (preference, heard, holders);
+            self.with_member(group, |m| m.tick(now, &holders, &preference, &peers));
+            (self.groups[group].preference, self.peers, self.settings.holders) = (preference, peers, holders);
         }
         if now >= self.next_check {
             self.next_check = now + self.heartbeat_interval;
@@ -552,13 +554,13 @@
         let members = self.groups.iter().filter_map(|s| s.member.as_ref());
         let holds = members.map(|m| wire::Membership { group: m.number, id: m.id }).collect();
         self.heartbeats_sent += 1;
-        let pulse = Payload::Heartbeat(wire::Heartbeat {
+        let heartbeat = Payload::Heartbeat(wire::Heartbeat {
             leaderships: leads,
             leaving: self.leaving,
             sequence: self.heartbeats_sent,
             memberships: holds,
         });
-        self.send_all(&pulse);
+        self.send_all(&heartbeat);
     }
 
     fn is_live(&self, now: Time, holder: usize) -> bool {
@@ -582,8 +584,8 @@
                 if self.is_lost(one.holder as usize) {
                     return true;
                 }
-                let heard = self.peers.get(one.holder as usize);
-                one.id != member.id && heard.is_some_and(|h| h.lost_state(group, one.run_id, one.id))
+                let peers = self.peers.get(one.holder as usize);
+                one.id != member.id && peers.is_some_and(|h| h.lost_state(group, one.run_id, one.id))
             };
             // While members are replaced, a majority of those before and of those after is wanted.
             let members = &member.log().conf_state;
@@ -615,11 +617,11 @@
             return;
         }
         let fresh = |at: Time| now - at < GROUP_STATUS_TTL;
-        let said: Vec<wire::GroupStatus> =
+        let statuses: Vec<wire::GroupStatus> =
             slot.statuses.values().filter(|s| fresh(s.0)).map(|s| s.1).collect();
-        let known = said.iter().any(|h| h.ledger != 0);
+        let known = statuses.iter().any(|h| h.ledger != 0);
         let own = slot.founder_vote.is_none_or(|(of, until)| of == self.id || until <= now);
-        let backed = said.iter().filter(|h| h.supports_founder).count() + 1;
+        let backed = statuses.iter().filter(|h| h.supports_founder).count() + 1;
         let all = (0..self.peers.len()).filter(|&h| !self.is_lost(h)).count();
         if !known && own && backed > all / 2 {
             return self.found_group(now, group);
@@ -630,8 +632,8 @@
             if own {
                 slot.founder_vote = Some((self.id, now + FOUNDER_VOTE_TTL));
             }
-            let seek = Payload::FindGroup(wire::FindGroup { group });
-            self.send_all(&seek);
+            let request = Payload::FindGroup(wire::FindGroup { group });
+            self.send_all(&request);
         }
     }
 
@@ -642,27 +644,23 @@
             return;
         }
         let Some(all) = self.pending_imports.get_mut(&group) else { return };
-        let (mut notes, mut bytes) = (Vec::new(), 0);
-        while let Some(note) =
-            all.pop_front_if(|_| notes.len() < MAX_IMPORT_RECORDS && bytes < MAX_IMPORT_BYTES)
+        let (mut records, mut bytes) = (Vec::new(), 0);
+        while let Some(record) =
+            all.pop_front_if(|_| records.len() < MAX_IMPORT_RECORDS && bytes < MAX_IMPORT_BYTES)
         {
-            bytes += note.end.as_ref().and_then(|e| e.answer.as_ref()).map_or(0, |a| a.body.len());
-            if note.ledger != ledger {
-                notes.push(note);
+            bytes += record.end.as_ref().and_then(|e| e.answer.as_ref()).map_or(0, |a| a.body.len());
+            if record.ledger != ledger {
+                records.push(record);
             }
         }
         if all.is_empty() {
             self.pending_imports.remove(&group);
         }
-        if !notes.is_empty() {
-            self.totals.imported += notes.len() as u64;
-            let ask = self.client.submit(
-                now,
-                group,
-                9,
-                Operation::ImportOutcomes(ImportOutcomes { records: notes }),
-            );
-            self.own_requests.insert(ask, group);
+        if !records.is_empty() {
+            self.totals.imported += records.len() as u64;
+            let request_id =
+                self.client.submit(now, group, 9, Operation::ImportOutcomes(ImportOutcomes { records }));
+            self.own_requests.insert(request_id, group);
         }
     }
 
@@ -687,9 +685,9 @@
         self.outputs.push_back(Out::Send { holder, frame, is_snapshot });
     }
 
-    fn send_all(&mut self, said: &Payload) {
+    fn send_all(&mut self, payload: &Payload) {
         for holder in (0..self.peers.len()).filter(|h| *h != self.own_index).collect::<Vec<_>>() {
-            self.send(holder, said.clone(), false);
+            self.send(holder, payload.clone(), false);
         }
     }
 
@@ -707,30 +705,18 @@
             let mut moved = false;
             for send in std::mem::take(&mut self.client.outgoing) {
                 moved = true;
-                let crate::client::OutgoingRequest {
-                    to,
-                    group,
-                    ledger,
-                    request_id: ask,
-                    importance,
-                    command,
-                } = send;
+                let crate::client::OutgoingRequest { to, group, ledger, request_id, importance, command } =
+                    send;
                 if to == self.id {
-                    let refused = self.propose(now, to, group, ledger, ask, importance, command);
+                    let refused = self.propose(now, to, group, ledger, request_id, importance, command);
                     if let Some(why) = refused {
-                        self.client.refusal_received(now, to, ask, why == ProposeError::Busy);
+                        self.client.refusal_received(now, to, request_id, why == ProposeError::Busy);
                     }
                 } else {
                     let command = Some(command);
                     self.send_to(
                         to,
-                        Payload::Request(wire::Request {
-                            group,
-                            ledger,
-                            request_id: ask,
-                            importance,
-                            command,
-                        }),
+                        Payload::Request(wire::Request { group, ledger, request_id, importance, command }),
                         false,
                     );
                 }
@@ -742,15 +728,15 @@
                 break;
             }
         }
-        for told in std::mem::take(&mut self.client.responses) {
-            match self.own_requests.remove(&told.request_id) {
+        for response in std::mem::take(&mut self.client.responses) {
+            match self.own_requests.remove(&response.request_id) {
                 // Those of a ledger that went meanwhile are told by those that hold them.
                 Some(group) => {
-                    if told.result == Ok(CommandResult::Recorded) {
+                    if response.result == Ok(CommandResult::Recorded) {
                         self.submit_imports(now, group);
                     }
                 }
-                None => self.outputs.push_back(Out::Response(told)),
+                None => self.outputs.push_back(Out::Response(response)),
             }
         }
     }
@@ -759,22 +745,23 @@
     fn process_group(&mut self, now: Time, group: usize) -> bool {
         self.with_member(group, |m| m.process_ready(now));
         let Some(member) = &mut self.groups[group].member else { return false };
-        let (sent, done) = (std::mem::take(&mut member.outbound), std::mem::take(&mut member.completed));
-        for (number, notes) in std::mem::take(&mut member.outcome_writes) {
+        let (outbound, completed) =
+            (std::mem::take(&mut member.outbound), std::mem::take(&mut member.completed));
+        for (number, records) in std::mem::take(&mut member.outcome_writes) {
             self.last_mark += 1;
             self.writes.push_back((self.last_mark, group as u32, number));
-            self.outputs.push_back(Out::Write { mark: self.last_mark, records: notes });
+            self.outputs.push_back(Out::Write { mark: self.last_mark, records });
         }
         let (number, ledger, ready) = (member.number, member.ledger, member.is_ready());
-        let moved = !sent.is_empty() || !done.is_empty();
-        for one in sent {
+        let moved = !outbound.is_empty() || !completed.is_empty();
+        for one in outbound {
             // Who has not learnt the members yet answers on the way that it was spoken to.
             let slot = &self.groups[group];
             let known =
                 slot.member.as_ref().and_then(|m| m.member(one.to)).map(|m| (m.holder as usize, m.run_id));
             let route = || slot.routes.get(&one.to).and_then(|&h| Some((h, self.peers[h].run_id?)));
             let Some((holder, to_run)) = known.or_else(route) else { continue };
-            let said = wire::RaftMessage {
+            let payload = wire::RaftMessage {
                 group: number,
                 ledger,
                 message: one.message,
@@ -782,19 +769,19 @@
                 from: one.from,
             };
             if self.peers.get(holder).is_some_and(|h| h.run_id == Some(to_run)) && holder != self.own_index {
-                self.send(holder, Payload::RaftMessage(said), one.is_snapshot);
+                self.send(holder, Payload::RaftMessage(payload), one.is_snapshot);
             } else {
                 self.report_unreachable(to_run);
             }
         }
-        for CompletedProposal { run_id: run, request_id: ask, result: outcome } in done {
-            if run == self.id {
-                self.client.reply_received(ask, outcome);
+        for CompletedProposal { run_id, request_id, result } in completed {
+            if run_id == self.id {
+                self.client.reply_received(request_id, result);
             } else {
-                let result = Some((&outcome).into());
+                let result = Some((&result).into());
                 self.send_to(
-                    run,
-                    Payload::Reply(wire::Reply { group: number, request_id: ask, result }),
+                    run_id,
+                    Payload::Reply(wire::Reply { group: number, request_id, result }),
                     false,
                 );
             }
--- a/copies/src/outcome_log.rs
+++ b/copies/src/outcome_log.rs
@@ -86,8 +86,8 @@
     ) -> Result<(), OutcomeLogError> {
         let bad = |folder: &Path, why| OutcomeLogError { path: folder.to_owned(), why };
         let mut bytes = Vec::new();
-        for note in notes {
-            let record = note.encode_to_vec();
+        for record_read in notes {
+            let record = record_read.encode_to_vec();
             bytes.extend((record.len() as u32).to_be_bytes());
             bytes.extend(xxh3_64(&record).to_be_bytes());
             bytes.extend(record);
@@ -128,10 +128,10 @@
             return;
         }
         let (sum, record) = (&bytes[4..HEADER_BYTES], &bytes[HEADER_BYTES..HEADER_BYTES + length]);
-        let note =
+        let record_read =
             (xxh3_64(record).to_be_bytes() == *sum).then(|| OutcomeRecord::decode(record).ok()).flatten();
-        match note.filter(|n| n.ledger != 0 && n.end.as_ref().is_some_and(|e| e.read().is_some())) {
-            Some(note) => found.records.push(note),
+        match record_read.filter(|n| n.ledger != 0 && n.end.as_ref().is_some_and(|e| e.read().is_some())) {
+            Some(record_read) => found.records.push(record_read),
             None => found.damaged += 1,
         }
         bytes = &bytes[HEADER_BYTES + length..];
--- a/copies/src/settings.rs
+++ b/copies/src/settings.rs
@@ -20,10 +20,10 @@
     /// All gateways of the site that take in txns of other sites; the same in each one's file.
     pub holders: Vec<Holder>,
     /// Gateways that keep each ledger: 3 or 5.
-    #[serde(default = "three")]
+    #[serde(default = "default_copies")]
     pub copies: usize,
     /// Ledgers that the senders are spread over.
-    #[serde(default = "one")]
+    #[serde(default = "default_groups")]
     pub groups: u32,
     /// How txns ended is kept in this folder, too, so that it outlives the loss of all processes at once; absent: in
     /// memory only.
@@ -105,76 +105,76 @@
     }
 }
 
-fn three() -> usize {
+fn default_copies() -> usize {
     3
 }
 
-fn one() -> u32 {
+fn default_groups() -> u32 {
     1
 }
 
 #[derive(Debug, thiserror::Error)]
-pub enum Unusable {
+pub enum SettingsError {
     #[error("{0}")]
-    Form(#[from] serde_json::Error),
+    Syntax(#[from] serde_json::Error),
     #[error("{0}: {1}")]
     Field(String, &'static str),
 }
 
 impl Copies {
-    pub fn parse(text: &str) -> Result<Copies, Unusable> {
+    pub fn parse(text: &str) -> Result<Copies, SettingsError> {
         let file: Copies = serde_json::from_str(text)?;
         file.validate()?;
         Ok(file)
     }
 
-    fn validate(&self) -> Result<(), Unusable> {
-        let need = |is: bool, field: &str, what: &'static str| {
-            if is { Ok(()) } else { Err(Unusable::Field(field.to_owned(), what)) }
+    fn validate(&self) -> Result<(), SettingsError> {
+        let require = |holds: bool, field: &str, requirement: &'static str| {
+            if holds { Ok(()) } else { Err(SettingsError::Field(field.to_owned(), requirement)) }
         };
-        need(matches!(self.copies, 3 | 5), "copies", "3 or 5")?;
-        need((1..=64).contains(&self.groups), "groups", "1 to 64")?;
-        need(self.holders.len() <= MAX_HOLDERS, "holders", "64 at the most")?;
-        need(self.holders.len() >= self.copies, "holders", "at least as many as there are copies")?;
-        need(self.me().is_some(), "gateway", "it is not among the holders")?;
-        need(self.listen.port() != 0, "listen", "the others have to know the port")?;
+        require(matches!(self.copies, 3 | 5), "copies", "3 or 5")?;
+        require((1..=64).contains(&self.groups), "groups", "1 to 64")?;
+        require(self.holders.len() <= MAX_HOLDERS, "holders", "64 at the most")?;
+        require(self.holders.len() >= self.copies, "holders", "at least as many as there are copies")?;
+        require(self.own_index().is_some(), "gateway", "it is not among the holders")?;
+        require(self.listen.port() != 0, "listen", "the others have to know the port")?;
         let (mut names, mut places) = (BTreeSet::new(), BTreeSet::new());
         for (i, h) in self.holders.iter().enumerate() {
             let at = |field: &str| format!("holders[{i}].{field}");
             let name = kelpcart_sites::settings::is_name(&h.name);
-            need(name, &at("name"), "1 to 64 letters, digits, -, _ or . are a name")?;
-            need(names.insert(&h.name), &at("name"), "another holder has it")?;
-            need(places.insert(h.address), &at("address"), "another holder has it")?;
-            need(h.address.port() != 0, &at("address"), "a port is wanted")?;
-            need(!h.zone.is_empty() && h.zone.len() <= 64, &at("zone"), "1 to 64 characters")?;
+            require(name, &at("name"), "1 to 64 letters, digits, -, _ or . are a name")?;
+            require(names.insert(&h.name), &at("name"), "another holder has it")?;
+            require(places.insert(h.address), &at("address"), "another holder has it")?;
+            require(h.address.port() != 0, &at("address"), "a port is wanted")?;
+            require(!h.zone.is_empty() && h.zone.len() <= 64, &at("zone"), "1 to 64 characters")?;
         }
         let known = self.lost.iter().all(|l| names.contains(l));
-        need(known, "lost", "names somebody who is not among the holders")?;
-        need(!self.lost.contains(&self.gateway), "lost", "names this very gateway")?;
+        require(known, "lost", "names somebody who is not among the holders")?;
+        require(!self.lost.contains(&self.gateway), "lost", "names this very gateway")?;
         let t = &self.times;
-        need((100..=10_000).contains(&t.election_ms), "times.election_ms", "100 to 10,000")?;
-        need(t.wait_ms >= t.election_ms, "times.wait_ms", "election_ms at the least")?;
+        require((100..=10_000).contains(&t.election_ms), "times.election_ms", "100 to 10,000")?;
+        require(t.wait_ms >= t.election_ms, "times.wait_ms", "election_ms at the least")?;
         // What a gateway may send on it may until `wait_ms` after it asked; by then nobody may call it lost.
-        need(
+        require(
             t.lost_ms >= t.wait_ms + t.election_ms,
             "times.lost_ms",
             "wait_ms and election_ms at the least",
         )?;
-        need(t.absent_ms >= t.lost_ms, "times.absent_ms", "lost_ms at the least")?;
-        need(t.replace_ms >= 100, "times.replace_ms", "100 at the least")?;
+        require(t.absent_ms >= t.lost_ms, "times.absent_ms", "lost_ms at the least")?;
+        require(t.replace_ms >= 100, "times.replace_ms", "100 at the least")?;
         let b = &self.bounds;
-        need((16..=1_000_000).contains(&b.entries), "bounds.entries", "16 to 1,000,000")?;
-        need(b.bytes >= 64 * 1024, "bounds.bytes", "65,536 at the least")?;
-        need(b.age_ms >= 1_000, "bounds.age_ms", "1,000 at the least")?;
-        need(b.gateways >= 1, "bounds.gateways", "1 at the least")?;
-        need((16..=65_536).contains(&b.waiting), "bounds.waiting", "16 to 65,536")?;
-        need((1..=240).contains(&b.answer_kb), "bounds.answer_kb", "1 to 240")?;
-        need((64..=1_000_000).contains(&b.log), "bounds.log", "64 to 1,000,000")?;
-        need((256..=65_536).contains(&b.log_kb), "bounds.log_kb", "256 to 65,536")
+        require((16..=1_000_000).contains(&b.entries), "bounds.entries", "16 to 1,000,000")?;
+        require(b.bytes >= 64 * 1024, "bounds.bytes", "65,536 at the least")?;
+        require(b.age_ms >= 1_000, "bounds.age_ms", "1,000 at the least")?;
+        require(b.gateways >= 1, "bounds.gateways", "1 at the least")?;
+        require((16..=65_536).contains(&b.waiting), "bounds.waiting", "16 to 65,536")?;
+        require((1..=240).contains(&b.answer_kb), "bounds.answer_kb", "1 to 240")?;
+        require((64..=1_000_000).contains(&b.log), "bounds.log", "64 to 1,000,000")?;
+        require((256..=65_536).contains(&b.log_kb), "bounds.log_kb", "256 to 65,536")
     }
 
     /// This gateway's place among the holders.
-    pub fn me(&self) -> Option<usize> {
+    pub fn own_index(&self) -> Option<usize> {
         self.holders.iter().position(|h| h.name == self.gateway)
     }
 
@@ -186,7 +186,7 @@
 
 impl Times {
     /// Between two steps of the groups' clocks: a tenth of an election.
-    pub fn step(&self) -> Span {
+    pub fn tick_interval(&self) -> Span {
         Span::from_micros(self.election_ms * 100)
     }
 }
--- a/copies/src/storage.rs
+++ b/copies/src/storage.rs
@@ -20,16 +20,16 @@
     snapshot_wanted: RefCell<Option<u64>>,
 }
 
-fn entry_bytes(step: &Entry) -> usize {
-    step.data.len() + 64
+fn entry_bytes(entry: &Entry) -> usize {
+    entry.data.len() + 64
 }
 
 impl LogStorage {
     /// A member of a group that begins with these members.
     pub fn bootstrapped(id: u64) -> LogStorage {
-        let members = ConfState { voters: vec![id], ..ConfState::default() };
-        let hard = HardState { term: 1, commit: 1, ..HardState::default() };
-        LogStorage { hard_state: hard, conf_state: members, compacted: (1, 1), ..LogStorage::default() }
+        let conf_state = ConfState { voters: vec![id], ..ConfState::default() };
+        let hard_state = HardState { term: 1, commit: 1, ..HardState::default() };
+        LogStorage { hard_state, conf_state, compacted: (1, 1), ..LogStorage::default() }
     }
 
     /// A member that a group has called; it knows what it voted before under its id, and no more.
@@ -67,20 +67,20 @@
     }
 
     /// Begins anew behind an image.
-    pub fn restore(&mut self, image: &Snapshot) {
-        let about = image.get_metadata();
+    pub fn restore(&mut self, snapshot: &Snapshot) {
+        let metadata = snapshot.get_metadata();
         self.entries.clear();
         self.bytes = 0;
-        self.compacted = (about.index, about.term);
-        self.conf_state = about.get_conf_state().clone();
-        self.hard_state.term = self.hard_state.term.max(about.term);
-        self.hard_state.commit = about.index;
+        self.compacted = (metadata.index, metadata.term);
+        self.conf_state = metadata.get_conf_state().clone();
+        self.hard_state.term = self.hard_state.term.max(metadata.term);
+        self.hard_state.commit = metadata.index;
         self.snapshot.replace(None);
     }
 
     /// Lets go of steps up to one that was applied, while there are more than the bounds.
-    pub fn compact(&mut self, applied: u64, most: usize, most_bytes: usize) {
-        while (self.entries.len() > most || self.bytes > most_bytes)
+    pub fn compact(&mut self, applied: u64, max_entries: usize, max_bytes: usize) {
+        while (self.entries.len() > max_entries || self.bytes > max_bytes)
             && let Some(first) = self.entries.front()
             && first.index <= applied
         {
@@ -97,13 +97,13 @@
 
     /// The whole as of a step that was applied.
     pub fn store_snapshot(&self, applied: u64, data: Vec<u8>) {
-        let mut image = Snapshot::default();
-        let about = image.mut_metadata();
-        about.index = applied;
-        about.term = self.term(applied).unwrap_or(self.compacted.1);
-        about.set_conf_state(self.conf_state.clone());
-        image.data = data.into();
-        self.snapshot.replace(Some(image));
+        let mut snapshot = Snapshot::default();
+        let metadata = snapshot.mut_metadata();
+        metadata.index = applied;
+        metadata.term = self.term(applied).unwrap_or(self.compacted.1);
+        metadata.set_conf_state(self.conf_state.clone());
+        snapshot.data = data.into();
+        self.snapshot.replace(Some(snapshot));
     }
 
     /// Nobody needs it any more.
@@ -125,7 +125,7 @@
         &self,
         low: u64,
         high: u64,
-        most: impl Into<Option<u64>>,
+        max_bytes: impl Into<Option<u64>>,
         _: GetEntriesContext,
     ) -> raft::Result<Vec<Entry>> {
         if low <= self.compacted.0 {
@@ -134,13 +134,13 @@
         if high > self.last() + 1 {
             return Err(Error::Store(StorageError::Unavailable));
         }
-        let most = most.into().unwrap_or(u64::MAX) as usize;
+        let max_bytes = max_bytes.into().unwrap_or(u64::MAX) as usize;
         let (from, to) = ((low - self.compacted.0 - 1) as usize, (high - self.compacted.0 - 1) as usize);
         let mut bytes = 0;
         let fits = |e: &&Entry| {
             bytes += entry_bytes(e);
             // The first one always goes.
-            bytes <= most || bytes == entry_bytes(e)
+            bytes <= max_bytes || bytes == entry_bytes(e)
         };
         Ok(self.entries.range(from..to).take_while(fits).cloned().collect())
     }
@@ -152,8 +152,8 @@
         if index < self.compacted.0 {
             return Err(Error::Store(StorageError::Compacted));
         }
-        let step = self.entries.get((index - self.compacted.0 - 1) as usize);
-        step.map(|e| e.term).ok_or(Error::Store(StorageError::Unavailable))
+        let entry = self.entries.get((index - self.compacted.0 - 1) as usize);
+        entry.map(|e| e.term).ok_or(Error::Store(StorageError::Unavailable))
     }
 
     fn first_index(&self) -> raft::Result<u64> {
@@ -168,7 +168,7 @@
         // One that is older than the steps kept would leave a gap.
         let enough = |i: &Snapshot| i.get_metadata().index >= index.max(self.compacted.0);
         match &*self.snapshot.borrow() {
-            Some(image) if enough(image) => Ok(image.clone()),
+            Some(snapshot) if enough(snapshot) => Ok(snapshot.clone()),
             _ => {
                 self.snapshot_wanted.replace(Some(index));
                 Err(Error::Store(StorageError::SnapshotTemporarilyUnavailable))
@@ -181,30 +181,30 @@
 mod tests {
     use super::*;
 
-    fn step(index: u64, term: u64) -> Entry {
+    fn entry(index: u64, term: u64) -> Entry {
         Entry { index, term, data: vec![0; 10].into(), ..Entry::default() }
     }
 
     #[test]
     fn what_stood_at_the_places_of_new_steps_goes() {
-        let mut steps = LogStorage::bootstrapped(7);
-        steps.append((2..=5).map(|i| step(i, 1)).collect());
-        steps.append(vec![step(4, 2)]);
-        assert_eq!((steps.last(), steps.len(), steps.bytes()), (4, 3, 3 * 74));
-        assert_eq!((steps.term(3).ok(), steps.term(4).ok()), (Some(1), Some(2)));
-        let all = steps.entries(2, 5, 100, GetEntriesContext::empty(false)).unwrap();
+        let mut log = LogStorage::bootstrapped(7);
+        log.append((2..=5).map(|i| entry(i, 1)).collect());
+        log.append(vec![entry(4, 2)]);
+        assert_eq!((log.last(), log.len(), log.bytes()), (4, 3, 3 * 74));
+        assert_eq!((log.term(3).ok(), log.term(4).ok()), (Some(1), Some(2)));
+        let all = log.entries(2, 5, 100, GetEntriesContext::empty(false)).unwrap();
         assert_eq!(all.len(), 1, "as many as fit, and one at the least");
     }
 
     #[test]
     fn only_what_was_applied_is_let_go_of() {
-        let mut steps = LogStorage::bootstrapped(7);
-        steps.append((2..=50).map(|i| step(i, 1)).collect());
-        steps.compact(10, 0, 0);
-        assert_eq!((steps.first_index().unwrap(), steps.last()), (11, 50));
-        assert!(steps.entries(10, 12, None, GetEntriesContext::empty(false)).is_err());
-        assert!(steps.snapshot(0, 1).is_err() && steps.snapshot_wanted() == Some(0));
-        steps.store_snapshot(40, vec![1]);
-        assert_eq!(steps.snapshot(0, 1).unwrap().get_metadata().term, 1);
+        let mut log = LogStorage::bootstrapped(7);
+        log.append((2..=50).map(|i| entry(i, 1)).collect());
+        log.compact(10, 0, 0);
+        assert_eq!((log.first_index().unwrap(), log.last()), (11, 50));
+        assert!(log.entries(10, 12, None, GetEntriesContext::empty(false)).is_err());
+        assert!(log.snapshot(0, 1).is_err() && log.snapshot_wanted() == Some(0));
+        log.store_snapshot(40, vec![1]);
+        assert_eq!(log.snapshot(0, 1).unwrap().get_metadata().term, 1);
     }
 }
--- a/gateway/src/sites/copies.rs
+++ b/gateway/src/sites/copies.rs
@@ -118,7 +118,7 @@
         if copies.writer.is_some() {
             context.tasks.spawn(Rc::clone(&copies).receive_write_results()).detach();
         }
-        let me = copies.settings.me();
+        let me = copies.settings.own_index();
         for holder in (0..copies.settings.holders.len()).filter(|h| Some(*h) != me) {
             context.tasks.spawn(Rc::clone(&copies).maintain_connection(holder)).detach();
         }
