--- a/copies/src/group.rs
+++ b/copies/src/group.rs
@@ -24,9 +24,9 @@
 /// Append messages in flight to one member, and the bytes of entries in each.
 const MAX_INFLIGHT_MESSAGES: usize = 256;
 const MAX_APPEND_BYTES: u64 = 256 * 1024;
-/// A member within this many entries of the leader's last index counts as caught up.
+/// A member within this many entries of the leader's last index counters as caught up.
 const CAUGHT_UP_ENTRIES: u64 = 64;
-/// A snapshot that brought no progress by then counts as lost and is sent again.
+/// A snapshot that brought no progress by then counters as lost and is sent again.
 const SNAPSHOT_TIMEOUT: Span = Span::from_millis(5_000);
 const EXPIRY_INTERVAL: Span = Span::from_millis(1_000);
 
@@ -94,7 +94,7 @@
     log_limits: (usize, usize),
     applied: u64,
     role: StateRole,
-    pub counts: Counters,
+    pub counters: Counters,
     pub outbound: VecDeque<OutboundMessage>,
     pub completed: VecDeque<CompletedProposal>,
     /// Whether outcomes are written to the disk before this member acknowledges their entries.
@@ -172,7 +172,7 @@
         let applied = log.hard_state.commit;
         let logger = slog::Logger::root(slog::Discard, slog::o!());
         let raft = RawNode::new(&Config { applied, ..config(id) }, log, &logger).ok()?;
-        let (t, b, step) = (&settings.times, &settings.bounds, settings.times.tick_interval());
+        let (t, b, tick_interval) = (&settings.times, &settings.bounds, settings.times.tick_interval());
         Some(GroupMember {
             number,
             ledger,
@@ -181,8 +181,8 @@
             raft,
             machine: Machine::new(machine::bounds(b), ledger),
             seed,
-            tick_interval: step,
-            next_tick: now + step,
+            tick_interval,
+            next_tick: now + tick_interval,
             led_since: None,
             repair: MembershipRepair::default(),
             repair_limits: membership_repair::Limits {
@@ -199,7 +199,7 @@
             log_limits: (b.log, b.log_kb * 1024),
             applied,
             role: StateRole::Follower,
-            counts: Counters::default(),
+            counters: Counters::default(),
             outbound: VecDeque::new(),
             completed: VecDeque::new(),
             persist_outcomes: settings.disk.is_some(),
@@ -279,16 +279,16 @@
         if !self.is_ready() {
             return Err(ProposeError::NotLeader);
         }
-        // Commands of importance 0 are refused once half of the room is used, more important ones later. Outcomes and
+        // Accepts and registrations of importance 0 are refused once half of the room is used, more important ones later. Outcomes and
         // queries are always proposed, since each of them frees room or ends a wait.
         let share = 0.5 + 0.5 * f64::from(importance.min(9)) / 9.0;
         let needs_room =
             matches!(command.operation, Some(Operation::Accept(_) | Operation::RegisterSender(_)));
         if needs_room && self.unapplied() as f64 >= self.max_unapplied as f64 * share {
-            self.counts.busy += 1;
+            self.counters.busy += 1;
             return Err(ProposeError::Busy);
         }
-        self.counts.proposed += 1;
+        self.counters.proposed += 1;
         self.append(now, run_id, request_id, command)
     }
 
@@ -299,9 +299,9 @@
         request_id: u64,
         command: Command,
     ) -> Result<(), ProposeError> {
-        let at = self.group_time(now).as_micros();
-        let step = LogEntry { at_us: at, run_id, request_id, command: Some(command) };
-        self.raft.propose(Vec::new(), step.encode_to_vec()).map_err(|_| ProposeError::NotLeader)
+        let at_us = self.group_time(now).as_micros();
+        let entry = LogEntry { at_us, run_id, request_id, command: Some(command) };
+        self.raft.propose(Vec::new(), entry.encode_to_vec()).map_err(|_| ProposeError::NotLeader)
     }
 
     /// The group's own time. Each leader continues it from the last log entry, so that no machine's clock matters.
@@ -327,23 +327,23 @@
         self.next_tick
     }
 
-    pub fn tick(&mut self, now: Time, holders: &[Holder], order: &[usize], peers: &[PeerState]) {
-        let mut steps = 0;
+    pub fn tick(&mut self, now: Time, holders: &[Holder], preference: &[usize], peers: &[PeerState]) {
+        let mut ticks = 0;
         while self.next_tick <= now {
             self.next_tick += self.tick_interval;
-            steps += 1;
+            ticks += 1;
             // A process that was stopped must not make up for all missed ticks at once: it would call an election
             // before it can receive anything.
-            if steps <= 2 {
+            if ticks <= 2 {
                 self.raft.tick();
             }
-            if steps > ELECTION_TICKS as u64 {
+            if ticks > ELECTION_TICKS as u64 {
                 self.next_tick = now + self.tick_interval;
             }
         }
         if self.is_leader() {
             self.check_timeouts(now, peers);
-            self.repair_membership(now, holders, order, peers);
+            self.repair_membership(now, holders, preference, peers);
         }
     }
 
@@ -357,10 +357,10 @@
             {
                 continue;
             }
-            let one = peers.iter().find(|h| h.run_id == Some(run_id));
-            let gone = one
+            let peer = peers.iter().find(|h| h.run_id == Some(run_id));
+            let is_lost = peer
                 .map_or(now - since >= self.lost_after, |h| now - h.last_heard.max(since) >= self.lost_after);
-            if gone {
+            if is_lost {
                 self.reported_lost.insert(run_id, now);
                 // If leadership is lost before the commit, the next leader proposes it again.
                 _ = self.append(now, 0, 0, Command { operation: Some(Operation::RunnerLost(run_id)) });
@@ -372,26 +372,32 @@
                 _ = self.append(now, 0, 0, Command { operation: Some(Operation::Expire(true)) });
             }
         }
-        let late: Vec<u64> = self
+        let timed_out: Vec<u64> = self
             .snapshots_in_flight
             .iter()
             .filter(|(_, at)| now - **at >= SNAPSHOT_TIMEOUT)
             .map(|(id, _)| *id)
             .collect();
-        for id in late {
+        for id in timed_out {
             self.snapshots_in_flight.remove(&id);
             self.raft.report_snapshot(id, SnapshotStatus::Failure);
         }
     }
 
-    fn repair_membership(&mut self, now: Time, holders: &[Holder], order: &[usize], peers: &[PeerState]) {
+    fn repair_membership(
+        &mut self,
+        now: Time,
+        holders: &[Holder],
+        preference: &[usize],
+        peers: &[PeerState],
+    ) {
         let conf = &self.raft.store().conf_state;
         let busy = self.raft.raft.has_pending_conf() || !conf.voters_outgoing.is_empty();
         if busy || !self.raft.raft.commit_to_current_term() {
             return;
         }
         let last = self.raft.raft.raft_log.last_index();
-        let seen: Vec<MemberView> = conf
+        let members: Vec<MemberView> = conf
             .voters
             .iter()
             .chain(&conf.learners)
@@ -399,9 +405,9 @@
                 let Member { holder, run_id, .. } = *self.machine.members.get(&id)?;
                 let holder = holder as usize;
                 let progress = self.raft.raft.prs().get(id)?;
-                let has = progress.matched > 0 && progress.state != ProgressState::Snapshot;
-                let close = id == self.id || has && progress.matched + CAUGHT_UP_ENTRIES >= last;
-                Some(MemberView { id, run_id, holder, voter: conf.voters.contains(&id), caught_up: close })
+                let has_log = progress.matched > 0 && progress.state != ProgressState::Snapshot;
+                let caught_up = id == self.id || has_log && progress.matched + CAUGHT_UP_ENTRIES >= last;
+                Some(MemberView { id, run_id, holder, voter: conf.voters.contains(&id), caught_up })
             })
             .collect();
         let view = membership_repair::GroupView {
@@ -410,12 +416,12 @@
             leader_id: self.id,
             limits: &self.repair_limits,
             holders,
-            preference: order,
-            members: &seen,
+            preference,
+            members: &members,
             peers,
         };
-        let next = self.repair.next_action(&view);
-        let Some(next) = next else { return };
+        let action = self.repair.next_action(&view);
+        let Some(action) = action else { return };
         let one = |kind: ConfChangeType, id: u64| {
             let mut one = ConfChangeSingle::default();
             one.set_change_type(kind);
@@ -423,7 +429,7 @@
             one
         };
         let mut change = ConfChangeV2::default();
-        match next {
+        match action {
             membership_repair::RepairAction::AddLearner { run_id, holder } => {
                 // Never an id that was used before: messages to an earlier membership may still be in flight.
                 let id = Pcg64Mcg::seed_from_u64(self.seed ^ last.rotate_left(32) ^ run_id)
@@ -431,11 +437,11 @@
                 change.mut_changes().push(one(ConfChangeType::AddLearnerNode, id));
                 change.context = Member { id, holder: holder as u32, run_id }.encode_to_vec().into();
             }
-            membership_repair::RepairAction::Promote { id, instead_of } => {
+            membership_repair::RepairAction::Promote { id, replaces } => {
                 change.mut_changes().push(one(ConfChangeType::AddNode, id));
-                if let Some(gone) = instead_of {
-                    change.mut_changes().push(one(ConfChangeType::RemoveNode, gone));
-                    self.counts.replaced += 1;
+                if let Some(replaced) = replaces {
+                    change.mut_changes().push(one(ConfChangeType::RemoveNode, replaced));
+                    self.counters.replaced += 1;
                 }
             }
             membership_repair::RepairAction::Remove { id } => {
@@ -458,19 +464,19 @@
                 self.install_snapshot(ready.snapshot());
             }
             self.apply(ready.take_committed_entries());
-            let steps = ready.take_entries();
-            let notes = if self.persist_outcomes { self.outcome_records(&steps) } else { Vec::new() };
-            if !steps.is_empty() {
-                self.raft.mut_store().append(steps);
+            let entries = ready.take_entries();
+            let records = if self.persist_outcomes { self.outcome_records(&entries) } else { Vec::new() };
+            if !entries.is_empty() {
+                self.raft.mut_store().append(entries);
             }
-            if let Some(hard) = ready.hs() {
-                self.raft.mut_store().hard_state = hard.clone();
+            if let Some(hard_state) = ready.hs() {
+                self.raft.mut_store().hard_state = hard_state.clone();
             }
-            let (number, held) = (ready.number(), ready.take_persisted_messages());
+            let (number, messages) = (ready.number(), ready.take_persisted_messages());
             self.raft.advance_append_async(ready);
-            self.unpersisted.push_back((number, notes.is_empty(), held));
-            if !notes.is_empty() {
-                self.outcome_writes.push_back((number, notes));
+            self.unpersisted.push_back((number, records.is_empty(), messages));
+            if !records.is_empty() {
+                self.outcome_writes.push_back((number, records));
             }
             self.flush_persisted(now);
         }
@@ -480,11 +486,11 @@
         {
             let snapshot = self.machine.snapshot();
             self.raft.store().store_snapshot(self.applied, snapshot);
-            self.counts.snapshots_created += 1;
+            self.counters.snapshots_created += 1;
         }
-        let (most, bytes) = self.log_limits;
+        let (max_entries, max_bytes) = self.log_limits;
         let applied = self.applied;
-        self.raft.mut_store().compact(applied, most, bytes);
+        self.raft.mut_store().compact(applied, max_entries, max_bytes);
         if !self.snapshots_in_flight.is_empty() {
             let prs = self.raft.raft.prs();
             self.snapshots_in_flight
@@ -496,15 +502,15 @@
     }
 
     /// The outcomes among new entries. They hold even if the entries are replaced before they are committed.
-    fn outcome_records(&self, steps: &[Entry]) -> Vec<OutcomeRecord> {
-        let end = |step: &Entry| match LogEntry::decode(&step.data[..]).ok()?.command?.operation? {
+    fn outcome_records(&self, entries: &[Entry]) -> Vec<OutcomeRecord> {
+        let end = |entry: &Entry| match LogEntry::decode(&entry.data[..]).ok()?.command?.operation? {
             Operation::End(end) => {
                 let ledger = if end.ledger == 0 { self.ledger } else { end.ledger };
                 Some(OutcomeRecord { ledger, end: Some(end) })
             }
             _ => None,
         };
-        steps.iter().filter(|s| s.get_entry_type() == EntryType::EntryNormal).filter_map(end).collect()
+        entries.iter().filter(|e| e.get_entry_type() == EntryType::EntryNormal).filter_map(end).collect()
     }
 
     /// All outcome records up to this ready number are on the disk.
@@ -517,10 +523,10 @@
     fn flush_persisted(&mut self, now: Time) {
         while let Some((number, true, _)) = self.unpersisted.front() {
             self.raft.on_persist_ready(*number);
-            let said = self.unpersisted.pop_front().map(|u| u.2).unwrap_or_default();
-            self.queue_messages(now, said);
+            let messages = self.unpersisted.pop_front().map(|u| u.2).unwrap_or_default();
+            self.queue_messages(now, messages);
         }
-        // While a snapshot waits for earlier writes, the library counts fewer entries as persisted than are applied
+        // While a snapshot waits for earlier writes, the library counters fewer entries as persisted than are applied
         // here.
         if self.unpersisted.is_empty() {
             self.raft.advance_apply_to(self.applied);
@@ -536,7 +542,7 @@
         let role = self.raft.raft.state;
         if role != self.role {
             self.role = role;
-            self.counts.elections += u64::from(role == StateRole::Candidate);
+            self.counters.elections += u64::from(role == StateRole::Candidate);
             if role != StateRole::Leader {
                 self.led_since = None;
             }
@@ -546,7 +552,7 @@
             self.repair.leadership_started(now);
             self.reported_lost.clear();
             self.snapshots_in_flight.clear();
-            self.counts.leaderships += 1;
+            self.counters.leaderships += 1;
         }
     }
 
@@ -574,31 +580,31 @@
         }
         self.raft.mut_store().restore(snapshot);
         self.applied = snapshot.get_metadata().index;
-        self.counts.snapshots_installed += 1;
+        self.counters.snapshots_installed += 1;
     }
 
-    fn apply(&mut self, steps: Vec<Entry>) {
-        for step in steps {
-            self.applied = step.index;
-            self.counts.applied += 1;
-            match step.get_entry_type() {
-                EntryType::EntryNormal if step.data.is_empty() => {}
-                EntryType::EntryNormal => self.apply_command(&step),
-                _ => self.apply_membership_change(&step),
+    fn apply(&mut self, entries: Vec<Entry>) {
+        for entry in entries {
+            self.applied = entry.index;
+            self.counters.applied += 1;
+            match entry.get_entry_type() {
+                EntryType::EntryNormal if entry.data.is_empty() => {}
+                EntryType::EntryNormal => self.apply_command(&entry),
+                _ => self.apply_membership_change(&entry),
             }
         }
     }
 
     fn apply_command(&mut self, entry: &Entry) {
-        let Ok(step) = LogEntry::decode(&entry.data[..]) else { return };
-        let Some(operation) = step.command.and_then(|c| c.operation) else { return };
-        let outcome = self.machine.apply(Time::from_micros(step.at_us), step.run_id, &operation);
+        let Ok(log_entry) = LogEntry::decode(&entry.data[..]) else { return };
+        let Some(operation) = log_entry.command.and_then(|c| c.operation) else { return };
+        let result = self.machine.apply(Time::from_micros(log_entry.at_us), log_entry.run_id, &operation);
         // Only the leader replies. A former leader may not know yet that it was deposed.
-        if step.request_id != 0 && self.is_leader() {
+        if log_entry.request_id != 0 && self.is_leader() {
             self.completed.push_back(CompletedProposal {
-                run_id: step.run_id,
-                request_id: step.request_id,
-                result: outcome,
+                run_id: log_entry.run_id,
+                request_id: log_entry.request_id,
+                result,
             });
         }
     }
--- a/copies/src/membership_repair.rs
+++ b/copies/src/membership_repair.rs
@@ -50,7 +50,7 @@
     /// Add this holder as a learner.
     AddLearner { run_id: u64, holder: usize },
     /// Make a caught-up learner a voter, in place of another one if given.
-    Promote { id: u64, instead_of: Option<u64> },
+    Promote { id: u64, replaces: Option<u64> },
     /// Remove a member.
     Remove { id: u64 },
     /// Transfer leadership to this member.
@@ -108,12 +108,12 @@
         if self.last_action.is_some_and(|at| view.now - at < view.limits.min_interval) {
             return None;
         }
-        let step = choose_action(view, since, self.last_transfer)?;
+        let action = choose_action(view, since, self.last_transfer)?;
         self.last_action = Some(view.now);
-        if matches!(step, RepairAction::TransferLeadership { .. }) {
+        if matches!(action, RepairAction::TransferLeadership { .. }) {
             self.last_transfer = Some(view.now);
         }
-        Some(step)
+        Some(action)
     }
 }
 
@@ -145,105 +145,106 @@
     StateLost,
 }
 
-fn choose_action(view: &GroupView, since: Time, moved: Option<Time>) -> Option<RepairAction> {
-    let GroupView { now, group, leader_id: me, limits, holders, preference: order, members, peers: heard } =
-        *view;
-    let standing = |m: &MemberView| {
-        if m.id == me {
-            return if heard.get(m.holder).is_some_and(|h| h.leaving) {
+fn choose_action(view: &GroupView, led_since: Time, last_transfer: Option<Time>) -> Option<RepairAction> {
+    let GroupView { now, group, leader_id, limits, holders, preference, members, peers } = *view;
+    let health = |m: &MemberView| {
+        if m.id == leader_id {
+            return if peers.get(m.holder).is_some_and(|h| h.leaving) {
                 Health::Leaving
             } else {
                 Health::Healthy
             };
         }
-        let Some(h) = heard.get(m.holder) else { return Health::StateLost };
-        let quiet = now - h.last_heard.max(since);
+        let Some(h) = peers.get(m.holder) else { return Health::StateLost };
+        let silence = now - h.last_heard.max(led_since);
         match h.run_id {
             Some(run) if run != m.run_id => Health::StateLost,
             Some(_) if m.voter && h.lost_state(group, m.run_id, m.id) => Health::StateLost,
-            _ if quiet >= limits.absent_after => Health::Absent,
-            _ if quiet >= limits.silent_after => Health::Silent,
+            _ if silence >= limits.absent_after => Health::Absent,
+            _ if silence >= limits.silent_after => Health::Silent,
             None => Health::Silent,
             Some(_) if h.leaving => Health::Leaving,
             Some(_) => Health::Healthy,
         }
     };
-    let alive = |m: &MemberView| standing(m) <= Health::Leaving;
+    let is_live = |m: &MemberView| health(m) <= Health::Leaving;
     let voters: Vec<&MemberView> = members.iter().filter(|m| m.voter).collect();
     let learners: Vec<&MemberView> = members.iter().filter(|m| !m.voter).collect();
     // A majority of the voters must be live after the action.
-    let safe = |gone: Option<u64>, new: usize| {
-        let left = voters.iter().filter(|v| Some(v.id) != gone);
-        let all = left.clone().count() + new;
-        let up = left.filter(|v| alive(v)).count() + new;
-        up > all / 2
+    let safe = |removed: Option<u64>, new: usize| {
+        let remaining = voters.iter().filter(|v| Some(v.id) != removed);
+        let all = remaining.clone().count() + new;
+        let live = remaining.filter(|v| is_live(v)).count() + new;
+        live > all / 2
     };
     // A learner that is gone or leaving blocks further changes.
-    let no_use = |s: Health| s >= Health::Absent || s == Health::Leaving;
-    if let Some(gone) = learners.iter().find(|l| no_use(standing(l))) {
-        return Some(RepairAction::Remove { id: gone.id });
+    let must_go = |s: Health| s >= Health::Absent || s == Health::Leaving;
+    if let Some(removed) = learners.iter().find(|l| must_go(health(l))) {
+        return Some(RepairAction::Remove { id: removed.id });
     }
-    let worst = voters.iter().filter(|v| v.id != me).max_by_key(|v| (standing(v), v.id));
-    let replaced = worst.filter(|v| no_use(standing(v)));
+    let worst = voters.iter().filter(|v| v.id != leader_id).max_by_key(|v| (health(v), v.id));
+    let replaced = worst.filter(|v| must_go(health(v)));
     let usable = |i: usize| {
-        let h = &heard[i];
+        let h = &peers[i];
         h.run_id.is_some() && !h.leaving && now - h.last_heard < limits.silent_after
     };
-    let wanted = placement::choose_holders(holders, order, limits.copies, |i| {
-        usable(i) || voters.iter().any(|v| v.holder == i && standing(v) == Health::Silent)
+    let wanted = placement::choose_holders(holders, preference, limits.copies, |i| {
+        usable(i) || voters.iter().any(|v| v.holder == i && health(v) == Health::Silent)
     });
-    let has = |i: usize| {
+    let has_member = |i: usize| {
         members.iter().any(|m| {
             m.holder == i
-                && heard[i].run_id == Some(m.run_id)
-                && (!m.voter || !heard[i].lost_state(group, m.run_id, m.id))
+                && peers[i].run_id == Some(m.run_id)
+                && (!m.voter || !peers[i].lost_state(group, m.run_id, m.id))
         })
     };
-    if let Some(ready) = learners.iter().find(|l| l.caught_up && standing(l) == Health::Healthy) {
+    if let Some(learner) = learners.iter().find(|l| l.caught_up && health(l) == Health::Healthy) {
         // Replaces the voter of the same holder, else a lost one, else one on a holder that is not preferred.
-        let own = voters.iter().find(|v| v.holder == ready.holder);
-        let too_many = voters.len() >= limits.copies;
+        let own = voters.iter().find(|v| v.holder == learner.holder);
+        let at_size = voters.len() >= limits.copies;
         let misplaced =
-            voters.iter().filter(|v| v.id != me && !wanted.contains(&v.holder)).max_by_key(|v| v.id);
-        let instead_of = own.or(replaced).or(misplaced.filter(|_| too_many)).map(|v| v.id);
-        if too_many && instead_of.is_none() {
-            return Some(RepairAction::Remove { id: ready.id });
+            voters.iter().filter(|v| v.id != leader_id && !wanted.contains(&v.holder)).max_by_key(|v| v.id);
+        let replaces = own.or(replaced).or(misplaced.filter(|_| at_size)).map(|v| v.id);
+        if at_size && replaces.is_none() {
+            return Some(RepairAction::Remove { id: learner.id });
         }
-        return safe(instead_of, 1).then_some(RepairAction::Promote { id: ready.id, instead_of });
+        return safe(replaces, 1).then_some(RepairAction::Promote { id: learner.id, replaces });
     }
     if voters.len() > limits.copies && learners.is_empty() {
         // There are too many voters, since the configured number of replicas was lowered.
-        let others = voters.iter().filter(|v| v.id != me);
-        let spare = others.max_by_key(|v| (standing(v), !wanted.contains(&v.holder), v.id));
+        let others = voters.iter().filter(|v| v.id != leader_id);
+        let spare = others.max_by_key(|v| (health(v), !wanted.contains(&v.holder), v.id));
         return spare.filter(|v| safe(Some(v.id), 0)).map(|v| RepairAction::Remove { id: v.id });
     }
     if learners.is_empty() {
-        let candidate = wanted.iter().copied().find(|&i| usable(i) && !has(i));
+        let candidate = wanted.iter().copied().find(|&i| usable(i) && !has_member(i));
         let missing = voters.len() < limits.copies || replaced.is_some();
         // Replicas of a healthy group move only rarely.
-        let rested = now - since >= limits.min_interval * REBALANCE_INTERVALS;
-        let sound = voters.iter().all(|v| standing(v) == Health::Healthy);
-        let misplaced = voters.iter().any(|v| v.id != me && !wanted.contains(&v.holder));
-        if let Some(holder) = candidate.filter(|_| missing || rested && sound && misplaced)
-            && let Some(run) = heard[holder].run_id
+        let may_rebalance = now - led_since >= limits.min_interval * REBALANCE_INTERVALS;
+        let healthy = voters.iter().all(|v| health(v) == Health::Healthy);
+        let misplaced = voters.iter().any(|v| v.id != leader_id && !wanted.contains(&v.holder));
+        if let Some(holder) = candidate.filter(|_| missing || may_rebalance && healthy && misplaced)
+            && let Some(run) = peers[holder].run_id
         {
             return Some(RepairAction::AddLearner { run_id: run, holder });
         }
         // No holder can replace it, but a voter that is gone for good would still count towards the majority.
-        if let Some(gone) = worst.filter(|v| standing(v) == Health::StateLost && candidate.is_none())
+        if let Some(removed) = worst.filter(|v| health(v) == Health::StateLost && candidate.is_none())
             && voters.len() > limits.copies / 2 + 1
-            && safe(Some(gone.id), 0)
+            && safe(Some(removed.id), 0)
         {
-            return Some(RepairAction::Remove { id: gone.id });
+            return Some(RepairAction::Remove { id: removed.id });
         }
     }
-    let sound = |v: &&&MemberView| v.id != me && v.caught_up && standing(v) == Health::Healthy;
-    let leads_best = voters.iter().filter(sound).min_by_key(|v| order.iter().position(|&i| i == v.holder));
-    let mine = members.iter().find(|m| m.id == me)?;
-    let place = |i: usize| order.iter().position(|&o| o == i);
-    let leaving = standing(mine) == Health::Leaving;
-    let settled = now - moved.unwrap_or(since).max(since) >= limits.min_interval * TRANSFER_INTERVALS;
-    let better = leads_best.filter(|v| leaving || settled && place(v.holder) < place(mine.holder));
+    let healthy = |v: &&&MemberView| v.id != leader_id && v.caught_up && health(v) == Health::Healthy;
+    let best_voter =
+        voters.iter().filter(healthy).min_by_key(|v| preference.iter().position(|&i| i == v.holder));
+    let leader = members.iter().find(|m| m.id == leader_id)?;
+    let rank = |i: usize| preference.iter().position(|&o| o == i);
+    let leaving = health(leader) == Health::Leaving;
+    let may_transfer =
+        now - last_transfer.unwrap_or(led_since).max(led_since) >= limits.min_interval * TRANSFER_INTERVALS;
+    let better = best_voter.filter(|v| leaving || may_transfer && rank(v.holder) < rank(leader.holder));
     better.map(|v| RepairAction::TransferLeadership { id: v.id })
 }
 
@@ -335,14 +336,14 @@
     }
 
     quickcheck! {
-        fn a_majority_is_heard_after_each_step(case: Case) -> bool {
+        fn a_majority_is_live_after_each_action(case: Case) -> bool {
             let (mut members, step) = step(&case);
             let voters = |all: &[MemberView]| all.iter().filter(|m| m.voter).count();
             let before = voters(&members);
             match step {
-                Some(RepairAction::Promote { id, instead_of }) => {
+                Some(RepairAction::Promote { id, replaces }) => {
                     members.iter_mut().filter(|m| m.id == id).for_each(|m| m.voter = true);
-                    members.retain(|m| Some(m.id) != instead_of);
+                    members.retain(|m| Some(m.id) != replaces);
                 }
                 Some(RepairAction::Remove { id }) => members.retain(|m| m.id != id),
                 _ => return true,
@@ -353,7 +354,7 @@
             same || up > voters(&members) / 2
         }
 
-        fn the_leader_stays_a_member_and_nobody_lost_is_let_in_or_made_to_lead(case: Case) -> bool {
+        fn the_leader_stays_a_member_and_no_lost_holder_is_added_promoted_or_made_leader(case: Case) -> bool {
             let (members, step) = step(&case);
             let me = 200 + case.me as u64;
             let sound = |id: u64| members.iter().any(|m| m.id == id && !lost(&case, m));
@@ -363,14 +364,14 @@
                     run == 100 + holder as u64 + if case.holders[holder].1 == 7 { 50 } else { 0 }
                         && case.holders[holder].1 != 6
                 }
-                Some(RepairAction::Promote { id, instead_of }) => sound(id) && instead_of != Some(me),
+                Some(RepairAction::Promote { id, replaces }) => sound(id) && replaces != Some(me),
                 Some(RepairAction::Remove { id }) => id != me,
                 Some(RepairAction::TransferLeadership { id }) => id != me && sound(id) && members.iter().any(|m| m.id == id && m.voter),
             }
         }
 
         /// A group with a live majority reaches its configured size on healthy holders.
-        fn a_group_heals(case: Case) -> bool {
+        fn a_group_reaches_its_configured_size(case: Case) -> bool {
             let mut case = case;
             case.holders[case.me].1 %= 5;
             let copies = if case.five { 5 } else { 3 };
@@ -391,9 +392,9 @@
                     None => break,
                     // It has caught up by the next step; a restarted holder has a replica again.
                     Some(RepairAction::AddLearner { holder, .. }) => case.holders[holder] = (1, case.holders[holder].1 % 5, true),
-                    Some(RepairAction::Promote { id, instead_of }) => {
+                    Some(RepairAction::Promote { id, replaces }) => {
                         let new = of(id).unwrap();
-                        instead_of.and_then(of).filter(|h| *h != new).into_iter().for_each(|h| case.holders[h].0 = 2);
+                        replaces.and_then(of).filter(|h| *h != new).into_iter().for_each(|h| case.holders[h].0 = 2);
                         case.holders[new].0 = 0;
                     }
                     Some(RepairAction::Remove { id }) => case.holders[of(id).unwrap()].0 = 2,
--- a/copies/src/node.rs
+++ b/copies/src/node.rs
@@ -20,7 +20,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// A peer heard within this many heartbeat intervals counts as live.
+/// A peer heard within this many heartbeat intervals counters as live.
 const LIVENESS_HEARTBEATS: f64 = 8.0;
 /// Interval between queries for a group that is not known.
 const FIND_GROUP_INTERVAL: Span = Span::from_millis(200);
@@ -62,7 +62,7 @@
     preference: Vec<usize>,
     member: Option<GroupMember>,
     since: Time,
-    next_seek: Time,
+    next_find_group: Time,
     /// The holder from which each member was heard, for use while this member does not know the configuration yet.
     routes: BTreeMap<u64, usize>,
     /// The last `GroupStatus` of each holder, with its time of receipt.
@@ -130,7 +130,7 @@
             preference: placement::preference_order(&settings.holders, group),
             member: None,
             since: now,
-            next_seek: now,
+            next_find_group: now,
             routes: BTreeMap::new(),
             statuses: BTreeMap::new(),
             founder_vote: None,
@@ -333,11 +333,11 @@
     }
 
     fn queue_import(&mut self, group: u32, record: OutcomeRecord) {
-        let all = self.pending_imports.entry(group).or_default();
-        if all.len() >= self.settings.bounds.entries {
-            all.pop_front();
+        let pending = self.pending_imports.entry(group).or_default();
+        if pending.len() >= self.settings.bounds.entries {
+            pending.pop_front();
         }
-        all.push_back(record);
+        pending.push_back(record);
     }
 
     /// All writes up to the mark are on the disk.
@@ -396,18 +396,18 @@
     fn leadership_announced(&mut self, now: Time, id: u64, lead: &wire::Leadership) {
         let Some(slot) = self.groups.get_mut(lead.group as usize) else { return };
         if let Some(member) = slot.member.as_ref().filter(|_| id != self.id) {
-            let other = member.ledger != lead.ledger;
+            let other_ledger = member.ledger != lead.ledger;
             // Two ledgers were founded for one group: both leaders decide by the same rule which one gives way.
             let gives_way =
                 member.is_leader() && (lead.ready, lead.ledger) > (member.is_ready(), member.ledger);
-            let named = lead.members.contains(&member.id);
-            let newer = lead.term >= member.term();
-            if other && member.is_leader() && !gives_way || !other && (named || !newer) {
+            let is_listed = lead.members.contains(&member.id);
+            let is_newer = lead.term >= member.term();
+            if other_ledger && member.is_leader() && !gives_way || !other_ledger && (is_listed || !is_newer) {
                 slot.excluded_since = None;
             } else {
                 let since = *slot.excluded_since.get_or_insert(now);
                 if gives_way || now - since >= REMOVED_MEMBER_TIMEOUT {
-                    if other {
+                    if other_ledger {
                         self.queue_member_imports(lead.group);
                     }
                     self.drop_member(lead.group, "the group's configuration does not list it");
@@ -430,26 +430,22 @@
         self.totals.dropped += 1;
         self.ended_memberships.insert(member.id);
         self.writes.retain(|m| m.1 != group);
-        add_counters(&mut self.ended_counters, &member.counts);
+        add_counters(&mut self.ended_counters, &member.counters);
     }
 
     /// A gateway looks for a group, and may found it if no gateway knows it.
     fn find_group_received(&mut self, now: Time, holder: usize, id: u64, group: u32) {
         let Some(slot) = self.groups.get_mut(group as usize) else { return };
-        let led = self.client.leader(now, group).map(|l| l.ledger);
+        let led_ledger = self.client.leader(now, group).map(|l| l.ledger);
         // An invited member that has received no state knows of no accepted txn, so it must not block the founding.
         let initialized = slot.member.as_ref().filter(|m| !m.voters().is_empty());
-        let ledger = initialized.map(|m| m.ledger).or(led).unwrap_or(0);
-        let free = slot.founder_vote.is_none_or(|(of, until)| of == id || until <= now);
-        let backs = ledger == 0 && free;
-        if backs {
+        let ledger = initialized.map(|m| m.ledger).or(led_ledger).unwrap_or(0);
+        let is_free = slot.founder_vote.is_none_or(|(founder, until)| founder == id || until <= now);
+        let supports_founder = ledger == 0 && is_free;
+        if supports_founder {
             slot.founder_vote = Some((id, now + FOUNDER_VOTE_TTL));
         }
-        self.send(
-            holder,
-            Payload::GroupStatus(wire::GroupStatus { group, ledger, supports_founder: backs }),
-            false,
-        );
+        self.send(holder, Payload::GroupStatus(wire::GroupStatus { group, ledger, supports_founder }), false);
     }
 
     fn raft_message_received(&mut self, now: Time, holder: usize, message: &wire::RaftMessage) {
@@ -479,15 +475,17 @@
 
     /// A gateway's request, to be replicated if this gateway leads the group.
     fn request_received(&mut self, now: Time, holder: usize, id: u64, request: wire::Request) {
-        let (group, no) = (request.group, request.request_id);
-        let refused = match request.command {
-            Some(command) => self.propose(now, id, group, request.ledger, no, request.importance, command),
+        let (group, request_id) = (request.group, request.request_id);
+        let error = match request.command {
+            Some(command) => {
+                self.propose(now, id, group, request.ledger, request_id, request.importance, command)
+            }
             None => None,
         };
-        if let Some(why) = refused {
+        if let Some(error) = error {
             self.send(
                 holder,
-                Payload::Refusal(wire::Refusal { group, request_id: no, busy: why == ProposeError::Busy }),
+                Payload::Refusal(wire::Refusal { group, request_id, busy: error == ProposeError::Busy }),
                 false,
             );
         }
@@ -585,27 +583,28 @@
             if member.is_leader() {
                 return;
             }
-            let forgot = |id: &u64| {
-                let Some(one) = member.member(*id) else { return false };
-                if self.is_lost(one.holder as usize) {
+            let lost_state = |id: &u64| {
+                let Some(peer_member) = member.member(*id) else { return false };
+                if self.is_lost(peer_member.holder as usize) {
                     return true;
                 }
-                let peers = self.peers.get(one.holder as usize);
-                one.id != member.id && peers.is_some_and(|h| h.lost_state(group, one.run_id, one.id))
+                let peers = self.peers.get(peer_member.holder as usize);
+                peer_member.id != member.id
+                    && peers.is_some_and(|h| h.lost_state(group, peer_member.run_id, peer_member.id))
             };
             // During a joint configuration change both the old and the new configuration need a majority.
             let members = &member.log().conf_state;
-            let halved = |voters: &[u64]| {
-                let left = voters.iter().filter(|v| !forgot(v)).count();
-                !voters.is_empty() && left <= voters.len() / 2
+            let majority_lost = |voters: &[u64]| {
+                let remaining = voters.iter().filter(|v| !lost_state(v)).count();
+                !voters.is_empty() && remaining <= voters.len() / 2
             };
-            let called = !members.voters.is_empty();
-            if halved(&members.voters) || halved(&members.voters_outgoing) {
+            let initialized = !members.voters.is_empty();
+            if majority_lost(&members.voters) || majority_lost(&members.voters_outgoing) {
                 self.totals.lost_majorities += 1;
                 // The outcomes known here are imported into the ledger that follows.
                 self.queue_member_imports(group);
                 self.drop_member(group, "a majority of its group has lost its state");
-            } else if !called && now - slot.since >= REMOVED_MEMBER_TIMEOUT {
+            } else if !initialized && now - slot.since >= REMOVED_MEMBER_TIMEOUT {
                 self.drop_member(group, "it was invited but never added");
             }
             return;
@@ -616,26 +615,26 @@
         if self.leaving || self.disk_failed {
             return;
         }
-        let first = slot.preference.iter().copied().find(|&h| self.is_live(now, h));
+        let preferred = slot.preference.iter().copied().find(|&h| self.is_live(now, h));
         let settled = now - self.started >= self.heartbeat_interval * LIVENESS_HEARTBEATS
             || (0..self.peers.len()).all(|h| self.is_live(now, h) || self.is_lost(h));
-        if first != Some(self.own_index) || !settled {
+        if preferred != Some(self.own_index) || !settled {
             return;
         }
-        let fresh = |at: Time| now - at < GROUP_STATUS_TTL;
+        let is_fresh = |at: Time| now - at < GROUP_STATUS_TTL;
         let statuses: Vec<wire::GroupStatus> =
-            slot.statuses.values().filter(|s| fresh(s.0)).map(|s| s.1).collect();
+            slot.statuses.values().filter(|s| is_fresh(s.0)).map(|s| s.1).collect();
         let known = statuses.iter().any(|h| h.ledger != 0);
-        let own = slot.founder_vote.is_none_or(|(of, until)| of == self.id || until <= now);
-        let backed = statuses.iter().filter(|h| h.supports_founder).count() + 1;
-        let all = (0..self.peers.len()).filter(|&h| !self.is_lost(h)).count();
-        if !known && own && backed > all / 2 {
+        let may_found = slot.founder_vote.is_none_or(|(of, until)| of == self.id || until <= now);
+        let supporters = statuses.iter().filter(|h| h.supports_founder).count() + 1;
+        let eligible = (0..self.peers.len()).filter(|&h| !self.is_lost(h)).count();
+        if !known && may_found && supporters > eligible / 2 {
             return self.found_group(now, group);
         }
-        if now >= slot.next_seek {
+        if now >= slot.next_find_group {
             let slot = &mut self.groups[group as usize];
-            slot.next_seek = now + FIND_GROUP_INTERVAL;
-            if own {
+            slot.next_find_group = now + FIND_GROUP_INTERVAL;
+            if may_found {
                 slot.founder_vote = Some((self.id, now + FOUNDER_VOTE_TTL));
             }
             let request = Payload::FindGroup(wire::FindGroup { group });
@@ -649,17 +648,17 @@
         if self.own_requests.values().any(|g| *g == group) {
             return;
         }
-        let Some(all) = self.pending_imports.get_mut(&group) else { return };
+        let Some(pending) = self.pending_imports.get_mut(&group) else { return };
         let (mut records, mut bytes) = (Vec::new(), 0);
         while let Some(record) =
-            all.pop_front_if(|_| records.len() < MAX_IMPORT_RECORDS && bytes < MAX_IMPORT_BYTES)
+            pending.pop_front_if(|_| records.len() < MAX_IMPORT_RECORDS && bytes < MAX_IMPORT_BYTES)
         {
             bytes += record.end.as_ref().and_then(|e| e.answer.as_ref()).map_or(0, |a| a.body.len());
             if record.ledger != ledger {
                 records.push(record);
             }
         }
-        if all.is_empty() {
+        if pending.is_empty() {
             self.pending_imports.remove(&group);
         }
         if !records.is_empty() {
@@ -804,7 +803,10 @@
     /// Counters of all memberships, including ended ones.
     pub fn counters(&self) -> Counters {
         let mut all = self.ended_counters;
-        self.groups.iter().filter_map(|s| s.member.as_ref()).for_each(|m| add_counters(&mut all, &m.counts));
+        self.groups
+            .iter()
+            .filter_map(|s| s.member.as_ref())
+            .for_each(|m| add_counters(&mut all, &m.counters));
         all
     }
 
@@ -852,10 +854,10 @@
 
 /// The membership that a leader's message invites this gateway to. Vote requests create no membership.
 fn invited_membership(bytes: &[u8]) -> Option<u64> {
-    let leads =
+    let from_leader =
         |kind| matches!(kind, MessageType::MsgAppend | MessageType::MsgHeartbeat | MessageType::MsgSnapshot);
     let message = Message::parse_from_bytes(bytes).ok()?;
-    (leads(message.get_msg_type()) && message.to != 0).then_some(message.to)
+    (from_leader(message.get_msg_type()) && message.to != 0).then_some(message.to)
 }
 
 fn add_counters(all: &mut Counters, more: &Counters) {
--- a/copies/src/placement.rs
+++ b/copies/src/placement.rs
@@ -74,7 +74,7 @@
                 && (!possible || held.values().all(|h| *h <= (n - 1) / 2))
         }
 
-        fn the_loss_of_one_moves_only_its_own_place(zones: Vec<u8>, gone: usize, group: u8) -> bool {
+        fn the_loss_of_a_holder_moves_only_its_own_replicas(zones: Vec<u8>, gone: usize, group: u8) -> bool {
             let holders = holders(&zones[..zones.len().min(40)]);
             if holders.len() < 4 {
                 return true;
--- a/copies/src/storage.rs
+++ b/copies/src/storage.rs
@@ -186,7 +186,7 @@
     }
 
     #[test]
-    fn what_stood_at_the_places_of_new_steps_goes() {
+    fn append_truncates_conflicting_entries() {
         let mut log = LogStorage::bootstrapped(7);
         log.append((2..=5).map(|i| entry(i, 1)).collect());
         log.append(vec![entry(4, 2)]);
@@ -197,7 +197,7 @@
     }
 
     #[test]
-    fn only_what_was_applied_is_let_go_of() {
+    fn only_applied_entries_are_compacted() {
         let mut log = LogStorage::bootstrapped(7);
         log.append((2..=50).map(|i| entry(i, 1)).collect());
         log.compact(10, 0, 0);
