--- a/copies/src/client.rs
+++ b/copies/src/client.rs
@@ -147,7 +147,7 @@
         let changed = before.is_none_or(|b| b.run_id != leader.run_id || b.ready != leader.ready);
         if changed && leader.ready {
             let waiting: Vec<u64> =
-                self.pending.iter().filter(|(_, p)| p.group == group).map(|(a, _)| *a).collect();
+                self.pending.iter().filter(|(_, p)| p.group == group).map(|(id, _)| *id).collect();
             waiting.into_iter().for_each(|request_id| self.transmit(now, request_id));
         }
         before.is_none_or(|b| b.ledger != leader.ledger)
@@ -196,9 +196,9 @@
         });
     }
 
-    pub fn reply_received(&mut self, request_id: u64, outcome: CommandResult) {
+    pub fn reply_received(&mut self, request_id: u64, result: CommandResult) {
         if self.pending.remove(&request_id).is_some() {
-            self.responses.push(Response { request_id, result: Ok(outcome) });
+            self.responses.push(Response { request_id, result: Ok(result) });
         }
     }
 
@@ -225,16 +225,16 @@
 
     pub fn tick(&mut self, now: Time) {
         let expired: Vec<u64> =
-            self.pending.iter().filter(|(_, p)| p.deadline <= now).map(|(a, _)| *a).collect();
+            self.pending.iter().filter(|(_, p)| p.deadline <= now).map(|(id, _)| *id).collect();
         for request_id in expired {
             if let Some(p) = self.pending.remove(&request_id) {
                 self.timed_out += 1;
-                let failed = if p.was_sent { RequestError::Unconfirmed } else { RequestError::NotSent };
-                self.responses.push(Response { request_id, result: Err(failed) });
+                let error = if p.was_sent { RequestError::Unconfirmed } else { RequestError::NotSent };
+                self.responses.push(Response { request_id, result: Err(error) });
             }
         }
         let due = |p: &Pending| p.sent.is_none_or(|(_, at)| now - at >= RETRANSMIT_INTERVAL);
-        let due: Vec<u64> = self.pending.iter().filter(|(_, p)| due(p)).map(|(a, _)| *a).collect();
+        let due: Vec<u64> = self.pending.iter().filter(|(_, p)| due(p)).map(|(id, _)| *id).collect();
         due.into_iter().for_each(|request_id| self.transmit(now, request_id));
     }
 
--- a/copies/src/group.rs
+++ b/copies/src/group.rs
@@ -18,16 +18,19 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Ticks in the minimum election timeout, and between heartbeats.
+/// Ticks in the minimum election timeout.
 const ELECTION_TICKS: usize = 10;
+/// Ticks between heartbeats.
 const HEARTBEAT_TICKS: usize = 2;
-/// Append messages in flight to one member, and the bytes of entries in each.
+/// Append messages in flight to one member.
 const MAX_INFLIGHT_MESSAGES: usize = 256;
+/// Bytes of entries in one append message.
 const MAX_APPEND_BYTES: u64 = 256 * 1024;
 /// A member within this many entries of the leader's last index counters as caught up.
 const CAUGHT_UP_ENTRIES: u64 = 64;
 /// A snapshot that brought no progress by then counters as lost and is sent again.
 const SNAPSHOT_TIMEOUT: Span = Span::from_millis(5_000);
+/// Interval between checks for expired entries.
 const EXPIRY_INTERVAL: Span = Span::from_millis(1_000);
 
 /// A message to another member of the group.
@@ -279,8 +282,8 @@
         if !self.is_ready() {
             return Err(ProposeError::NotLeader);
         }
-        // Accepts and registrations of importance 0 are refused once half of the room is used, more important ones later. Outcomes and
-        // queries are always proposed, since each of them frees room or ends a wait.
+        // Accepts and registrations of importance 0 are refused once half of the room is used, more important ones
+        // later. Outcomes and queries are always proposed, since each of them frees room or ends a wait.
         let share = 0.5 + 0.5 * f64::from(importance.min(9)) / 9.0;
         let needs_room =
             matches!(command.operation, Some(Operation::Accept(_) | Operation::RegisterSender(_)));
--- a/copies/src/machine.rs
+++ b/copies/src/machine.rs
@@ -107,15 +107,15 @@
 }
 
 impl Machine {
-    /// `number`: the ledger's id, new with each founding.
-    pub fn new(bounds: Bounds, number: u64) -> Machine {
+    /// `ledger_id`: the ledger's id, new with each founding.
+    pub fn new(bounds: Bounds, ledger_id: u64) -> Machine {
         Machine {
             bounds,
             time: Time::default(),
             ledger: Ledger::new(bounds, false),
             runner_of: BTreeMap::new(),
             members: BTreeMap::new(),
-            ledger_id: number,
+            ledger_id,
             imported: BTreeMap::new(),
             imported_bytes: 0,
         }
@@ -326,7 +326,7 @@
     }
 
     /// Returns `None` if the bytes are not a valid snapshot.
-    pub fn from_snapshot(bounds: Bounds, number: u64, bytes: &[u8]) -> Option<Machine> {
+    pub fn from_snapshot(bounds: Bounds, ledger_id: u64, bytes: &[u8]) -> Option<Machine> {
         let snapshot = Snapshot::decode(bytes).ok()?;
         let mut runner_of = BTreeMap::new();
         let mut entries: Vec<EntrySnapshot> = Vec::with_capacity(snapshot.entries.len());
@@ -358,7 +358,7 @@
             ledger: Ledger::from_snapshot(bounds, senders, entries),
             runner_of,
             members: snapshot.members.iter().map(|m| (m.id, *m)).collect(),
-            ledger_id: number,
+            ledger_id,
             imported,
             imported_bytes,
         })
--- a/copies/src/node.rs
+++ b/copies/src/node.rs
@@ -30,8 +30,9 @@
 const FOUNDER_VOTE_TTL: Span = Span::from_millis(3_000);
 /// A member that its group no longer lists, or that was invited but never added, is dropped after this time.
 const REMOVED_MEMBER_TIMEOUT: Span = Span::from_millis(3_000);
-/// Limits of one `ImportOutcomes` command: records and bytes of their answers.
+/// Records in one `ImportOutcomes` command.
 const MAX_IMPORT_RECORDS: usize = 128;
+/// Bytes of answers in one `ImportOutcomes` command, beyond which no further record is added.
 const MAX_IMPORT_BYTES: usize = 128 * 1024;
 /// Ended memberships that are remembered. A gateway that reaches this number joins no group any more.
 const MAX_ENDED_MEMBERSHIPS: usize = 65_536;
--- a/copies/src/outcome_log.rs
+++ b/copies/src/outcome_log.rs
@@ -13,11 +13,13 @@
 use std::thread;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Size from which the next file is begun, and the number of files that are kept.
+/// Size from which the next file is begun.
 const MAX_FILE_BYTES: u64 = 8 * 1024 * 1024;
+/// Number of files that are kept.
 const MAX_FILES: usize = 3;
-/// Bounds a record; an answer's body has 240,000 bytes at most.
+/// Maximum size of a record; an answer's body has at most 240,000 bytes.
 const MAX_RECORD_BYTES: usize = 512 * 1024;
+/// Length and checksum.
 const HEADER_BYTES: usize = 4 + 8;
 /// Batches that wait for the disk.
 const MAX_QUEUED_BATCHES: usize = 8_192;
@@ -63,15 +65,15 @@
 impl OutcomeLog {
     /// Reads the existing files and begins a new one.
     pub fn open(folder: &Path) -> Result<(OutcomeLog, Recovered), OutcomeLogError> {
-        let bad = |why| OutcomeLogError { path: folder.to_owned(), why };
-        fs::create_dir_all(folder).map_err(bad)?;
+        let to_error = |why| OutcomeLogError { path: folder.to_owned(), why };
+        fs::create_dir_all(folder).map_err(to_error)?;
         let mut found = Recovered::default();
-        let known = file_numbers(folder).map_err(bad)?;
+        let known = file_numbers(folder).map_err(to_error)?;
         for &number in &known {
-            read(&fs::read(file_path(folder, number)).map_err(bad)?, &mut found);
+            read(&fs::read(file_path(folder, number)).map_err(to_error)?, &mut found);
         }
         let number = known.last().map_or(1, |n| n + 1);
-        let file = create(folder, number).map_err(bad)?;
+        let file = create(folder, number).map_err(to_error)?;
         Ok((OutcomeLog { folder: folder.to_owned(), file, number, bytes: 0 }, found))
     }
 
@@ -83,21 +85,21 @@
     /// Appends the records and syncs them.
     pub fn write<'a>(
         &mut self,
-        notes: impl Iterator<Item = &'a OutcomeRecord>,
+        records: impl Iterator<Item = &'a OutcomeRecord>,
     ) -> Result<(), OutcomeLogError> {
-        let bad = |folder: &Path, why| OutcomeLogError { path: folder.to_owned(), why };
+        let to_error = |folder: &Path, why| OutcomeLogError { path: folder.to_owned(), why };
         let mut bytes = Vec::new();
-        for record_read in notes {
-            let record = record_read.encode_to_vec();
-            bytes.extend((record.len() as u32).to_be_bytes());
-            bytes.extend(xxh3_64(&record).to_be_bytes());
-            bytes.extend(record);
+        for record in records {
+            let encoded = record.encode_to_vec();
+            bytes.extend((encoded.len() as u32).to_be_bytes());
+            bytes.extend(xxh3_64(&encoded).to_be_bytes());
+            bytes.extend(encoded);
         }
         let write = |file: &mut File| file.write_all(&bytes).and_then(|()| file.sync_data());
-        write(&mut self.file).map_err(|e| bad(&self.folder, e))?;
+        write(&mut self.file).map_err(|e| to_error(&self.folder, e))?;
         self.bytes += bytes.len() as u64;
         if self.bytes >= MAX_FILE_BYTES {
-            self.rotate().map_err(|e| bad(&self.folder, e))?;
+            self.rotate().map_err(|e| to_error(&self.folder, e))?;
         }
         Ok(())
     }
@@ -128,11 +130,11 @@
             found.damaged += 1;
             return;
         }
-        let (sum, record) = (&bytes[4..HEADER_BYTES], &bytes[HEADER_BYTES..HEADER_BYTES + length]);
-        let record_read =
-            (xxh3_64(record).to_be_bytes() == *sum).then(|| OutcomeRecord::decode(record).ok()).flatten();
-        match record_read.filter(|n| n.ledger != 0 && n.end.as_ref().is_some_and(|e| e.read().is_some())) {
-            Some(record_read) => found.records.push(record_read),
+        let (sum, encoded) = (&bytes[4..HEADER_BYTES], &bytes[HEADER_BYTES..HEADER_BYTES + length]);
+        let record =
+            (xxh3_64(encoded).to_be_bytes() == *sum).then(|| OutcomeRecord::decode(encoded).ok()).flatten();
+        match record.filter(|n| n.ledger != 0 && n.end.as_ref().is_some_and(|e| e.read().is_some())) {
+            Some(record) => found.records.push(record),
             None => found.damaged += 1,
         }
         bytes = &bytes[HEADER_BYTES + length..];
@@ -147,9 +149,9 @@
 }
 
 impl Writer {
-    pub fn start(mut notes: OutcomeLog) -> io::Result<Writer> {
+    pub fn start(mut log: OutcomeLog) -> io::Result<Writer> {
         let (batches, waiting) = async_channel::bounded::<(u64, Vec<OutcomeRecord>)>(MAX_QUEUED_BATCHES);
-        let (tell, done) = async_channel::unbounded();
+        let (result_sender, completions) = async_channel::unbounded();
         let work = move || {
             while let Ok(first) = waiting.recv_blocking() {
                 let mut all = vec![first];
@@ -157,21 +159,21 @@
                     all.push(more);
                 }
                 let mark = all.last().map_or(0, |last| last.0);
-                let written = notes.write(all.iter().flat_map(|batch| &batch.1));
+                let written = log.write(all.iter().flat_map(|batch| &batch.1));
                 if let Err(why) = &written {
                     ::log::error!("{why}; this gateway gives up its memberships");
                 }
-                if tell.send_blocking((mark, written.is_ok())).is_err() || written.is_err() {
+                if result_sender.send_blocking((mark, written.is_ok())).is_err() || written.is_err() {
                     return;
                 }
             }
         };
         thread::Builder::new().name("notes".to_owned()).spawn(work)?;
-        Ok(Writer { batches, completions: done })
+        Ok(Writer { batches, completions })
     }
 
     /// Returns false if the queue is full or the writer has ended.
-    pub fn write(&self, mark: u64, notes: Vec<OutcomeRecord>) -> bool {
-        self.batches.try_send((mark, notes)).is_ok()
+    pub fn write(&self, mark: u64, records: Vec<OutcomeRecord>) -> bool {
+        self.batches.try_send((mark, records)).is_ok()
     }
 }
--- a/copies/src/settings.rs
+++ b/copies/src/settings.rs
@@ -85,9 +85,10 @@
     pub waiting: usize,
     /// Maximum size of an answer's body. A larger answer is not kept: a later query of the txn returns unknown.
     pub answer_kb: usize,
-    /// Entries and KB of a group's log that are kept for members that are behind; a member that is further behind
-    /// gets a snapshot.
+    /// Entries of a group's log that are kept for members that are behind; a member that is further behind gets a
+    /// snapshot.
     pub log: usize,
+    /// Size of a group's log, in KB, up to which entries are kept for members that are behind.
     pub log_kb: usize,
 }
 
--- a/gateway/src/sites/copies.rs
+++ b/gateway/src/sites/copies.rs
@@ -85,13 +85,13 @@
             .ok_or("gateway: it is not among the holders")?;
         let mut writer = None;
         if let Some(folder) = &file.disk {
-            let (notes, found) = OutcomeLog::open(folder).map_err(|e| format!("disk: {e}"))?;
+            let (log, found) = OutcomeLog::open(folder).map_err(|e| format!("disk: {e}"))?;
             if found.damaged > 0 {
                 log::warn!("skipped {} torn or damaged outcome records", found.damaged);
             }
             log::info!("read {} outcome records from the disk", found.records.len());
             node.recover(found.records);
-            writer = Some(Writer::start(notes).map_err(|e| format!("disk: {e}"))?);
+            writer = Some(Writer::start(log).map_err(|e| format!("disk: {e}"))?);
         }
         let endpoint =
             Endpoint::start(Some(file.listen), &keys.borrow()).map_err(|e| format!("listen: {e}"))?;
@@ -154,9 +154,9 @@
     }
 
     /// Submits a request. The caller must call `flush` after storing the request id.
-    pub fn submit(&self, group: u32, importance: u8, word: Operation) -> u64 {
+    pub fn submit(&self, group: u32, importance: u8, operation: Operation) -> u64 {
         let now = self.context.clock.now();
-        self.node.borrow_mut().submit(now, group, importance.into(), word)
+        self.node.borrow_mut().submit(now, group, importance.into(), operation)
     }
 
     pub fn flush(&self) {
@@ -183,7 +183,7 @@
 
     pub fn sizes(&self) -> Vec<(&'static str, usize)> {
         let node = self.node.borrow();
-        let (t, c, (told_off, unheard)) = (&node.totals, node.counters(), node.failed_requests());
+        let (t, c, (refused, timed_out)) = (&node.totals, node.counters(), node.failed_requests());
         let (led, _) = node.leader_counts(self.context.clock.now());
         let mut all = node.sizes().to_vec();
         all.extend(
@@ -201,8 +201,8 @@
                 ("copies members replaced", c.replaced),
                 ("copies images made", c.snapshots_created),
                 ("copies images taken", c.snapshots_installed),
-                ("copies questions told off", told_off),
-                ("copies questions unheard", unheard),
+                ("copies questions told off", refused),
+                ("copies questions unheard", timed_out),
                 ("copies endings recalled", t.imported),
                 ("copies frames in", t.frames_in),
                 ("copies bytes in", t.bytes_in),
@@ -220,10 +220,10 @@
             let now = self.context.clock.now();
             self.node.borrow_mut().tick(now);
             self.process_outputs();
-            let moved = self.wake.listen();
+            let woken = self.wake.listen();
             let at = self.node.borrow().next_wake().max(now + MIN_SLEEP);
             self.sleeps_until.set(at);
-            self.context.clock.timeout_at(at, moved).await;
+            self.context.clock.timeout_at(at, woken).await;
         }
     }
 
@@ -249,23 +249,23 @@
             match out {
                 Out::Send { holder, frame, is_snapshot } => {
                     let peers = self.peers.borrow();
-                    let way = if is_snapshot { &peers[holder].snapshots } else { &peers[holder].frames };
+                    let queue = if is_snapshot { &peers[holder].snapshots } else { &peers[holder].frames };
                     // The core treats a frame dropped here like one lost by the network.
-                    if way.as_ref().is_none_or(|way| way.try_send(frame).is_err()) {
+                    if queue.as_ref().is_none_or(|queue| queue.try_send(frame).is_err()) {
                         self.context.counters.add("copies frames not sent");
                     }
                 }
                 Out::Write { mark, records } => {
-                    let waits = self.writer.as_ref().is_some_and(|w| w.write(mark, records));
-                    if !waits {
+                    let queued = self.writer.as_ref().is_some_and(|w| w.write(mark, records));
+                    if !queued {
                         self.context.counters.add("copies writes without room");
                         let now = self.context.clock.now();
                         self.node.borrow_mut().write_failed(now);
                     }
                 }
                 // Sending fails only when the process ends.
-                Out::Response(told) => {
-                    _ = self.events.try_send(GroupEvent::Response(told.request_id, told.result))
+                Out::Response(response) => {
+                    _ = self.events.try_send(GroupEvent::Response(response.request_id, response.result))
                 }
                 Out::LedgerChanged { group, ledger } => {
                     _ = self.events.try_send(GroupEvent::LedgerChanged(group, ledger))
@@ -276,10 +276,10 @@
 
     fn with_node<T>(&self, what: impl FnOnce(&mut Node, Time) -> T) -> T {
         let now = self.context.clock.now();
-        let given = what(&mut self.node.borrow_mut(), now);
+        let result = what(&mut self.node.borrow_mut(), now);
         self.process_outputs();
         self.wake_if_earlier(now);
-        given
+        result
     }
 
     /// Keeps a connection to a holder for outgoing frames.
@@ -321,10 +321,10 @@
             return;
         }
         let (frames, waiting) = async_channel::bounded::<Vec<u8>>(MAX_QUEUED_FRAMES);
-        let (images, whole) = async_channel::bounded::<Vec<u8>>(MAX_QUEUED_SNAPSHOTS);
+        let (snapshots, queued_snapshots) = async_channel::bounded::<Vec<u8>>(MAX_QUEUED_SNAPSHOTS);
         let renew = {
             let peer = &mut self.peers.borrow_mut()[holder];
-            (peer.frames, peer.snapshots) = (Some(frames), Some(images));
+            (peer.frames, peer.snapshots) = (Some(frames), Some(snapshots));
             peer.last_heard.set(clock.now());
             Rc::clone(&peer.renew)
         };
@@ -341,12 +341,12 @@
                 }
             }
         };
-        let whole = async {
-            while let Ok(image) = whole.recv().await {
+        let send_snapshots = async {
+            while let Ok(snapshot) = queued_snapshots.recv().await {
                 let Ok((mut send, _recv)) = connection.open_bi().await else { return };
                 // Snapshots have a lower priority than all other streams.
                 _ = send.set_priority(0);
-                let bytes = length_prefixed(&image);
+                let bytes = length_prefixed(&snapshot);
                 for slice in bytes.chunks(CHUNK_BYTES) {
                     if quic::write(&mut send, slice).await.is_err() {
                         return;
@@ -367,7 +367,7 @@
         };
         let closed = async { _ = connection.closed().await };
         let over = future::or(silent, future::or(closed, renewed));
-        future::or(over, future::or(write, whole)).await;
+        future::or(over, future::or(write, send_snapshots)).await;
     }
 
     async fn accept(self: Rc<Self>) {
@@ -394,7 +394,7 @@
     /// Receives a holder's frames until its connection ends.
     async fn receive(self: &Rc<Self>, incoming: Incoming) -> Result<(), String> {
         let clock = self.context.clock;
-        let begun = async {
+        let accepted = async {
             let connection = incoming.await.map_err(|e| e.to_string())?;
             if !quic::certifies_site(&connection, &self.site) {
                 return Err("the peer's certificate is not for this site".to_owned());
@@ -404,8 +404,8 @@
             Ok((connection, recv, first))
         };
         // A peer that gave up before its first frame is not reported as an error.
-        let Some(begun) = clock.timeout(CONNECT_TIMEOUT * 2.0, begun).await else { return Ok(()) };
-        let (connection, mut recv, first) = begun?;
+        let Some(accepted) = clock.timeout(CONNECT_TIMEOUT * 2.0, accepted).await else { return Ok(()) };
+        let (connection, mut recv, first) = accepted?;
         let known = self.peers.borrow().len();
         let (holder, id) = self.with_node(|node, now| node.hello_received(now, &first))?;
         debug_assert!(holder < known);
@@ -425,25 +425,25 @@
                 self.with_node(|node, now| node.frame_received(now, holder, id, &frame));
             }
         };
-        let images = async {
+        let snapshots = async {
             while let Ok((_, mut recv)) = connection.accept_bi().await {
-                if let Some(image) = read_frame(&mut recv, MAX_SNAPSHOT_BYTES).await {
-                    self.with_node(|node, now| node.frame_received(now, holder, id, &image));
+                if let Some(snapshot) = read_frame(&mut recv, MAX_SNAPSHOT_BYTES).await {
+                    self.with_node(|node, now| node.frame_received(now, holder, id, &snapshot));
                 }
             }
         };
-        future::or(frames, images).await;
+        future::or(frames, snapshots).await;
         quic::close(&connection, "it ended");
         Ok(())
     }
 }
 
 /// The next frame; `None` at the end of the stream, or if the frame is too long.
-async fn read_frame(stream: &mut RecvStream, most: usize) -> Option<Vec<u8>> {
+async fn read_frame(stream: &mut RecvStream, max_bytes: usize) -> Option<Vec<u8>> {
     let mut length = [0; 4];
     stream.read_exact(&mut length).await.ok()?;
     let length = u32::from_be_bytes(length) as usize;
-    if length > most {
+    if length > max_bytes {
         return None;
     }
     let mut bytes = Vec::new();
