--- a/copies/src/machine.rs
+++ b/copies/src/machine.rs
@@ -1,9 +1,11 @@
-//! The replicated ledger: what each member of a group makes of the same steps. Holds the ledger of `kelpcart-sites`,
-//! which gateway runs what, the names behind the members' ids, and what is known of ledgers that lost their majority: of
-//! those it tells only how something ended, never that it was not taken. Must give the same from the same steps in every
-//! process: no clock, no chance, no order of a hash map.
+//! The replicated state machine: the ledger of `kelpcart-sites`, the run id that runs each txn, the group's members,
+//! and the outcomes imported from earlier ledgers that lost their majority. Of those ledgers it knows only how txns
+//! ended, never that a txn was not accepted.
+//!
+//! Invariant: the same log gives the same state in every process, so nothing here depends on a clock, on random
+//! numbers or on the order of a hash map.
 
-use crate::command::{End, Find, Kept, Note, Outcome, Word};
+use crate::command::{CommandResult, EndTxn, Operation, OutcomeRecord, Query, StoredAnswer};
 use kelpcart::{Span, Time};
 use kelpcart_sites::ledger::{Admission, Answer, Bounds, EntrySnapshot, EntryState, Key, Ledger, Lookup};
 use prost::Message;
@@ -13,30 +15,30 @@
 #[derive(Debug)]
 pub struct Machine {
     bounds: Bounds,
-    /// The group's own time as of the last step.
-    at: Time,
+    /// The group's time as of the last log entry.
+    time: Time,
     ledger: Ledger,
-    /// Which start of a gateway runs what.
-    runs: BTreeMap<Key, u64>,
-    /// Each member by its id: the start of a holder that it is.
+    /// The run id of the gateway that runs each txn.
+    runner_of: BTreeMap<Key, u64>,
+    /// The members by membership id.
     pub members: BTreeMap<u64, Member>,
-    /// This ledger's own number.
-    number: u64,
-    /// By ledger: endings of txns that others had taken, since when they are known here; none where one was asked about
-    /// and not known, which stays so.
-    recalled: BTreeMap<(u64, Key), Known>,
-    recalled_bytes: usize,
+    /// The id of this ledger.
+    ledger_id: u64,
+    /// Outcomes of txns that earlier ledgers had accepted, by ledger and key. `None` marks a txn that was queried
+    /// while unknown, which stays unknown.
+    imported: BTreeMap<(u64, Key), Imported>,
+    imported_bytes: usize,
 }
 
-/// Since when, and how it ended.
-type Known = (Time, Option<Arc<Answer>>);
+/// When the outcome became known here, and the outcome.
+type Imported = (Time, Option<Arc<Answer>>);
 
-/// A ledger younger than this may still hear what others knew: so long it does not say that something is unknown.
-const YOUNG: Span = Span::from_millis(2_000);
+/// A ledger younger than this may still import outcomes, so it does not report a txn as unknown yet.
+const IMPORT_GRACE: Span = Span::from_millis(2_000);
 
-/// All of it, as it goes to a member that is too far behind for the steps.
+/// The whole state, for a member that is behind the start of the log.
 #[derive(Clone, PartialEq, Message)]
-struct Image {
+struct Snapshot {
     #[prost(uint64, tag = "1")]
     at_us: u64,
     #[prost(message, repeated, tag = "2")]
@@ -46,15 +48,15 @@
     #[prost(message, repeated, tag = "4")]
     members: Vec<Member>,
     #[prost(message, repeated, tag = "5")]
-    recalled: Vec<Recalled>,
+    imported: Vec<ImportedOutcome>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct Recalled {
+struct ImportedOutcome {
     #[prost(uint64, tag = "1")]
     at_us: u64,
     #[prost(message, optional, tag = "2")]
-    note: Option<Note>,
+    note: Option<OutcomeRecord>,
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -64,7 +66,7 @@
     #[prost(uint64, tag = "2")]
     floor: u64,
     #[prost(uint64, tag = "3")]
-    heard_us: u64,
+    last_seen_us: u64,
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -78,9 +80,9 @@
     #[prost(enumeration = "State", tag = "4")]
     state: i32,
     #[prost(fixed64, tag = "5")]
-    run: u64,
+    run_id: u64,
     #[prost(message, optional, tag = "6")]
-    answer: Option<Kept>,
+    answer: Option<StoredAnswer>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
@@ -94,197 +96,203 @@
 
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct Member {
-    /// New with each time that it is let in: what an earlier membership was sent, or voted, is none of this one's.
+    /// New with each admission to the group, so that messages and votes of an earlier membership do not apply to this
+    /// one.
     #[prost(fixed64, tag = "1")]
     pub id: u64,
     #[prost(uint32, tag = "2")]
     pub holder: u32,
     #[prost(fixed64, tag = "3")]
-    pub run: u64,
+    pub run_id: u64,
 }
 
 impl Machine {
-    /// `number`: of the ledger, new with each founding.
-    pub fn new(bounds: Bounds, number: u64) -> Machine {
+    /// `ledger_id`: the ledger's id, new with each founding.
+    pub fn new(bounds: Bounds, ledger_id: u64) -> Machine {
         Machine {
             bounds,
-            at: Time::default(),
+            time: Time::default(),
             ledger: Ledger::new(bounds, false),
-            runs: BTreeMap::new(),
+            runner_of: BTreeMap::new(),
             members: BTreeMap::new(),
-            number,
-            recalled: BTreeMap::new(),
-            recalled_bytes: 0,
+            ledger_id,
+            imported: BTreeMap::new(),
+            imported_bytes: 0,
         }
     }
 
-    pub fn at(&self) -> Time {
-        self.at
+    pub fn time(&self) -> Time {
+        self.time
     }
 
-    /// `run`: the start of the gateway that asks.
-    pub fn apply(&mut self, at: Time, run: u64, word: &Word) -> Outcome {
-        // Guards against a leader whose steps were stamped before the last one's: time never goes back here.
-        self.at = self.at.max(at);
-        let now = self.at;
-        match word {
-            Word::Greet(g) => Outcome::Greeted(self.ledger.register(now, g.sender, g.fresh)),
-            Word::Take(n) => self.take(now, run, (*n).into()),
-            Word::End(end) => {
-                let Some((key, answer)) = end.read() else { return Outcome::Unknown };
-                if end.of != 0 && end.of != self.number {
-                    return self.recall(now, end.of, key, answer);
+    /// Applies a command. `run_id`: the start of the gateway that submitted it.
+    pub fn apply(&mut self, at: Time, run_id: u64, operation: &Operation) -> CommandResult {
+        // A new leader's time may be behind the last entry's: the group's time never goes back.
+        self.time = self.time.max(at);
+        let now = self.time;
+        match operation {
+            Operation::RegisterSender(g) => {
+                CommandResult::Registered(self.ledger.register(now, g.sender, g.next_number))
+            }
+            Operation::Accept(n) => self.accept(now, run_id, (*n).into()),
+            Operation::End(end) => {
+                let Some((key, answer)) = end.read() else { return CommandResult::Unknown };
+                if end.ledger != 0 && end.ledger != self.ledger_id {
+                    return self.import(now, end.ledger, key, answer);
                 }
-                self.end(now, run, key, Arc::new(answer))
+                self.end(now, run_id, key, Arc::new(answer))
             }
-            Word::Find(find) => self.find(now, find),
-            Word::Recall(recall) => {
-                for note in &recall.notes {
-                    if let Some((key, answer)) = note.end.as_ref().and_then(End::read) {
-                        self.recall(now, note.ledger, key, answer);
+            Operation::Query(find) => self.query(now, find),
+            Operation::ImportOutcomes(recall) => {
+                for record in &recall.records {
+                    if let Some((key, answer)) = record.end.as_ref().and_then(EndTxn::read) {
+                        self.import(now, record.ledger, key, answer);
                     }
                 }
-                Outcome::Noted
+                CommandResult::Recorded
             }
-            Word::Settle(n) => {
+            Operation::Settle(n) => {
                 self.ledger.settle(n.sender, n.number);
-                self.drop_runs();
-                Outcome::Noted
+                self.drop_settled_runners();
+                CommandResult::Recorded
             }
-            Word::Lost(gone) => {
-                let keys: Vec<Key> = self.runs.iter().filter(|(_, r)| *r == gone).map(|(k, _)| *k).collect();
+            Operation::RunnerLost(gone) => {
+                let keys: Vec<Key> =
+                    self.runner_of.iter().filter(|(_, r)| *r == gone).map(|(k, _)| *k).collect();
                 for key in keys {
                     self.ledger.mark_lost(now, key);
-                    self.runs.remove(&key);
+                    self.runner_of.remove(&key);
                 }
-                Outcome::Noted
+                CommandResult::Recorded
             }
-            Word::Expire(_) => {
+            Operation::Expire(_) => {
                 self.ledger.expire(now);
                 let old = |at: Time| now - at >= self.bounds.age;
                 let gone: usize = self
-                    .recalled
+                    .imported
                     .values()
                     .filter(|r| old(r.0))
                     .map(|r| r.1.as_ref().map_or(0, |a| a.body.len()))
                     .sum();
-                self.recalled_bytes -= gone;
-                self.recalled.retain(|_, r| now - r.0 < self.bounds.age);
-                Outcome::Noted
+                self.imported_bytes -= gone;
+                self.imported.retain(|_, r| now - r.0 < self.bounds.age);
+                CommandResult::Recorded
             }
         }
     }
 
-    fn find(&mut self, now: Time, find: &Find) -> Outcome {
-        let Some(key) = find.key.map(Key::from) else { return Outcome::Unknown };
-        if find.of != 0 && find.of != self.number {
-            // That it was not taken by a ledger that is gone nobody can say.
-            let known = self.recalled.get(&(find.of, key)).map(|r| r.1.clone());
+    fn query(&mut self, now: Time, find: &Query) -> CommandResult {
+        let Some(key) = find.key.map(Key::from) else { return CommandResult::Unknown };
+        if find.ledger != 0 && find.ledger != self.ledger_id {
+            // That an earlier ledger did not accept the txn can't be proven any more.
+            let known = self.imported.get(&(find.ledger, key)).map(|r| r.1.clone());
             return match known {
-                Some(Some(answer)) => Outcome::Ended(answer),
-                None if now - Time::default() < YOUNG => Outcome::Running,
+                Some(Some(answer)) => CommandResult::Ended(answer),
+                None if now - Time::default() < IMPORT_GRACE => CommandResult::Running,
                 _ => {
-                    if self.recalled.len() < self.bounds.entries {
-                        self.recalled.entry((find.of, key)).or_insert((now, None));
+                    if self.imported.len() < self.bounds.entries {
+                        self.imported.entry((find.ledger, key)).or_insert((now, None));
                     }
-                    Outcome::Unknown
+                    CommandResult::Unknown
                 }
             };
         }
         match self.ledger.lookup(now, key) {
-            Lookup::NeverAccepted => Outcome::NeverTaken,
-            Lookup::Running => Outcome::Running,
-            Lookup::Ended(answer) => Outcome::Ended(answer),
-            Lookup::Unknown => Outcome::Unknown,
+            Lookup::NeverAccepted => CommandResult::NeverAccepted,
+            Lookup::Running => CommandResult::Running,
+            Lookup::Ended(answer) => CommandResult::Ended(answer),
+            Lookup::Unknown => CommandResult::Unknown,
         }
     }
 
-    /// How a txn ended that another ledger had taken.
-    fn recall(&mut self, now: Time, ledger: u64, key: Key, answer: Answer) -> Outcome {
-        if ledger == self.number {
-            return Outcome::TooLate;
+    /// Records the outcome of a txn that another ledger had accepted.
+    fn import(&mut self, now: Time, ledger: u64, key: Key, answer: Answer) -> CommandResult {
+        if ledger == self.ledger_id {
+            return CommandResult::TooLate;
         }
-        if let Some((_, known)) = self.recalled.get(&(ledger, key)) {
+        if let Some((_, known)) = self.imported.get(&(ledger, key)) {
             let same = known.as_deref() == Some(&answer);
-            return if same { Outcome::Noted } else { Outcome::TooLate };
+            return if same { CommandResult::Recorded } else { CommandResult::TooLate };
         }
-        let bytes = self.recalled_bytes + answer.body.len();
-        if self.recalled.len() >= self.bounds.entries || bytes > self.bounds.bytes {
-            return Outcome::TooLate;
+        let bytes = self.imported_bytes + answer.body.len();
+        if self.imported.len() >= self.bounds.entries || bytes > self.bounds.bytes {
+            return CommandResult::TooLate;
         }
-        self.recalled_bytes = bytes;
-        self.recalled.insert((ledger, key), (now, Some(Arc::new(answer))));
-        Outcome::Noted
+        self.imported_bytes = bytes;
+        self.imported.insert((ledger, key), (now, Some(Arc::new(answer))));
+        CommandResult::Recorded
     }
 
-    /// All endings known here, for a ledger that follows this one.
-    pub fn endings(&self) -> Vec<Note> {
+    /// All outcomes known here, for import by the next ledger.
+    pub fn outcome_records(&self) -> Vec<OutcomeRecord> {
         let (_, entries) = self.ledger.snapshot();
-        let own = entries.into_iter().filter_map(|(key, _, stand)| match stand {
-            EntryState::Ended(answer) => Some(Note { ledger: self.number, end: Some(End::of(key, &answer)) }),
+        let own = entries.into_iter().filter_map(|(key, _, state)| match state {
+            EntryState::Ended(answer) => {
+                Some(OutcomeRecord { ledger: self.ledger_id, end: Some(EndTxn::new(key, &answer)) })
+            }
             _ => None,
         });
-        let others = self.recalled.iter();
+        let others = self.imported.iter();
         let others = others.filter_map(|((ledger, key), (_, answer))| {
-            Some(Note { ledger: *ledger, end: Some(End::of(*key, answer.as_ref()?)) })
+            Some(OutcomeRecord { ledger: *ledger, end: Some(EndTxn::new(*key, answer.as_ref()?)) })
         });
         own.chain(others).collect()
     }
 
-    fn take(&mut self, now: Time, run: u64, key: Key) -> Outcome {
+    fn accept(&mut self, now: Time, run_id: u64, key: Key) -> CommandResult {
         match self.ledger.accept(now, key) {
             Admission::New => {
-                self.runs.insert(key, run);
-                Outcome::Go
+                self.runner_of.insert(key, run_id);
+                CommandResult::Granted
             }
-            // The same question again, since its first answer was lost.
-            Admission::Running if self.runs.get(&key) == Some(&run) => Outcome::Go,
-            Admission::Running => Outcome::Running,
-            Admission::Ended(answer) => Outcome::Ended(answer),
-            Admission::Full => Outcome::Full,
-            Admission::Fenced => Outcome::NeverTaken,
-            Admission::Forgotten => Outcome::Unknown,
+            // The request was sent again because its first reply was lost.
+            Admission::Running if self.runner_of.get(&key) == Some(&run_id) => CommandResult::Granted,
+            Admission::Running => CommandResult::Running,
+            Admission::Ended(answer) => CommandResult::Ended(answer),
+            Admission::Full => CommandResult::Full,
+            Admission::Fenced => CommandResult::NeverAccepted,
+            Admission::Forgotten => CommandResult::Unknown,
         }
     }
 
-    /// Only who runs it can end it, and only once.
-    fn end(&mut self, now: Time, run: u64, key: Key, answer: Arc<Answer>) -> Outcome {
-        if self.runs.get(&key) == Some(&run) {
-            self.runs.remove(&key);
+    /// Only the gateway that runs a txn can end it, and only once.
+    fn end(&mut self, now: Time, run_id: u64, key: Key, answer: Arc<Answer>) -> CommandResult {
+        if self.runner_of.get(&key) == Some(&run_id) {
+            self.runner_of.remove(&key);
             self.ledger.finish(now, key, &answer);
-            return Outcome::Noted;
+            return CommandResult::Recorded;
         }
         match self.ledger.previous_admission(now, key) {
-            Some(Admission::Ended(kept)) if kept == answer => Outcome::Noted,
-            _ => Outcome::TooLate,
+            Some(Admission::Ended(kept)) if kept == answer => CommandResult::Recorded,
+            _ => CommandResult::TooLate,
         }
     }
 
-    /// What was settled is nobody's any more.
-    fn drop_runs(&mut self) {
+    /// Drops the runners of settled txns.
+    fn drop_settled_runners(&mut self) {
         let ledger = &self.ledger;
-        self.runs.retain(|key, _| ledger.is_running(*key));
+        self.runner_of.retain(|key, _| ledger.is_running(*key));
     }
 
-    /// Starts of gateways that run something, and how much.
+    /// The run ids that run txns, with the number of txns each.
     pub fn runners(&self) -> BTreeMap<u64, usize> {
         let mut all = BTreeMap::new();
-        self.runs.values().for_each(|run| *all.entry(*run).or_default() += 1);
+        self.runner_of.values().for_each(|run_id| *all.entry(*run_id).or_default() += 1);
         all
     }
 
-    /// Whether `Expire` would let something go by then.
-    pub fn has_old(&self, at: Time) -> bool {
-        self.ledger.has_expired(at) || self.recalled.values().any(|r| at - r.0 >= self.bounds.age)
+    /// Whether `Expire` would remove anything at this time.
+    pub fn has_expired(&self, at: Time) -> bool {
+        self.ledger.has_expired(at) || self.imported.values().any(|r| at - r.0 >= self.bounds.age)
     }
 
-    pub fn image(&self) -> Vec<u8> {
+    pub fn snapshot(&self) -> Vec<u8> {
         let (senders, entries) = self.ledger.snapshot();
-        let sender = |s: (u64, u64, Time)| Sender { sender: s.0, floor: s.1, heard_us: s.2.as_micros() };
-        let entry = |(key, at, stand): (Key, Time, EntryState)| {
-            let (state, answer) = match stand {
+        let sender = |s: (u64, u64, Time)| Sender { sender: s.0, floor: s.1, last_seen_us: s.2.as_micros() };
+        let entry = |(key, at, state): (Key, Time, EntryState)| {
+            let (state, answer) = match state {
                 EntryState::Running => (State::Running, None),
-                EntryState::Ended(answer) => (State::Ended, Some(Kept::from(&*answer))),
+                EntryState::Ended(answer) => (State::Ended, Some(StoredAnswer::from(&*answer))),
                 EntryState::Lost => (State::Lost, None),
                 EntryState::Fenced => (State::Fenced, None),
             };
@@ -293,69 +301,72 @@
                 number: key.number,
                 at_us: at.as_micros(),
                 state: state as i32,
-                run: self.runs.get(&key).copied().unwrap_or(0),
+                run_id: self.runner_of.get(&key).copied().unwrap_or(0),
                 answer,
             }
         };
-        let recalled = |((ledger, key), (at, answer)): (&(u64, Key), &Known)| {
-            // Without an answer: only the key.
+        let imported = |((ledger, key), (at, answer)): (&(u64, Key), &Imported)| {
+            // An unknown outcome is stored as its key alone.
             let end = answer
                 .as_ref()
-                .map_or(End { key: Some((*key).into()), ..End::default() }, |a| End::of(*key, a));
-            Recalled { at_us: at.as_micros(), note: Some(Note { ledger: *ledger, end: Some(end) }) }
+                .map_or(EndTxn { key: Some((*key).into()), ..EndTxn::default() }, |a| EndTxn::new(*key, a));
+            ImportedOutcome {
+                at_us: at.as_micros(),
+                note: Some(OutcomeRecord { ledger: *ledger, end: Some(end) }),
+            }
         };
-        let image = Image {
-            at_us: self.at.as_micros(),
+        let snapshot = Snapshot {
+            at_us: self.time.as_micros(),
             senders: senders.into_iter().map(sender).collect(),
             entries: entries.into_iter().map(entry).collect(),
             members: self.members.values().copied().collect(),
-            recalled: self.recalled.iter().map(recalled).collect(),
+            imported: self.imported.iter().map(imported).collect(),
         };
-        image.encode_to_vec()
+        snapshot.encode_to_vec()
     }
 
-    /// `None`: it is no image of ours, and nothing of it was taken in.
-    pub fn from_image(bounds: Bounds, number: u64, bytes: &[u8]) -> Option<Machine> {
-        let image = Image::decode(bytes).ok()?;
-        let mut runs = BTreeMap::new();
-        let mut entries: Vec<EntrySnapshot> = Vec::with_capacity(image.entries.len());
-        for e in image.entries {
+    /// Returns `None` if the bytes are not a valid snapshot.
+    pub fn from_snapshot(bounds: Bounds, ledger_id: u64, bytes: &[u8]) -> Option<Machine> {
+        let snapshot = Snapshot::decode(bytes).ok()?;
+        let mut runner_of = BTreeMap::new();
+        let mut entries: Vec<EntrySnapshot> = Vec::with_capacity(snapshot.entries.len());
+        for e in snapshot.entries {
             let key = Key { sender: e.sender, number: e.number };
-            let stand = match State::try_from(e.state).ok()? {
+            let state = match State::try_from(e.state).ok()? {
                 State::Running => {
-                    runs.insert(key, e.run);
+                    runner_of.insert(key, e.run_id);
                     EntryState::Running
                 }
                 State::Ended => EntryState::Ended(Arc::new(e.answer?.answer()?)),
                 State::Lost => EntryState::Lost,
                 State::Fenced => EntryState::Fenced,
             };
-            entries.push((key, Time::from_micros(e.at_us), stand));
+            entries.push((key, Time::from_micros(e.at_us), state));
         }
-        let (mut recalled, mut recalled_bytes) = (BTreeMap::new(), 0);
-        for one in image.recalled {
-            let note = one.note?;
-            let end = note.end?;
+        let (mut imported, mut imported_bytes) = (BTreeMap::new(), 0);
+        for one in snapshot.imported {
+            let record = one.note?;
+            let end = record.end?;
             let answer = end.read().map(|(_, answer)| Arc::new(answer));
-            recalled_bytes += answer.as_ref().map_or(0, |a| a.body.len());
-            recalled.insert((note.ledger, end.key?.into()), (Time::from_micros(one.at_us), answer));
+            imported_bytes += answer.as_ref().map_or(0, |a| a.body.len());
+            imported.insert((record.ledger, end.key?.into()), (Time::from_micros(one.at_us), answer));
         }
-        let senders = image.senders.iter().map(|s| (s.sender, s.floor, Time::from_micros(s.heard_us)));
+        let senders = snapshot.senders.iter().map(|s| (s.sender, s.floor, Time::from_micros(s.last_seen_us)));
         Some(Machine {
             bounds,
-            at: Time::from_micros(image.at_us),
+            time: Time::from_micros(snapshot.at_us),
             ledger: Ledger::from_snapshot(bounds, senders, entries),
-            runs,
-            members: image.members.iter().map(|m| (m.id, *m)).collect(),
-            number,
-            recalled,
-            recalled_bytes,
+            runner_of,
+            members: snapshot.members.iter().map(|m| (m.id, *m)).collect(),
+            ledger_id,
+            imported,
+            imported_bytes,
         })
     }
 
-    /// Takes an image's place, or stays as it is where that can't be read.
+    /// Replaces the state with a snapshot's. Returns false and changes nothing if the snapshot is invalid.
     pub fn restore(&mut self, bytes: &[u8]) -> bool {
-        let read = Machine::from_image(self.bounds, self.number, bytes);
+        let read = Machine::from_snapshot(self.bounds, self.ledger_id, bytes);
         read.map(|machine| *self = machine).is_some()
     }
 
@@ -372,12 +383,12 @@
     }
 
     pub fn running(&self) -> usize {
-        self.runs.len()
+        self.runner_of.len()
     }
 
-    /// Endings known of ledgers that lost their majority.
-    pub fn recalled(&self) -> usize {
-        self.recalled.len()
+    /// Imported outcomes of earlier ledgers.
+    pub fn imported(&self) -> usize {
+        self.imported.len()
     }
 }
 
--- a/gateway/src/sites/acceptor.rs
+++ b/gateway/src/sites/acceptor.rs
@@ -3,7 +3,7 @@
 //!
 //! Invariant: a request goes to the dispatcher only when the core says so, and is answered only once.
 
-use super::copies::{Copies, Heard};
+use super::copies::{Copies, GroupEvent};
 use super::{Frame, LinkContext, MIN_SLEEP, random_id, write_frames};
 use crate::buffers::Body;
 use crate::counters::CountGuard;
@@ -12,8 +12,8 @@
 use event_listener::Event as Wakeup;
 use futures_lite::future;
 use kelpcart::{Span, Time};
-use kelpcart_copies::client::{self, Failed};
-use kelpcart_copies::command::{Greet, Number, Outcome, Word as Command};
+use kelpcart_copies::client::{self, RequestError};
+use kelpcart_copies::command::{CommandResult, Operation, RegisterSender, TxnKey};
 use kelpcart_sites::acceptor::{
     AcceptResult, Acceptor, Call, RefusalReason, RequestMeta, SessionAction, SessionId,
 };
@@ -87,7 +87,7 @@
         context: &LinkContext,
         settings: &Rc<Sites>,
         endpoint: &Endpoint,
-        copies: Option<(Rc<Copies>, Receiver<Heard>)>,
+        copies: Option<(Rc<Copies>, Receiver<GroupEvent>)>,
     ) -> Result<Rc<AcceptorDriver>, String> {
         let mut core = Acceptor::new(settings, context.clock.now());
         let (copies, events) = copies.unzip();
@@ -168,43 +168,43 @@
     }
 
     /// Handles events from the replicas.
-    async fn handle_replica_events(self: Rc<Self>, events: Receiver<Heard>) {
+    async fn handle_replica_events(self: Rc<Self>, events: Receiver<GroupEvent>) {
         while let Ok(event) = events.recv().await {
             match event {
-                Heard::Ledger(group, ledger) => {
+                GroupEvent::LedgerChanged(group, ledger) => {
                     let Some(copies) = &self.copies else { return };
                     self.with_core(|core, now| {
                         core.replica_ledger_changed(now, ledger, |sender| copies.group_of(sender) == group)
                     });
                 }
-                Heard::Told(query, result) => self.handle_replica_answer(query, result),
+                GroupEvent::Response(query, result) => self.handle_replica_answer(query, result),
             }
             self.wakeup.notify(1);
         }
     }
 
-    fn handle_replica_answer(&self, query: u64, result: Result<Outcome, Failed>) {
+    fn handle_replica_answer(&self, query: u64, result: Result<CommandResult, RequestError>) {
         let Some(purpose) = self.replica_queries.borrow_mut().remove(&query) else { return };
         match purpose {
             QueryPurpose::RegisterSender(session, group) => {
-                let registered = result == Ok(Outcome::Greeted(true));
+                let registered = result == Ok(CommandResult::Registered(true));
                 let ledger = self.copies.as_ref().and_then(|c| c.ledger(group)).filter(|_| registered);
                 self.with_core(|core, now| core.sender_registered(now, session, ledger));
             }
             QueryPurpose::ReplicateAccept(call, asked_at) => {
                 let now = self.context.clock.now();
-                let accept_result = client::taken(result, asked_at, now, self.lease());
+                let accept_result = client::accept_result(result, asked_at, now, self.lease());
                 if accept_result == AcceptResult::NotAccepted {
                     self.context.counters.add("far requests told off for want of copies");
                 }
                 self.with_core(|core, now| core.accept_replicated(now, call, accept_result));
             }
             QueryPurpose::ReplicateOutcome(Some(call)) => {
-                let recorded = result == Ok(Outcome::Noted);
+                let recorded = result == Ok(CommandResult::Recorded);
                 self.with_core(|core, now| core.outcome_replicated(now, call, recorded));
             }
             QueryPurpose::QueryReplicas(session, hop) => {
-                let status = client::found(result);
+                let status = client::lookup_result(result);
                 self.with_core(|core, now| core.replica_status(now, session, hop, status));
             }
             QueryPurpose::ReplicateOutcome(None) | QueryPurpose::ReplicateSettle => {}
@@ -213,21 +213,21 @@
 
     /// How long after its request a gateway may act on its permission to run a txn.
     fn lease(&self) -> Span {
-        self.copies.as_ref().map_or(Span::ZERO, |copies| copies.right())
+        self.copies.as_ref().map_or(Span::ZERO, |copies| copies.accept_lease())
     }
 
     fn query_replicas(
         &self,
         sender: u64,
         importance: u8,
-        command: Command,
+        command: Operation,
         purpose: impl FnOnce(u32) -> QueryPurpose,
     ) {
         let Some(copies) = &self.copies else { return };
         let group = copies.group_of(sender);
-        let query = copies.ask(group, importance, command);
+        let query = copies.submit(group, importance, command);
         self.replica_queries.borrow_mut().insert(query, purpose(group));
-        copies.kick();
+        copies.flush();
     }
 
     /// Passes an event to the core and carries out the resulting actions.
@@ -317,33 +317,37 @@
                     self.control(session, wire::encode(Message::Ledger(ledger)).into());
                 }
                 SessionAction::RegisterSender { session, sender, next_number } => {
-                    let command = Command::Greet(Greet { sender, fresh: next_number });
+                    let command = Operation::RegisterSender(RegisterSender { sender, next_number });
                     self.query_replicas(sender, 9, command, |group| {
                         QueryPurpose::RegisterSender(session, group)
                     });
                 }
                 SessionAction::ReplicateAccept { call, key, importance } => {
-                    self.query_replicas(key.sender, importance, Command::take(key), |_| {
+                    self.query_replicas(key.sender, importance, Operation::accept(key), |_| {
                         QueryPurpose::ReplicateAccept(call, now)
                     });
                 }
                 SessionAction::ReplicateOutcome { call, key, answer, ledger } => {
-                    let max_bytes = self.copies.as_ref().map_or(0, |copies| copies.most_answer());
+                    let max_bytes = self.copies.as_ref().map_or(0, |copies| copies.max_answer_bytes());
                     let command = if answer.body.len() > max_bytes {
                         self.context.counters.add("far answers too long to be kept");
-                        Command::end(key, &Answer { outcome: TxnOutcome::Aborted, body: Vec::new() }, ledger)
+                        Operation::end(
+                            key,
+                            &Answer { outcome: TxnOutcome::Aborted, body: Vec::new() },
+                            ledger,
+                        )
                     } else {
-                        Command::end(key, &answer, ledger)
+                        Operation::end(key, &answer, ledger)
                     };
                     self.query_replicas(key.sender, 9, command, |_| QueryPurpose::ReplicateOutcome(call));
                 }
                 SessionAction::QueryReplicas { session, key, ledger } => {
-                    self.query_replicas(key.sender, 9, Command::find(key, ledger), |_| {
+                    self.query_replicas(key.sender, 9, Operation::query(key, ledger), |_| {
                         QueryPurpose::QueryReplicas(session, (key, ledger))
                     });
                 }
                 SessionAction::ReplicateSettle { sender, below } => {
-                    let command = Command::Settle(Number { sender, number: below });
+                    let command = Operation::Settle(TxnKey { sender, number: below });
                     self.query_replicas(sender, 0, command, |_| QueryPurpose::ReplicateSettle);
                 }
                 SessionAction::Persist { seq, changes } => {
