--- a/copies/src/group.rs
+++ b/copies/src/group.rs
@@ -26,9 +26,9 @@
 const MAX_INFLIGHT_MESSAGES: usize = 256;
 /// Bytes of entries in one append message.
 const MAX_APPEND_BYTES: u64 = 256 * 1024;
-/// A member within this many entries of the leader's last index counters as caught up.
+/// A member within this many entries of the leader's last index counts as caught up.
 const CAUGHT_UP_ENTRIES: u64 = 64;
-/// A snapshot that brought no progress by then counters as lost and is sent again.
+/// A snapshot that brought no progress by then counts as lost and is sent again.
 const SNAPSHOT_TIMEOUT: Span = Span::from_millis(5_000);
 /// Interval between checks for expired entries.
 const EXPIRY_INTERVAL: Span = Span::from_millis(1_000);
@@ -529,7 +529,7 @@
             let messages = self.unpersisted.pop_front().map(|u| u.2).unwrap_or_default();
             self.queue_messages(now, messages);
         }
-        // While a snapshot waits for earlier writes, the library counters fewer entries as persisted than are applied
+        // While a snapshot waits for earlier writes, the library counts fewer entries as persisted than are applied
         // here.
         if self.unpersisted.is_empty() {
             self.raft.advance_apply_to(self.applied);
--- a/copies/src/node.rs
+++ b/copies/src/node.rs
@@ -20,7 +20,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// A peer heard within this many heartbeat intervals counters as live.
+/// A peer heard within this many heartbeat intervals counts as live.
 const LIVENESS_HEARTBEATS: f64 = 8.0;
 /// Interval between queries for a group that is not known.
 const FIND_GROUP_INTERVAL: Span = Span::from_millis(200);
