--- a/copies/src/client.rs
+++ b/copies/src/client.rs
@@ -239,8 +239,9 @@
     }
 
     pub fn next_wake(&self) -> Option<Time> {
-        let of = |p: &Pending| p.sent.map_or(p.deadline, |(_, at)| p.deadline.min(at + RETRANSMIT_INTERVAL));
-        self.pending.values().map(of).min()
+        let wake_at =
+            |p: &Pending| p.sent.map_or(p.deadline, |(_, at)| p.deadline.min(at + RETRANSMIT_INTERVAL));
+        self.pending.values().map(wake_at).min()
     }
 
     pub fn len(&self) -> usize {
--- a/copies/src/group.rs
+++ b/copies/src/group.rs
@@ -154,15 +154,15 @@
     /// A member that a leader has invited under the id that the leader chose. Its state comes from the leader.
     pub fn join(
         settings: &Copies,
-        of: (u32, u64),
-        as_who: (u64, u64),
+        group: (u32, u64),
+        identity: (u64, u64),
         seed: u64,
         now: Time,
     ) -> Option<GroupMember> {
-        GroupMember::start(settings, of, as_who, seed, now, LogStorage::default())
+        GroupMember::start(settings, group, identity, seed, now, LogStorage::default())
     }
 
-    /// `of`: the group's number and its ledger; `as_who`: the membership id and the run id of this start of the
+    /// `group`: the group's number and its ledger; `identity`: the membership id and the run id of this start of the
     /// gateway.
     fn start(
         settings: &Copies,
@@ -454,7 +454,7 @@
                 return self.raft.transfer_leader(id);
             }
         }
-        // If another change is pending, this one is decided anew after it.
+        // If another change is pending, repair decides again after it.
         _ = self.raft.propose_conf_change(Vec::new(), change);
     }
 
--- a/copies/src/node.rs
+++ b/copies/src/node.rs
@@ -422,10 +422,10 @@
         }
     }
 
-    fn drop_member(&mut self, group: u32, why: &str) {
+    fn drop_member(&mut self, group: u32, reason: &str) {
         let slot = &mut self.groups[group as usize];
         let Some(member) = slot.member.take() else { return };
-        ::log::warn!("group {group}: membership dropped: {why}");
+        ::log::warn!("group {group}: membership dropped: {reason}");
         slot.excluded_since = None;
         slot.statuses.clear();
         self.totals.dropped += 1;
--- a/copies/src/outcome_log.rs
+++ b/copies/src/outcome_log.rs
@@ -25,10 +25,10 @@
 const MAX_QUEUED_BATCHES: usize = 8_192;
 
 #[derive(Debug, thiserror::Error)]
-#[error("{path}: {why}")]
+#[error("{path}: {cause}")]
 pub struct OutcomeLogError {
     path: PathBuf,
-    why: io::Error,
+    cause: io::Error,
 }
 
 /// The records found at the start.
@@ -65,7 +65,7 @@
 impl OutcomeLog {
     /// Reads the existing files and begins a new one.
     pub fn open(folder: &Path) -> Result<(OutcomeLog, Recovered), OutcomeLogError> {
-        let to_error = |why| OutcomeLogError { path: folder.to_owned(), why };
+        let to_error = |cause| OutcomeLogError { path: folder.to_owned(), cause };
         fs::create_dir_all(folder).map_err(to_error)?;
         let mut found = Recovered::default();
         let known = file_numbers(folder).map_err(to_error)?;
@@ -87,7 +87,7 @@
         &mut self,
         records: impl Iterator<Item = &'a OutcomeRecord>,
     ) -> Result<(), OutcomeLogError> {
-        let to_error = |folder: &Path, why| OutcomeLogError { path: folder.to_owned(), why };
+        let to_error = |folder: &Path, cause| OutcomeLogError { path: folder.to_owned(), cause };
         let mut bytes = Vec::new();
         for record in records {
             let encoded = record.encode_to_vec();
--- a/copies/tests/common/mod.rs
+++ b/copies/tests/common/mod.rs
@@ -414,12 +414,12 @@
 
     fn send(&mut self, from: usize, id: u64, to: usize, frame: Vec<u8>, is_snapshot: bool) {
         let theirs = self.id(to);
-        let knows = self.known.get(&(from.min(to), from.max(to)));
-        let stands = knows.is_some_and(|(a, b)| {
+        let run_ids = self.known.get(&(from.min(to), from.max(to)));
+        let connected = run_ids.is_some_and(|(a, b)| {
             let (x, y) = if from < to { (*a, *b) } else { (*b, *a) };
             x == id && Some(y) == theirs
         });
-        if !stands || self.cuts.contains(&(from, to)) || self.rng.random_bool(self.loss) {
+        if !connected || self.cuts.contains(&(from, to)) || self.rng.random_bool(self.loss) {
             return;
         }
         let mut delay =
@@ -504,7 +504,7 @@
         }
     }
 
-    fn submit(&mut self, at: usize, sender: u64, importance: u32, operation: Operation, why: Purpose) {
+    fn submit(&mut self, at: usize, sender: u64, importance: u32, operation: Operation, purpose: Purpose) {
         let (now, ahead) = (self.now, self.all[at].ahead);
         // The request id must be stored before any output is processed.
         let asked = self.all[at].node.as_mut().map(|node| {
@@ -512,7 +512,7 @@
             node.submit(now + ahead, group, importance, operation)
         });
         if let Some(ask) = asked {
-            self.all[at].waits.insert(ask, (why, now));
+            self.all[at].waits.insert(ask, (purpose, now));
             self.with_node(at, |_, _| ());
         }
     }
@@ -641,15 +641,15 @@
     }
 
     fn response_received(&mut self, i: usize, id: u64, response: Response) {
-        let Some((why, asked)) = self.all[i].waits.remove(&response.request_id) else { return };
-        match why {
+        let Some((purpose, asked)) = self.all[i].waits.remove(&response.request_id) else { return };
+        match purpose {
             Purpose::Settle => {}
             Purpose::Probe(ledger, key) => self.probes.push((ledger, key, response.result)),
             Purpose::Register(s) => {
                 let ledger =
                     self.all[i].node.as_ref().and_then(|n| n.ledger(n.group_of(self.senders[s].run)));
-                let stands = self.senders[s].registered.is_some_and(|(_, at)| at == i);
-                if !stands {
+                let waits = self.senders[s].registered.is_some_and(|(_, at)| at == i);
+                if !waits {
                     return;
                 }
                 let fine = response.result == Ok(CommandResult::Registered(true));
--- a/copies/tests/composed.rs
+++ b/copies/tests/composed.rs
@@ -528,8 +528,9 @@
         for (call, ran) in over {
             end.runs.remove(&call);
             let ending = if ran { TxnOutcome::Served } else { TxnOutcome::Rejected { retry_after: None } };
-            let told = end.core.finished(now, call, &Arc::new(Answer { outcome: ending, body: Vec::new() }));
-            assert!(told.is_none(), "no answer before its outcome is replicated");
+            let response =
+                end.core.finished(now, call, &Arc::new(Answer { outcome: ending, body: Vec::new() }));
+            assert!(response.is_none(), "no answer before its outcome is replicated");
         }
         self.pull_node(i);
         self.pull_acceptor(i);
@@ -565,8 +566,8 @@
     fn response_received(&mut self, i: usize, ask: u64, result: Result<CommandResult, RequestError>) {
         let now = self.now;
         let Some(end) = self.acceptors[i].as_mut() else { return };
-        let Some(why) = end.pending.remove(&ask) else { return };
-        match why {
+        let Some(purpose) = end.pending.remove(&ask) else { return };
+        match purpose {
             Purpose::Register(session, group) => {
                 let known = result == Ok(CommandResult::Registered(true));
                 let ledger = end.node.ledger(group).filter(|_| known);
@@ -587,12 +588,12 @@
         }
     }
 
-    fn submit(&mut self, i: usize, sender: u64, word: Operation, why: impl FnOnce(u32) -> Purpose) {
+    fn submit(&mut self, i: usize, sender: u64, operation: Operation, purpose: impl FnOnce(u32) -> Purpose) {
         let now = self.now;
         let Some(end) = self.acceptors[i].as_mut() else { return };
         let group = end.node.group_of(sender);
-        let ask = end.node.submit(now, group, 9, word);
-        end.pending.insert(ask, why(group));
+        let ask = end.node.submit(now, group, 9, operation);
+        end.pending.insert(ask, purpose(group));
     }
 
     fn pull_acceptor(&mut self, i: usize) {
@@ -645,8 +646,8 @@
                     self.post(session, false, Msg::Ledger(ledger))
                 }
                 SessionAction::RegisterSender { session, sender, next_number: fresh } => {
-                    let word = Operation::RegisterSender(RegisterSender { sender, next_number: fresh });
-                    self.submit(i, sender, word, |group| Purpose::Register(session, group));
+                    let operation = Operation::RegisterSender(RegisterSender { sender, next_number: fresh });
+                    self.submit(i, sender, operation, |group| Purpose::Register(session, group));
                 }
                 SessionAction::ReplicateAccept { call, key, .. } => {
                     self.submit(i, key.sender, Operation::accept(key), |_| Purpose::Accept(call, now));
@@ -660,8 +661,8 @@
                     });
                 }
                 SessionAction::ReplicateSettle { sender, below } => {
-                    let word = Operation::Settle(TxnKey { sender, number: below });
-                    self.submit(i, sender, word, |_| Purpose::Settle);
+                    let operation = Operation::Settle(TxnKey { sender, number: below });
+                    self.submit(i, sender, operation, |_| Purpose::Settle);
                 }
             }
             self.pull_node(i);
--- a/copies/tests/exhaustive.rs
+++ b/copies/tests/exhaustive.rs
@@ -137,21 +137,21 @@
             }
             ("end", Some(CommandResult::Recorded)) => self.recorded = true,
             ("find", Some(outcome)) => {
-                let word = match outcome {
+                let result = match outcome {
                     CommandResult::NeverAccepted => "never",
                     CommandResult::Ended(answer) if answer.outcome == TxnOutcome::Served => "ended",
                     CommandResult::Ended(_) => "given up",
                     CommandResult::Unknown => "unknown",
                     _ => return,
                 };
-                let not_run = word == "never" || word == "given up";
-                assert!(!not_run || !self.ran, "it ran and is reported as {word}");
-                assert!(word != "ended" || self.ended, "it is reported as ended and did not end");
+                let not_run = result == "never" || result == "given up";
+                assert!(!not_run || !self.ran, "it ran and is reported as {result}");
+                assert!(result != "ended" || self.ended, "it is reported as ended and did not end");
                 assert!(
-                    !self.recorded || word == "ended",
-                    "its end was recorded and it is reported as {word}"
+                    !self.recorded || result == "ended",
+                    "its end was recorded and it is reported as {result}"
                 );
-                self.final_results.insert(word);
+                self.final_results.insert(result);
                 assert!(self.final_results.len() == 1, "{:?}", self.final_results);
             }
             _ => {}
@@ -282,7 +282,7 @@
         let schedule = prefix.clone();
         world.settle(&schedule);
         counts.0 += 1;
-        world.final_results.iter().for_each(|word| *counts.1.entry(word).or_default() += 1);
+        world.final_results.iter().for_each(|result| *counts.1.entry(result).or_default() += 1);
         return;
     }
     for at in 0..open {
--- a/copies/tests/model.rs
+++ b/copies/tests/model.rs
@@ -377,7 +377,7 @@
     }
 }
 
-/// A holder that was just invited and has received no state does not keep the others from founding the group anew.
+/// A holder that was just invited and has received no state does not keep the others from founding the group.
 #[test]
 fn an_invited_member_without_state_does_not_block_a_new_founding() {
     let now = Time::from_micros(1_000_000);
