--- a/copies/src/node.rs
+++ b/copies/src/node.rs
@@ -20,7 +20,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// A peer heard within this many heartbeat intervals counters as live.
+/// A peer heard within this many heartbeat intervals counts as live.
 const LIVENESS_HEARTBEATS: f64 = 8.0;
 /// Interval between queries for a group that is not known.
 const FIND_GROUP_INTERVAL: Span = Span::from_millis(200);
@@ -422,10 +422,10 @@
         }
     }
 
-    fn drop_member(&mut self, group: u32, why: &str) {
+    fn drop_member(&mut self, group: u32, reason: &str) {
         let slot = &mut self.groups[group as usize];
         let Some(member) = slot.member.take() else { return };
-        ::log::warn!("group {group}: membership dropped: {why}");
+        ::log::warn!("group {group}: membership dropped: {reason}");
         slot.excluded_since = None;
         slot.statuses.clear();
         self.totals.dropped += 1;
