--- a/feed/tests/common/mod.rs
+++ b/feed/tests/common/mod.rs
@@ -113,7 +113,7 @@
 }
 
 impl Actor for Host {
-    fn datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
+    fn handle_datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
         self.feed.handle_datagram(now, from, bytes);
     }
 
@@ -125,7 +125,7 @@
         self.feed.next_wake(now)
     }
 
-    fn sent(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
+    fn poll_datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
         self.drain();
         self.datagrams.pop_front()
     }
@@ -233,7 +233,7 @@
         let mut sim: Sim<Host> = Sim::new(seed);
         let cuts = Rc::new(RefCell::new(Cuts::default()));
         let (c, z) = (Rc::clone(&cuts), Rc::clone(&locations));
-        sim.cut = Box::new(move |a, b| {
+        sim.link_down = Box::new(move |a, b| {
             let c = c.borrow();
             let (from, to) = (z[a], z[b]);
             let apart = |cut: bool, cut_too: bool| cut || cut_too;
@@ -338,7 +338,7 @@
     }
 
     pub fn feed(&self, i: usize) -> &Feed {
-        &self.sim.get(i).unwrap().feed
+        &self.sim.actor(i).unwrap().feed
     }
 
     pub fn is_running(&self, i: usize) -> bool {
@@ -358,7 +358,7 @@
     pub fn start(&mut self, i: usize, known: bool) {
         let (run, seed) = (self.rng.random(), self.rng.random());
         let lasts: Vec<u64> = (0..self.services.len()).map(|s| self.last(s)).collect();
-        let (now, own) = (self.sim.now, self.sim.at(i));
+        let (now, own) = (self.sim.now, self.sim.local_time(i));
         let node = &mut self.nodes[i];
         for (stream, last) in node.file.streams.iter_mut().zip(&lasts) {
             stream.known = if known { *last } else { 0 };
@@ -401,7 +401,7 @@
             own,
             rewrite: None,
         };
-        self.sim.put(i, Some(host));
+        self.sim.set_actor(i, Some(host));
         self.check_node(i);
         self.update_members();
     }
@@ -411,7 +411,7 @@
     }
 
     pub fn kill(&mut self, i: usize) {
-        self.sim.put(i, None);
+        self.sim.set_actor(i, None);
         self.nodes[i].links.fill(None);
         self.mark_unreachable(i);
     }
@@ -419,14 +419,14 @@
     /// Pauses a node.
     pub fn stop(&mut self, i: usize) {
         if self.is_running(i) {
-            self.sim.stop(i, true);
+            self.sim.set_stopped(i, true);
             self.mark_unreachable(i);
         }
     }
 
     pub fn resume(&mut self, i: usize) {
         if self.sim.slots[i].actor.is_some() && self.sim.slots[i].stopped {
-            self.sim.stop(i, false);
+            self.sim.set_stopped(i, false);
             self.check_node(i);
             self.update_members();
         }
@@ -461,7 +461,7 @@
                 let named: Vec<(String, SocketAddr)> =
                     seen.iter().map(|&j| (self.nodes[j].name.clone(), address(j))).collect();
                 self.nodes[i].known_members = seen;
-                self.sim.with(i, |host, now| {
+                self.sim.with_actor(i, |host, now| {
                     host.feed.set_members(now, named.iter().map(|(n, a)| (n.as_str(), *a)));
                 });
                 self.check_node(i);
@@ -545,14 +545,14 @@
         if !self.is_running(i) {
             return;
         }
-        let (own, last) = (self.sim.at(i), self.last(stream));
+        let (own, last) = (self.sim.local_time(i), self.last(stream));
         let heartbeat = self.sim.now >= link.next_heartbeat;
         if link.sent >= last && !heartbeat {
             return;
         }
         let lines: Vec<&[u8]> =
             self.services[stream].events[link.sent as usize..].iter().map(|e| e.line.as_slice()).collect();
-        let whole = self.sim.with(i, |host, _| {
+        let whole = self.sim.with_actor(i, |host, _| {
             lines.iter().for_each(|line| host.feed.handle_line(own, stream, line).unwrap());
             !heartbeat || host.feed.handle_last(own, stream, last)
         });
@@ -577,7 +577,7 @@
                         node.attempts += 1;
                         node.next_attempt[stream] = now + ms(200);
                         if reach {
-                            let sent = self.sim.get(i).map_or(0, |h| h.feed.resume_after(stream));
+                            let sent = self.sim.actor(i).map_or(0, |h| h.feed.resume_after(stream));
                             node.links[stream] = Some(Link { sent, next_heartbeat: now });
                         } else {
                             ended = true;
@@ -590,7 +590,7 @@
                     _ => {}
                 }
                 if ended {
-                    self.sim.with(i, |host, now| host.feed.handle_disconnect(now, stream));
+                    self.sim.with_actor(i, |host, now| host.feed.handle_disconnect(now, stream));
                     self.check_node(i);
                 }
                 self.send_lines(i, stream);
@@ -827,7 +827,7 @@
 
     /// Ends all faults: no loss, partitions, paused or dead nodes.
     pub fn heal(&mut self) {
-        (self.sim.loss, self.sim.repeat) = (0.0, 0.0);
+        (self.sim.loss, self.sim.duplication) = (0.0, 0.0);
         *self.cuts.borrow_mut() = Cuts::default();
         self.services.iter_mut().for_each(|s| s.up = true);
         for i in 0..self.nodes.len() {
@@ -917,7 +917,7 @@
 
     /// Bytes per second, in and out, of the selected gateways since the last reset: mean and maximum.
     pub fn bytes_per_s(&self, span: Span, counts: impl Fn(usize) -> bool) -> (f64, f64) {
-        let of = |i: usize| (self.sim.slots[i].spent.bytes_in + self.sim.slots[i].spent.bytes_out) as f64;
+        let of = |i: usize| (self.sim.slots[i].usage.bytes_in + self.sim.slots[i].usage.bytes_out) as f64;
         let all: Vec<f64> =
             self.gateways().filter(|&i| counts(i)).map(|i| of(i) / span.as_secs_f64()).collect();
         (all.iter().sum::<f64>() / all.len().max(1) as f64, all.iter().copied().fold(0.0, f64::max))
--- a/feed/tests/hard.rs
+++ b/feed/tests/hard.rs
@@ -40,7 +40,7 @@
     w.purges_per_s = 150.0;
     w.run(ms(4_000));
     w.delays_ms.clear();
-    w.sim.reset_spent();
+    w.sim.reset_usage();
     w.run(ms(20_000));
     let contacts: BTreeSet<usize> = w.contacts().into_values().flatten().collect();
     assert_eq!(contacts.len(), 11, "one contact per site");
@@ -232,7 +232,7 @@
     w.run(ms(3_000));
     let events: Vec<u64> = (0..3).map(|s| w.last(s)).collect();
     w.delays_ms.clear();
-    w.sim.reset_spent();
+    w.sim.reset_usage();
     let mut worst: u64 = 0;
     let mut most: f64 = 0.0;
     loop {
@@ -246,7 +246,7 @@
             }
         }
         most = most.max(w.bytes_per_s(ms(1_000), |i| w.nodes[i].region == 2).1);
-        w.sim.reset_spent();
+        w.sim.reset_usage();
         if w.gateways().all(|i| (0..3).all(|s| w.feed(i).position(s) + 400 > w.last(s))) {
             break;
         }
@@ -293,7 +293,7 @@
     let calm = bits(&w);
     w.purges_per_s = 1_500.0;
     w.run(ms(3_000));
-    w.sim.reset_spent();
+    w.sim.reset_usage();
     w.delays_ms.clear();
     w.run(ms(30_000));
     let contacts: BTreeSet<usize> = w.contacts().into_values().flatten().collect();
@@ -315,7 +315,7 @@
 #[test]
 fn five_percent_loss_duplication_and_reordering_are_repaired() {
     let mut w = started(Shape { gateways: 12, ..SMALL }, 10);
-    (w.sim.loss, w.sim.repeat) = (0.05, 0.05);
+    (w.sim.loss, w.sim.duplication) = (0.05, 0.05);
     let is_slow = |a: usize, b: usize| (a + b).is_multiple_of(3);
     // Some pairs are slow, which reorders datagrams.
     w.sim.delay = Box::new(move |a, b| if is_slow(a, b) { ms(120) } else { ms(10) });
@@ -493,9 +493,9 @@
 fn set_faulty_clocks_change_nothing() {
     let mut w = Simulation::new(SMALL, 15);
     let (hub, gateway, contact) = (0, 4, 9);
-    w.sim.slots[hub].ahead = ms(3_600_000);
-    w.sim.slots[gateway].ahead = ms(24 * 365 * 3_600_000);
-    w.sim.slots[contact].ahead = ms(5_000);
+    w.sim.slots[hub].clock_offset = ms(3_600_000);
+    w.sim.slots[gateway].clock_offset = ms(24 * 365 * 3_600_000);
+    w.sim.slots[contact].clock_offset = ms(5_000);
     w.start_all();
     w.run(ms(5_000));
     w.delays_ms.clear();
@@ -531,11 +531,11 @@
     for step in [vec![old.clone(), new.clone()], vec![new.clone(), old], vec![new]] {
         for i in 0..w.nodes.len() {
             w.nodes[i].keys = step.clone();
-            assert_eq!(w.sim.with(i, |host, _| host.feed.set_keys(&step)), Some(true));
+            assert_eq!(w.sim.with_actor(i, |host, _| host.feed.set_keys(&step)), Some(true));
             w.run(ms(50));
         }
     }
-    assert_eq!(w.sim.with(0, |host, _| host.feed.set_keys(&[])), Some(false));
+    assert_eq!(w.sim.with_actor(0, |host, _| host.feed.set_keys(&[])), Some(false));
     assert_eq!(w.sum(|c| c.refused_seals), 0);
     assert!(w.max_delay_ms() <= MAX_DELAY_MS, "{} ms", w.max_delay_ms());
     settle(&mut w, 5_000);
@@ -565,7 +565,7 @@
 #[test]
 fn an_event_counts_only_when_all_its_pieces_have_arrived() {
     let mut w = started(SMALL, 19);
-    (w.sim.loss, w.sim.repeat) = (0.1, 0.1);
+    (w.sim.loss, w.sim.duplication) = (0.1, 0.1);
     w.set_faulty(true);
     for n in 0..20 {
         w.other(n % 3, 3_000);
@@ -804,7 +804,7 @@
 fn unknown_fields_are_ignored_and_other_versions_rejected() {
     let mut w = started(SMALL, 24);
     for i in (0..w.nodes.len()).step_by(2) {
-        w.sim.with(i, |host, _| host.rewrite = Some(with_unknown_field));
+        w.sim.with_actor(i, |host, _| host.rewrite = Some(with_unknown_field));
     }
     (w.purges_per_s, w.other_events_per_s) = (30.0, 1.0);
     w.run(ms(6_000));
@@ -1051,7 +1051,7 @@
 fn duplicate_datagrams_are_applied_and_forwarded_once() {
     let mut w = started(SMALL, 33);
     w.purges_per_s = 30.0;
-    w.sim.repeat = 1.0;
+    w.sim.duplication = 1.0;
     w.run(ms(3_000));
     let before: Vec<u64> = w.gateways().map(|i| w.nodes[i].expected.purges).collect();
     w.run(ms(10_000));
@@ -1059,6 +1059,6 @@
     let most = after.zip(before).map(|(a, b)| a - b).max().unwrap();
     println!("{most} purges in 10 s, all datagrams duplicated");
     assert!(most <= 22, "{most} purges of 20 bundles");
-    w.sim.repeat = 0.0;
+    w.sim.duplication = 0.0;
     settle(&mut w, 5_000);
 }
--- a/feed/tests/model.rs
+++ b/feed/tests/model.rs
@@ -52,7 +52,7 @@
             (w.rng.random_range(0..regions), w.rng.random_range(0..regions), w.rng.random_range(0..sites));
         match w.rng.random_range(0..22) {
             0 => w.kill(i),
-            1..=3 if w.sim.get(i).is_none() => {
+            1..=3 if w.sim.actor(i).is_none() => {
                 let known = w.rng.random_bool(0.5);
                 w.start(i, known);
             }
@@ -65,8 +65,8 @@
             11 => _ = w.cuts.borrow_mut().isolated.insert(j),
             12..=14 => *w.cuts.borrow_mut() = Cuts::default(),
             15 => w.sim.loss = w.rng.random_range(0.0..0.3),
-            16 => w.sim.repeat = w.rng.random_range(0.0..0.3),
-            17 => (w.sim.loss, w.sim.repeat) = (0.0, 0.0),
+            16 => w.sim.duplication = w.rng.random_range(0.0..0.3),
+            17 => (w.sim.loss, w.sim.duplication) = (0.0, 0.0),
             18 => w.services[region].up = !w.services[region].up,
             19 => w.purges_per_s = w.rng.random_range(1.0..60.0),
             20 | 21 => {
--- a/scale/src/ladders/feed.rs
+++ b/scale/src/benchmarks/feed.rs
@@ -1,23 +1,23 @@
 //! What the feed costs, and how soon a change is everywhere, by the installation's size, its purges, changes and
 //! restarts, and by what goes wrong. Must never count as done what a live gateway has not done.
 
-use super::group::{Group, Run};
+use super::group::{Run, SeriesGroup};
 use crate::feed_net::{Net, Shape};
 use crate::fleet_net::ms;
 use crate::memory;
-use crate::sim::Spent;
-use crate::slopes::{Host, Ladder};
+use crate::sim::Usage;
+use crate::slopes::{Host, Series};
 use hdrhistogram::Histogram;
 use kelpcart::Span;
 use rand::seq::IteratorRandom;
 
 const MECHANISM: &str = "feed/src/lib.rs";
 /// A purge has to be everywhere by then, in us.
-const WITHIN: u64 = 3_900_000;
-const TARGET_PURGES: f64 = 150.0;
+const PURGE_DEADLINE_US: u64 = 3_900_000;
+const TARGET_PURGES_PER_S: f64 = 150.0;
 
 /// What one run gave, of gateways and of hubs.
-struct Given {
+struct Runs {
     feed: Run,
     /// The feed and membership together.
     control: Run,
@@ -33,226 +33,238 @@
 }
 
 fn late(delays: &Histogram<u64>) -> u64 {
-    delays.count_between(WITHIN, delays.high())
+    delays.count_between(PURGE_DEADLINE_US, delays.high())
 }
 
 /// Starts an installation, lets it settle, and measures it over the load's span while `wrong` happens to it.
-fn run(seed: u64, load: Load, wrong: impl FnOnce(&mut Net, Span)) -> Given {
-    let held = memory::held();
+fn run(seed: u64, load: Load, wrong: impl FnOnce(&mut Net, Span)) -> Runs {
+    let held = memory::allocated();
     let mut net = Net::new(load.shape, seed);
     net.start_all();
     let begun = net.sim.now;
-    while net.all_told().is_err() && net.sim.now - begun < ms(60_000) {
-        net.run(ms(20));
+    while net.check_delivered().is_err() && net.sim.now - begun < ms(60_000) {
+        net.run_for(ms(20));
     }
     let start = net.sim.now - begun;
-    net.run(ms(3_000));
+    net.run_for(ms(3_000));
     (net.purges_per_s, net.changes_per_s) = (load.purges_per_s, load.changes_per_s);
-    net.run(ms(2_000));
-    net.begin();
+    net.run_for(ms(2_000));
+    net.start_measurement();
     let from = net.sim.now;
     wrong(&mut net, load.span);
     let over = net.sim.now - from;
-    let of = |net: &Net, i: usize| net.sim.get(i).map_or(Spent::default(), |h| h.spent);
+    let of = |net: &Net, i: usize| net.sim.actor(i).map_or(Usage::default(), |h| h.usage);
     let live: Vec<usize> = net.gateways().filter(|&i| net.steady(i)).collect();
     let feed = live.iter().map(|&i| of(&net, i)).collect();
-    let control = live.iter().map(|&i| net.sim.slots[i].spent).collect();
+    let control = live.iter().map(|&i| net.sim.slots[i].usage).collect();
     let hubs = net.hubs().filter(|&i| net.steady(i)).map(|i| of(&net, i)).collect();
     (net.purges_per_s, net.changes_per_s) = (0.0, 0.0);
     let ended = net.sim.now;
-    while (net.all_told().is_err() || !net.all_known()) && net.sim.now - ended < ms(30_000) {
-        net.run(ms(100));
+    while (net.check_delivered().is_err() || !net.all_confirmed()) && net.sim.now - ended < ms(30_000) {
+        net.run_for(ms(100));
     }
-    let known = if net.all_known() { Ok(()) } else { Err("no hub holds all to be done".to_owned()) };
-    let told = net.all_told().and(known);
+    let known = if net.all_confirmed() { Ok(()) } else { Err("no hub holds all to be done".to_owned()) };
+    let told = net.check_delivered().and(known);
     let purges_of_all: u64 = net.sim.live().map(|(_, h)| h.feed.counts.gaps_purged).sum();
     // Hubs hold what is kept for all; a gateway's own is what its end gives back.
-    let hub_memory = (memory::held() - held) as f64;
-    let before = memory::held();
+    let hub_memory = (memory::allocated() - held) as f64;
+    let before = memory::allocated();
     net.gateways().for_each(|i| net.kill(i));
-    let given_back = before.saturating_sub(memory::held()) as f64;
+    let given_back = before.saturating_sub(memory::allocated()) as f64;
     let memory = given_back / load.shape.gateways as f64;
     let each_hub = (hub_memory - given_back) / net.hubs().len() as f64;
-    let delays = if load.changes_per_s > 0.0 { &net.changes } else { &net.delays }.clone();
+    let delays = if load.changes_per_s > 0.0 { &net.change_delays } else { &net.delays }.clone();
     let more = vec![
         ("late", "count", late(&delays) as f64),
         ("purges-of-all", "count", purges_of_all as f64),
         ("connections-tried", "count", net.attempts as f64),
     ];
-    let run =
-        |spent, delays, memory, more| Run { spent, over, delays, memory, start, told: told.clone(), more };
-    Given {
+    let run = |spent, delays, memory, more| Run {
+        usage: spent,
+        duration: over,
+        delays,
+        memory,
+        start,
+        converged: told.clone(),
+        extra: more,
+    };
+    Runs {
         feed: run(feed, delays.clone(), memory, more),
         control: run(control, delays, memory, Vec::new()),
-        hubs: run(hubs, net.known.clone(), each_hub, vec![("late", "count", late(&net.known) as f64)]),
+        hubs: run(
+            hubs,
+            net.confirmation_delays.clone(),
+            each_hub,
+            vec![("late", "count", late(&net.confirmation_delays) as f64)],
+        ),
     }
 }
 
 /// The same over growing sizes of one thing, of the feed, of all control and of hubs.
-struct Groups {
-    feed: Group,
-    control: Group,
-    hubs: Group,
+struct SeriesGroups {
+    feed: SeriesGroup,
+    control: SeriesGroup,
+    hubs: SeriesGroup,
 }
 
-impl Groups {
-    fn new(of: &str, module: &'static str, over: &'static str, fixed: &[(&str, f64)]) -> Groups {
-        let one = |of: String| Group::new(&of, module, MECHANISM, Host::Simulated, over, fixed);
-        Groups {
+impl SeriesGroups {
+    fn new(of: &str, module: &'static str, over: &'static str, fixed: &[(&str, f64)]) -> SeriesGroups {
+        let one = |of: String| SeriesGroup::new(&of, module, MECHANISM, Host::Simulated, over, fixed);
+        SeriesGroups {
             feed: one(of.to_owned()),
             control: one(of.replacen("feed", "control", 1)),
             hubs: one(of.replacen("feed", "hub", 1)),
         }
     }
 
-    fn take(&mut self, at: f64, given: Given) {
-        self.feed.take(at, given.feed);
-        self.control.take(at, given.control);
-        self.hubs.take(at, given.hubs);
+    fn push(&mut self, at: f64, given: Runs) {
+        self.feed.push(at, given.feed);
+        self.control.push(at, given.control);
+        self.hubs.push(at, given.hubs);
     }
 
-    fn ladders(self, seed: u64) -> Vec<Ladder> {
-        [self.feed, self.control, self.hubs].iter().flat_map(|g| g.ladders(seed)).collect()
+    fn series(self, seed: u64) -> Vec<Series> {
+        [self.feed, self.control, self.hubs].iter().flat_map(|g| g.series(seed)).collect()
     }
 }
 
-fn calm(net: &mut Net, span: Span) {
-    net.run(span);
+fn no_fault(net: &mut Net, span: Span) {
+    net.run_for(span);
 }
 
 /// One gateway after another ends and starts again.
 fn restarts(net: &mut Net, span: Span, per_h: f64) {
     let (until, gap) = (net.sim.now + span, Span::from_secs_f64(3_600.0 / per_h));
     while net.sim.now + gap < until {
-        net.run(gap);
+        net.run_for(gap);
         let i = net.gateways().choose(&mut net.sim.rng).expect("a gateway");
         net.kill(i);
         net.start(i);
     }
-    net.run(until - net.sim.now);
+    net.run_for(until - net.sim.now);
 }
 
-fn start_again(net: &mut Net, which: &[usize], after: Span) {
+fn restart_after(net: &mut Net, which: &[usize], after: Span) {
     which.iter().for_each(|&i| net.kill(i));
-    net.run(after);
+    net.run_for(after);
     which.iter().for_each(|&i| net.start(i));
 }
 
-type Wrong = fn(&mut Net, f64);
+type FaultFn = fn(&mut Net, f64);
 
 /// Each goes wrong to a degree; what it is called, over what, and the degrees.
-const FAULTS: &[(&str, &str, &[f64], Wrong)] = &[
+const FAULTS: &[(&str, &str, &[f64], FaultFn)] = &[
     ("feed-hubs-killed", "hubs_killed", &[0.0, 1.0, 2.0, 3.0, 4.0], |net, n| {
         let hubs: Vec<usize> = net.hubs().take(n as usize).collect();
-        start_again(net, &hubs, ms(8_000));
-        net.run(ms(7_000));
+        restart_after(net, &hubs, ms(8_000));
+        net.run_for(ms(7_000));
     }),
     ("feed-hubs-away", "away_s", &[1.0, 2.0, 5.0, 10.0, 20.0], |net, s| {
         let hubs: Vec<usize> = net.hubs().collect();
-        start_again(net, &hubs, Span::from_secs_f64(s));
-        net.run(ms(7_000));
+        restart_after(net, &hubs, Span::from_secs_f64(s));
+        net.run_for(ms(7_000));
     }),
     ("feed-restarted-at-once", "restarted_part", &[0.01, 0.05, 0.1, 0.3, 0.9], |net, part| {
         let some = (part * net.shape.gateways as f64).round() as usize;
         let chosen = net.gateways().choose_multiple(&mut net.sim.rng, some);
-        start_again(net, &chosen, ms(1_000));
-        net.run(ms(9_000));
+        restart_after(net, &chosen, ms(1_000));
+        net.run_for(ms(9_000));
     }),
     // As much comes twice.
     ("feed-lossy", "lost_part", &[0.005, 0.01, 0.02, 0.05, 0.1], |net, part| {
-        (net.sim.loss, net.sim.repeat) = (part, part);
-        net.run(ms(10_000));
-        (net.sim.loss, net.sim.repeat) = (0.0, 0.0);
+        (net.sim.loss, net.sim.duplication) = (part, part);
+        net.run_for(ms(10_000));
+        (net.sim.loss, net.sim.duplication) = (0.0, 0.0);
     }),
     ("feed-region-away", "away_s", &[1.0, 2.0, 5.0, 10.0, 20.0], |net, s| {
-        net.cuts.borrow_mut().regions.insert(3);
-        net.run(Span::from_secs_f64(s));
-        net.cuts.borrow_mut().regions.clear();
-        net.run(ms(7_000));
+        net.partitions.borrow_mut().regions.insert(3);
+        net.run_for(Span::from_secs_f64(s));
+        net.partitions.borrow_mut().regions.clear();
+        net.run_for(ms(7_000));
     }),
     ("feed-flood", "purges_per_s", &[300.0, 500.0, 750.0, 1_000.0, 1_500.0], |net, rate| {
         net.purges_per_s = rate;
         // Ten times the purges for half a minute.
-        net.run(ms(if rate < 10.0 * TARGET_PURGES { 8_000 } else { 30_000 }));
-        net.purges_per_s = TARGET_PURGES;
-        net.run(ms(2_000));
+        net.run_for(ms(if rate < 10.0 * TARGET_PURGES_PER_S { 8_000 } else { 30_000 }));
+        net.purges_per_s = TARGET_PURGES_PER_S;
+        net.run_for(ms(2_000));
     }),
 ];
 
 /// None where it is short: the hard cases are tests of the feed's own.
-pub fn faults(seed: u64, quick: bool) -> Vec<Ladder> {
+pub fn faults(seed: u64, quick: bool) -> Vec<Series> {
     if quick {
         return Vec::new();
     }
     let n = 1_000;
     let load =
-        Load { shape: Shape::of(n), purges_per_s: TARGET_PURGES, changes_per_s: 0.0, span: Span::ZERO };
+        Load { shape: Shape::of(n), purges_per_s: TARGET_PURGES_PER_S, changes_per_s: 0.0, span: Span::ZERO };
     let mut all = Vec::new();
     for (of, over, degrees, wrong) in FAULTS {
-        let purges = (*over != "purges_per_s").then_some(("purges_per_s", TARGET_PURGES));
+        let purges = (*over != "purges_per_s").then_some(("purges_per_s", TARGET_PURGES_PER_S));
         let fixed: Vec<(&str, f64)> = [Some(("gateways", n as f64)), purges].into_iter().flatten().collect();
-        let mut by = Groups::new(of, "feed-faults", over, &fixed);
+        let mut by = SeriesGroups::new(of, "feed-faults", over, &fixed);
         for degree in *degrees {
-            by.take(*degree, run(seed, load, |net, _| wrong(net, *degree)));
+            by.push(*degree, run(seed, load, |net, _| wrong(net, *degree)));
         }
-        all.extend(by.ladders(seed));
+        all.extend(by.series(seed));
     }
     all
 }
 
-pub fn measure(seed: u64, quick: bool) -> Vec<Ladder> {
+pub fn measure(seed: u64, quick: bool) -> Vec<Series> {
     let span = if quick { ms(2_000) } else { ms(10_000) };
     let n = if quick { 24 } else { 1_000 };
     let shape = Shape::of(n);
-    let load = Load { shape, purges_per_s: TARGET_PURGES, changes_per_s: 0.0, span };
+    let load = Load { shape, purges_per_s: TARGET_PURGES_PER_S, changes_per_s: 0.0, span };
     let mut all = Vec::new();
 
     let sizes: &[usize] = if quick { &[12, 24, 36, 48, 60] } else { &[25, 100, 300, 1_000, 3_000, 8_000] };
-    let mut by = Groups::new("feed", "feed", "gateways", &[("purges_per_s", TARGET_PURGES)]);
+    let mut by = SeriesGroups::new("feed", "feed", "gateways", &[("purges_per_s", TARGET_PURGES_PER_S)]);
     for &n in sizes {
-        if !by.feed.fits(n as f64, false) {
+        if !by.feed.fits_memory(n as f64, false) {
             break;
         }
-        by.take(n as f64, run(seed, Load { shape: Shape::of(n), ..load }, calm));
+        by.push(n as f64, run(seed, Load { shape: Shape::of(n), ..load }, no_fault));
     }
-    all.extend(by.ladders(seed));
+    all.extend(by.series(seed));
 
-    let mut by = Groups::new("feed", "feed", "purges_per_s", &[("gateways", n as f64)]);
+    let mut by = SeriesGroups::new("feed", "feed", "purges_per_s", &[("gateways", n as f64)]);
     for rate in [15.0, 50.0, 150.0, 300.0, 600.0] {
-        by.take(rate, run(seed, Load { purges_per_s: rate, ..load }, calm));
+        by.push(rate, run(seed, Load { purges_per_s: rate, ..load }, no_fault));
     }
-    all.extend(by.ladders(seed));
+    all.extend(by.series(seed));
     if !quick {
-        let mut by = Groups::new("feed-at-8000", "feed", "purges_per_s", &[("gateways", 8_000.0)]);
+        let mut by = SeriesGroups::new("feed-at-8000", "feed", "purges_per_s", &[("gateways", 8_000.0)]);
         for rate in [15.0, 50.0, 300.0] {
             let load = Load { shape: Shape::of(8_000), purges_per_s: rate, span: ms(4_000), ..load };
-            by.take(rate, run(seed, load, calm));
+            by.push(rate, run(seed, load, no_fault));
         }
-        all.extend(by.ladders(seed));
+        all.extend(by.series(seed));
     }
 
     let sites: [usize; 5] = if quick { [1, 2, 3, 4, 6] } else { [10, 20, 42, 80, 160] };
-    let fixed = [("gateways", n as f64), ("purges_per_s", TARGET_PURGES)];
-    let mut by = Groups::new("feed", "feed", "sites", &fixed);
+    let fixed = [("gateways", n as f64), ("purges_per_s", TARGET_PURGES_PER_S)];
+    let mut by = SeriesGroups::new("feed", "feed", "sites", &fixed);
     for sites in sites {
-        by.take(sites as f64, run(seed, Load { shape: Shape { sites, ..shape }, ..load }, calm));
+        by.push(sites as f64, run(seed, Load { shape: Shape { sites, ..shape }, ..load }, no_fault));
     }
-    all.extend(by.ladders(seed));
+    all.extend(by.series(seed));
 
     // 0.085 a second is the target.
-    let mut by = Groups::new("feed", "feed", "changes_per_s", &fixed);
+    let mut by = SeriesGroups::new("feed", "feed", "changes_per_s", &fixed);
     for rate in if quick { [2.0, 4.0, 8.0, 16.0, 32.0] } else { [0.085, 0.34, 1.36, 5.44, 21.76] } {
         let span = if rate < 1.0 { ms(40_000) } else { span };
-        by.take(rate, run(seed, Load { changes_per_s: rate, span, ..load }, calm));
+        by.push(rate, run(seed, Load { changes_per_s: rate, span, ..load }, no_fault));
     }
-    all.extend(by.ladders(seed));
+    all.extend(by.series(seed));
 
-    let mut by = Groups::new("feed", "feed", "restarts_per_h", &fixed);
+    let mut by = SeriesGroups::new("feed", "feed", "restarts_per_h", &fixed);
     let per_h = [450.0, 900.0, 1_800.0, 3_600.0, 7_200.0];
     for per_h in if quick { per_h.map(|n| n * 4.0) } else { per_h } {
         let span = if quick { ms(3_000) } else { ms(17_000) };
-        by.take(per_h, run(seed, Load { span, ..load }, |net, span| restarts(net, span, per_h)));
+        by.push(per_h, run(seed, Load { span, ..load }, |net, span| restarts(net, span, per_h)));
     }
-    all.extend(by.ladders(seed));
+    all.extend(by.series(seed));
     all
 }
--- a/scale/src/ladders/group.rs
+++ b/scale/src/benchmarks/group.rs
@@ -2,8 +2,8 @@
 //! not reach all: it ends the measuring.
 
 use crate::memory;
-use crate::sim::Spent;
-use crate::slopes::{Host, Ladder, Point};
+use crate::sim::Usage;
+use crate::slopes::{Host, Sample, Series};
 use hdrhistogram::Histogram;
 use kelpcart::Span;
 use std::collections::BTreeMap;
@@ -11,8 +11,8 @@
 /// What one size gave.
 pub struct Run {
     /// Of each member, over the time.
-    pub spent: Vec<Spent>,
-    pub over: Span,
+    pub usage: Vec<Usage>,
+    pub duration: Span,
     /// From a list service's line to each gateway, in us.
     pub delays: Histogram<u64>,
     /// Bytes of one member.
@@ -20,14 +20,14 @@
     /// From the start of all until all know all.
     pub start: Span,
     /// Whether each live gateway knows each change in the end.
-    pub told: Result<(), String>,
+    pub converged: Result<(), String>,
     /// Other figures by their names and units.
-    pub more: Vec<(&'static str, &'static str, f64)>,
+    pub extra: Vec<(&'static str, &'static str, f64)>,
 }
 
 /// Runs at growing sizes of one thing.
-pub struct Group {
-    of: String,
+pub struct SeriesGroup {
+    name: String,
     /// The ladders' name at the command line.
     module: &'static str,
     mechanism: &'static str,
@@ -37,96 +37,96 @@
     runs: Vec<(f64, Run)>,
 }
 
-type Quantity = (&'static str, &'static str, bool, fn(&Spent) -> f64);
+type Metric = (&'static str, &'static str, bool, fn(&Usage) -> f64);
 
-const QUANTITIES: [Quantity; 5] = [
+const METRICS: [Metric; 5] = [
     ("bytes-in", "B/s", false, |s| s.bytes_in as f64),
     ("bytes-out", "B/s", false, |s| s.bytes_out as f64),
     ("datagrams-in", "datagrams/s", false, |s| s.datagrams_in as f64),
     ("datagrams-out", "datagrams/s", false, |s| s.datagrams_out as f64),
-    ("processor", "us/s", true, |s| s.processor.as_secs_f64() * 1e6),
+    ("processor", "us/s", true, |s| s.cpu_time.as_secs_f64() * 1e6),
 ];
 
-impl Group {
+impl SeriesGroup {
     pub fn new(
-        of: &str,
+        name: &str,
         module: &'static str,
         mechanism: &'static str,
         host: Host,
         over: &'static str,
         fixed: &[(&str, f64)],
-    ) -> Group {
+    ) -> SeriesGroup {
         let fixed = fixed.iter().map(|(k, v)| ((*k).to_owned(), *v)).collect();
-        Group { of: of.to_owned(), module, mechanism, host, over, fixed, runs: Vec::new() }
+        SeriesGroup { name: name.to_owned(), module, mechanism, host, over, fixed, runs: Vec::new() }
     }
 
     /// Whether a run of so many members fits into half of the memory, by what the last one took: `grows` where each
     /// member holds all others.
-    pub fn fits(&self, n: f64, grows: bool) -> bool {
+    pub fn fits_memory(&self, n: f64, grows: bool) -> bool {
         let Some((at, run)) = self.runs.last() else { return true };
         let each = run.memory * if grows { n / at } else { 1.0 };
         match memory::fits((each * n) as u64) {
             Ok(()) => true,
             Err(why) => {
-                eprintln!("{} stops before {n} {}: {why}", self.of, self.over);
+                eprintln!("{} stops before {n} {}: {why}", self.name, self.over);
                 false
             }
         }
     }
 
-    pub fn take(&mut self, at: f64, run: Run) {
-        if let Err(why) = &run.told {
-            panic!("{} at {at} {}: {why}", self.of, self.over);
+    pub fn push(&mut self, at: f64, run: Run) {
+        if let Err(why) = &run.converged {
+            panic!("{} at {at} {}: {why}", self.name, self.over);
         }
-        eprintln!("{} at {at} {}: {}", self.of, self.over, run.told_short());
+        eprintln!("{} at {at} {}: {}", self.name, self.over, run.summary());
         self.runs.push((at, run));
     }
 
-    pub fn ladders(&self, seed: u64) -> Vec<Ladder> {
-        let mut all: Vec<Ladder> = QUANTITIES
+    pub fn series(&self, seed: u64) -> Vec<Series> {
+        let mut all: Vec<Series> = METRICS
             .iter()
             .map(|(name, unit, timed, of)| {
-                self.ladder(seed, name, unit, *timed, |run| {
-                    let a_second = |s: &Spent| of(s) / run.over.as_secs_f64();
-                    let sum: f64 = run.spent.iter().map(a_second).sum();
-                    let worst = run.spent.iter().map(a_second).fold(0.0, f64::max);
-                    (!run.spent.is_empty()).then(|| (sum / run.spent.len() as f64, worst, None))
+                self.one_series(seed, name, unit, *timed, |run| {
+                    let a_second = |s: &Usage| of(s) / run.duration.as_secs_f64();
+                    let sum: f64 = run.usage.iter().map(a_second).sum();
+                    let worst = run.usage.iter().map(a_second).fold(0.0, f64::max);
+                    (!run.usage.is_empty()).then(|| (sum / run.usage.len() as f64, worst, None))
                 })
             })
             .collect();
-        all.push(self.ladder(seed, "memory", "B", false, |r| Some((r.memory, r.memory, None))));
-        all.push(self.ladder(seed, "delay", "ms", false, |r| {
+        all.push(self.one_series(seed, "memory", "B", false, |r| Some((r.memory, r.memory, None))));
+        all.push(self.one_series(seed, "delay", "ms", false, |r| {
             let at = |us: u64| us as f64 / 1e3;
             let quantile = |q| at(r.delays.value_at_quantile(q));
             let some = !r.delays.is_empty();
             some.then(|| (r.delays.mean() / 1e3, at(r.delays.max()), Some((quantile(0.5), quantile(0.99)))))
         }));
-        all.push(self.ladder(seed, "start", "ms", false, |r| {
+        all.push(self.one_series(seed, "start", "ms", false, |r| {
             let took = r.start.as_secs_f64() * 1e3;
             Some((took, took, None))
         }));
-        for (at, (name, unit, _)) in self.runs.first().iter().flat_map(|r| r.1.more.iter().enumerate()) {
-            all.push(self.ladder(seed, name, unit, false, |r| r.more.get(at).map(|m| (m.2, m.2, None))));
+        for (at, (name, unit, _)) in self.runs.first().iter().flat_map(|r| r.1.extra.iter().enumerate()) {
+            all.push(self.one_series(seed, name, unit, false, |r| r.extra.get(at).map(|m| (m.2, m.2, None))));
         }
         all.retain(|l| !l.points.is_empty());
         all
     }
 
-    fn ladder(
+    fn one_series(
         &self,
         seed: u64,
         name: &str,
         unit: &str,
         timed: bool,
         of: impl Fn(&Run) -> Option<(f64, f64, Option<(f64, f64)>)>,
-    ) -> Ladder {
+    ) -> Series {
         let point = |(at, run): &(f64, Run)| {
             let (mean, worst, quantiles) = of(run)?;
             let (p50, p99) = quantiles.unzip();
-            Some(Point { at: *at, mean, worst, p50, p99 })
+            Some(Sample { at: *at, mean, worst, p50, p99 })
         };
-        Ladder {
-            id: format!("{}.{name}.by-{}", self.of, self.over.replace('_', "-")),
+        Series {
+            id: format!("{}.{name}.by-{}", self.name, self.over.replace('_', "-")),
             over: self.over.to_owned(),
             fixed: self.fixed.clone(),
             unit: unit.to_owned(),
@@ -144,11 +144,11 @@
 }
 
 impl Run {
-    fn told_short(&self) -> String {
-        let n = self.spent.len().max(1) as f64;
-        let s = self.over.as_secs_f64();
-        let more: String = self.more.iter().map(|(name, _, n)| format!("; {name} {n}")).collect();
-        let out = self.spent.iter().map(|x| x.bytes_out as f64 / s);
+    fn summary(&self) -> String {
+        let n = self.usage.len().max(1) as f64;
+        let s = self.duration.as_secs_f64();
+        let more: String = self.extra.iter().map(|(name, _, n)| format!("; {name} {n}")).collect();
+        let out = self.usage.iter().map(|x| x.bytes_out as f64 / s);
         let (sum, worst) = out.fold((0.0, 0f64), |(a, w), x| (a + x, w.max(x)));
         format!(
             "{:.0} B/s out at the mean, {worst:.0} at the worst; p99 {:.1} ms, most {:.1} ms; {:.0} B held{more}",
--- a/scale/src/ladders/loopback.rs
+++ b/scale/src/benchmarks/loopback.rs
@@ -2,11 +2,11 @@
 //! run beside another ladder, nor in CI: it takes the machine.
 
 use crate::loopback::{Options, loopback};
-use crate::slopes::Ladder;
+use crate::slopes::Series;
 use std::time::Duration;
 
 /// None where it is short, and where the program is not there.
-pub fn measure(seed: u64, quick: bool) -> Vec<Ladder> {
+pub fn measure(seed: u64, quick: bool) -> Vec<Series> {
     let Some(own) = std::env::current_exe().ok().filter(|_| !quick) else { return Vec::new() };
     let kelpcart = own.with_file_name("kelpcart");
     if !kelpcart.is_file() {
--- a/scale/src/ladders/mod.rs
+++ b/scale/src/benchmarks/mod.rs
@@ -1,6 +1,6 @@
 //! The ladders, each by what it measures, and their order. Must never run two at once: they measure processor time.
 
-use crate::slopes::Ladder;
+use crate::slopes::Series;
 
 pub mod data_path;
 pub mod feed;
@@ -11,7 +11,7 @@
 pub mod roles;
 
 /// Plays ladders with a seed; `quick`: short ones, as CI plays them.
-pub type Measure = fn(seed: u64, quick: bool) -> Vec<Ladder>;
+pub type Measure = fn(seed: u64, quick: bool) -> Vec<Series>;
 
 /// By the names that `--only` knows.
 pub const MODULES: &[(&str, Measure)] = &[
--- a/scale/src/ladders/module.rs
+++ b/scale/src/benchmarks/module.rs
@@ -2,7 +2,7 @@
 //! told. Owns simulated time and the members' answers. Must never decide in the module's place.
 
 use crate::memory;
-use crate::slopes::{Host, Ladder, Point};
+use crate::slopes::{Host, Sample, Series};
 use cpu_time::ThreadTime;
 use kelpcart::hash_prefix::{PrefixSet, object_hash};
 use kelpcart::interface::*;
@@ -16,22 +16,22 @@
 const PARENT: usize = 1;
 const ORIGIN: usize = 2;
 /// Zones beside the own one.
-const OTHERS: usize = 29;
+const OTHER_ZONES: usize = 29;
 /// Gateways in all, and before one zone's caches.
 const GATEWAYS: u32 = 8_000;
 const ZONE_GATEWAYS: u32 = 267;
-const KB: f64 = 120.0;
+const OBJECT_KB: f64 = 120.0;
 const CLIENT_KB_PER_S: f64 = 5_000.0;
 const OBJECTS: u64 = 1 << 20;
 /// The feed's period, and bits of a name while there is room.
-const PERIOD: Span = Span::from_millis(500);
-const BITS: u8 = 40;
+const FEED_PERIOD: Span = Span::from_millis(500);
+const HASH_BITS: u8 = 40;
 /// Purges are kept for so long.
-const PURGE_KEPT: Span = Span::from_millis(7_000);
+const PURGE_RETENTION: Span = Span::from_millis(7_000);
 /// Of the txns, those that a cache holds.
-const HELD: f64 = 0.9;
+const HIT_RATIO: f64 = 0.9;
 /// How many times what is in flight at a member it bears: nothing is to be turned away here.
-const BEARS: f64 = 16.0;
+const CAPACITY_FACTOR: f64 = 16.0;
 const LOGIC: &str = "src/logic.rs";
 const COMMAND: &str = "cargo run --release -p kelpcart-scale -- measure --only module --json FILE";
 
@@ -44,8 +44,8 @@
     pub parents: usize,
     pub purges_per_s: u32,
     /// They come as the feed brings them, a set each period; else one by one, at full length.
-    pub sets: bool,
-    pub open: usize,
+    pub purge_sets: bool,
+    pub in_flight: usize,
     pub txns_per_s: f64,
     /// Gateways before one zone's caches.
     pub zone_gateways: u32,
@@ -57,7 +57,17 @@
     fn default() -> Case {
         let (caches, zone_caches, parents, purges_per_s) = (1_100, 37, 11, 0);
         let (sets, open, txns_per_s, zone_gateways, cold) = (false, 60, 1_200.0, ZONE_GATEWAYS, None);
-        Case { caches, zone_caches, parents, purges_per_s, sets, open, txns_per_s, zone_gateways, cold }
+        Case {
+            caches,
+            zone_caches,
+            parents,
+            purges_per_s,
+            purge_sets: sets,
+            in_flight: open,
+            txns_per_s,
+            zone_gateways,
+            cold,
+        }
     }
 }
 
@@ -68,7 +78,7 @@
             ("zone_caches", self.zone_caches as f64),
             ("parents", self.parents as f64),
             ("purges_per_s", f64::from(self.purges_per_s)),
-            ("open_txns", self.open as f64),
+            ("open_txns", self.in_flight as f64),
             ("txns_per_s", self.txns_per_s),
             ("zone_gateways", f64::from(self.zone_gateways)),
         ];
@@ -76,16 +86,16 @@
         rest.map(|(name, n)| (name.to_owned(), n)).collect()
     }
 
-    fn purges_every(&self) -> Span {
-        if self.sets { PERIOD } else { Span::from_secs_f64(1.0 / f64::from(self.purges_per_s)) }
+    fn purge_interval(&self) -> Span {
+        if self.purge_sets { FEED_PERIOD } else { Span::from_secs_f64(1.0 / f64::from(self.purges_per_s)) }
     }
 
-    fn takes(&self) -> Span {
-        Span::from_secs_f64(self.open as f64 / self.txns_per_s)
+    fn txn_duration(&self) -> Span {
+        Span::from_secs_f64(self.in_flight as f64 / self.txns_per_s)
     }
 
     fn settings(&self) -> Settings {
-        let sla = Span::from_millis(500).max(self.takes() * 4.0);
+        let sla = Span::from_millis(500).max(self.txn_duration() * 4.0);
         let rule = RemapRule {
             effect: Effect::Repeatable,
             dedup_scope: DedupScope::All,
@@ -129,18 +139,19 @@
     }
 
     fn list(&self, now: Time) -> Vec<Member> {
-        let size =
-            |sharers: u32, of: usize| BEARS * self.open as f64 / of.max(1) as f64 * f64::from(sharers) / 4.0;
+        let size = |sharers: u32, of: usize| {
+            CAPACITY_FACTOR * self.in_flight as f64 / of.max(1) as f64 * f64::from(sharers) / 4.0
+        };
         let cache = self.cold.unwrap_or_else(|| size(self.zone_gateways, self.zone_caches));
         let parent = size(GATEWAYS, self.parents);
-        let far = |i: usize| if i < self.zone_caches { 0 } else { 1 + i % OTHERS };
+        let far = |i: usize| if i < self.zone_caches { 0 } else { 1 + i % OTHER_ZONES };
         let started = |i: usize| self.cold.filter(|_| i < self.zone_caches).map(|_| now);
         let caches = (0..self.caches).map(|i| {
             let m = member(format!("cache-{i}"), EDGE, far(i), cache);
             Member { started: started(i), ..m }
         });
         let parents =
-            (0..self.parents).map(|i| member(format!("parent-{i}"), PARENT, 1 + i % OTHERS, parent));
+            (0..self.parents).map(|i| member(format!("parent-{i}"), PARENT, 1 + i % OTHER_ZONES, parent));
         let origin = (self.parents > 0).then(|| member("origin".to_owned(), ORIGIN, 1, parent));
         caches.chain(parents).chain(origin).collect()
     }
@@ -153,47 +164,48 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
-    pub asked: u64,
+    pub submitted: u64,
     pub hops: u64,
     /// Rejected and aborted.
     pub refused: u64,
 }
 
 /// A gateway's module and members that all answer after one time.
-pub struct World {
+pub struct Harness {
     pub gateway: Gateway,
     pub now: Time,
     pub counts: Counts,
     case: Case,
     rng: Pcg64Mcg,
-    out: VecDeque<(Time, Outcome, MemberId)>,
+    pending: VecDeque<(Time, Outcome, MemberId)>,
     next_purge: Time,
 }
 
-impl World {
-    pub fn new(case: Case, seed: u64) -> World {
+impl Harness {
+    pub fn new(case: Case, seed: u64) -> Harness {
         let now = Time::from_micros(1_000_000_000);
         let mut gateway = Gateway::new(case.settings(), seed, now);
         gateway.update_members(now, true, case.list(now));
         let (counts, rng) = (Counts::default(), Pcg64Mcg::seed_from_u64(seed));
-        let mut world = World { gateway, now, counts, case, rng, out: VecDeque::new(), next_purge: now };
-        world.purges_before();
+        let mut world =
+            Harness { gateway, now, counts, case, rng, pending: VecDeque::new(), next_purge: now };
+        world.preload_purges();
         world
     }
 
     /// Those that are kept after a long time at this rate.
-    fn purges_before(&mut self) {
-        let mut ago = PURGE_KEPT;
+    fn preload_purges(&mut self) {
+        let mut ago = PURGE_RETENTION;
         while self.case.purges_per_s > 0 && ago > Span::ZERO {
             self.purge(ago);
-            let every = self.case.purges_every();
+            let every = self.case.purge_interval();
             ago = Span::from_micros(ago.as_micros().saturating_sub(every.as_micros()));
         }
     }
 
     fn purge(&mut self, ago: Span) {
-        let names = if self.case.sets { self.case.purges_per_s as usize / 2 } else { 1 };
-        let bits = if self.case.sets { BITS } else { u64::BITS as u8 };
+        let names = if self.case.purge_sets { self.case.purges_per_s as usize / 2 } else { 1 };
+        let bits = if self.case.purge_sets { HASH_BITS } else { u64::BITS as u8 };
         let objects = (0..names).map(|_| self.rng.random_range(0..OBJECTS)).map(object_hash);
         let names = PrefixSet::new(bits, objects.collect::<Vec<_>>());
         let then = self.now.saturating_sub(ago);
@@ -201,37 +213,37 @@
     }
 
     /// One txn's turn; `sent` sees the hops.
-    pub fn txn(&mut self, sent: &mut impl FnMut(Time, &MemberId, bool)) {
+    pub fn submit_txn(&mut self, sent: &mut impl FnMut(Time, &MemberId, bool)) {
         self.now += Span::from_secs_f64(1.0 / self.case.txns_per_s);
         while self.case.purges_per_s > 0 && self.next_purge <= self.now {
             self.purge(Span::ZERO);
-            self.next_purge += self.case.purges_every();
+            self.next_purge += self.case.purge_interval();
         }
-        while self.out.front().is_some_and(|(at, ..)| *at <= self.now) {
-            let Some((at, outcome, member)) = self.out.pop_front() else { break };
+        while self.pending.front().is_some_and(|(at, ..)| *at <= self.now) {
+            let Some((at, outcome, member)) = self.pending.pop_front() else { break };
             sent(at, &member, false);
             self.gateway.record_outcome(at, outcome);
-            self.pull(at, sent);
+            self.handle_decisions(at, sent);
         }
-        self.counts.asked += 1;
+        self.counts.submitted += 1;
         let (object, rule, part, write) = (self.rng.random_range(0..OBJECTS), 0, 0, false);
-        let (id, group, size) = (self.counts.asked, object % 256, Some(KB));
-        let left = self.case.settings_left();
+        let (id, group, size) = (self.counts.submitted, object % 256, Some(OBJECT_KB));
+        let left = self.case.txn_time_left();
         self.gateway.submit(
             self.now,
             Txn { id, rule, object, group, part, is_write: write, size, time_left: left, max_age: None },
         );
-        self.pull(self.now, sent);
+        self.handle_decisions(self.now, sent);
     }
 
-    fn pull(&mut self, now: Time, sent: &mut impl FnMut(Time, &MemberId, bool)) {
+    fn handle_decisions(&mut self, now: Time, sent: &mut impl FnMut(Time, &MemberId, bool)) {
         while let Some(decision) = self.gateway.poll(now) {
             match decision {
                 Decision::Hop { txn, member, .. } => {
                     sent(now, &member, true);
                     self.counts.hops += 1;
-                    let took = self.case.takes();
-                    let held = self.rng.random_bool(HELD);
+                    let took = self.case.txn_duration();
+                    let held = self.rng.random_bool(HIT_RATIO);
                     let note = Some(if held { CacheStatus::Held } else { CacheStatus::Filled });
                     let (end, closed, first_byte) = (HopStatus::Completed, true, Some(Span::from_millis(20)));
                     let load = LoadReport::default();
@@ -245,7 +257,7 @@
                         first_byte,
                         load,
                     };
-                    self.out.push_back((now + took, o, member));
+                    self.pending.push_back((now + took, o, member));
                 }
                 Decision::Reject { .. } | Decision::Abort { .. } => self.counts.refused += 1,
                 Decision::Cancel { .. } | Decision::Subscribe => {}
@@ -254,61 +266,61 @@
     }
 
     /// Entries of all tables; what is measured in ms or counts a part of another table is none.
-    pub fn kept(&self) -> usize {
+    pub fn table_entries(&self) -> usize {
         let no_table = ["members left out", "purges joined at the bound", "ms of the longest silence"];
         self.gateway.table_sizes(self.now).filter(|(name, _)| !no_table.contains(name)).map(|(_, n)| n).sum()
     }
 }
 
 impl Case {
-    fn settings_left(&self) -> Span {
-        Span::from_millis(6_000).max(self.takes() * 16.0)
+    fn txn_time_left(&self) -> Span {
+        Span::from_millis(6_000).max(self.txn_duration() * 16.0)
     }
 }
 
-struct Played {
+struct Measurement {
     /// Processor time a txn, of each batch.
     us: Vec<f64>,
-    kept: usize,
+    table_entries: usize,
     /// Bytes of the module.
     memory: f64,
     refused: f64,
 }
 
 /// All that is in flight, then batches of a second's txns.
-fn play(case: Case, seed: u64, quick: bool) -> Played {
-    let mut world = World::new(case, seed);
+fn run_case(case: Case, seed: u64, quick: bool) -> Measurement {
+    let mut world = Harness::new(case, seed);
     let (batch, batches) = if quick { (50, 2) } else { (case.txns_per_s as usize, 5) };
     // Until as many are open as are to be, and the first ones have closed.
-    for _ in 0..case.open + 100 {
-        world.txn(&mut |_, _, _| {});
+    for _ in 0..case.in_flight + 100 {
+        world.submit_txn(&mut |_, _, _| {});
     }
-    let kept = world.kept();
+    let kept = world.table_entries();
     let us = (0..batches).map(|_| {
         let began = ThreadTime::now();
         for _ in 0..batch {
-            world.txn(&mut |_, _, _| {});
+            world.submit_txn(&mut |_, _, _| {});
         }
         began.elapsed().as_secs_f64() * 1e6 / batch as f64
     });
     let us = us.collect();
-    let (refused, held) = (world.counts.refused as f64 / world.counts.asked as f64, memory::held());
+    let (refused, held) = (world.counts.refused as f64 / world.counts.submitted as f64, memory::allocated());
     drop(world.gateway);
-    Played { us, kept, memory: held.saturating_sub(memory::held()) as f64, refused }
+    Measurement { us, table_entries: kept, memory: held.saturating_sub(memory::allocated()) as f64, refused }
 }
 
-pub fn point(at: f64, all: &[f64]) -> Point {
+pub fn sample(at: f64, all: &[f64]) -> Sample {
     let mean = all.iter().sum::<f64>() / all.len().max(1) as f64;
-    Point { at, mean, worst: all.iter().copied().fold(0.0, f64::max), p50: None, p99: None }
+    Sample { at, mean, worst: all.iter().copied().fold(0.0, f64::max), p50: None, p99: None }
 }
 
 /// The sizes of a ladder, or its five smallest.
-pub fn some(sizes: &[usize], quick: bool) -> &[usize] {
+pub fn limit_sizes(sizes: &[usize], quick: bool) -> &[usize] {
     &sizes[..if quick { sizes.len().min(5) } else { sizes.len() }]
 }
 
 /// What a quantity is, beside its points.
-pub struct Head<'a> {
+pub struct SeriesHead<'a> {
     pub id: &'a str,
     pub over: &'a str,
     pub unit: &'a str,
@@ -318,9 +330,9 @@
     pub timed: bool,
 }
 
-impl Head<'_> {
-    pub fn with(&self, fixed: BTreeMap<String, f64>, points: Vec<Point>) -> Ladder {
-        Ladder {
+impl SeriesHead<'_> {
+    pub fn series(&self, fixed: BTreeMap<String, f64>, points: Vec<Sample>) -> Series {
+        Series {
             id: self.id.to_owned(),
             over: self.over.to_owned(),
             fixed,
@@ -334,55 +346,67 @@
     }
 }
 
-type Grown = fn(usize) -> Case;
+type CaseFn = fn(usize) -> Case;
 
-fn head<'a>(id: &'a str, over: &'a str, unit: &'a str, timed: bool) -> Head<'a> {
-    Head { id, over, unit, mechanism: LOGIC, command: COMMAND, host: Host::Core, timed }
+fn head<'a>(id: &'a str, over: &'a str, unit: &'a str, timed: bool) -> SeriesHead<'a> {
+    SeriesHead { id, over, unit, mechanism: LOGIC, command: COMMAND, host: Host::Core, timed }
 }
 
 /// Processor time a txn, entries and bytes kept and the part refused, by one thing that grows.
-fn txns(name: &str, over: &str, sizes: &[usize], grown: Grown, (seed, quick): (u64, bool)) -> Vec<Ladder> {
-    let played: Vec<(f64, Played)> = sizes.iter().map(|&n| (n as f64, play(grown(n), seed, quick))).collect();
+fn txn_series(
+    name: &str,
+    over: &str,
+    sizes: &[usize],
+    grown: CaseFn,
+    (seed, quick): (u64, bool),
+) -> Vec<Series> {
+    let played: Vec<(f64, Measurement)> =
+        sizes.iter().map(|&n| (n as f64, run_case(grown(n), seed, quick))).collect();
     let fixed = grown(sizes[0]).fixed(over);
-    let one = |what: &str, unit: &str, timed: bool, of: fn(&Played) -> Vec<f64>| {
+    let one = |what: &str, unit: &str, timed: bool, of: fn(&Measurement) -> Vec<f64>| {
         let id = format!("module.{what}.by-{name}");
-        let points = played.iter().map(|(at, p)| point(*at, &of(p))).collect();
-        head(&id, over, unit, timed).with(fixed.clone(), points)
+        let points = played.iter().map(|(at, p)| sample(*at, &of(p))).collect();
+        head(&id, over, unit, timed).series(fixed.clone(), points)
     };
     vec![
         one("processor", "us", true, |p| p.us.clone()),
-        one("kept", "objects", false, |p| vec![p.kept as f64]),
+        one("kept", "objects", false, |p| vec![p.table_entries as f64]),
         one("memory", "B", false, |p| vec![p.memory]),
         one("refused-part", "part", false, |p| vec![p.refused]),
     ]
 }
 
 /// Processor time of one change of the list, at growing lists.
-fn changes(id: &str, sizes: &[usize], (seed, quick): (u64, bool), change: fn(&mut World, usize)) -> Ladder {
+fn list_change_series(
+    id: &str,
+    sizes: &[usize],
+    (seed, quick): (u64, bool),
+    change: fn(&mut Harness, usize),
+) -> Series {
     let rounds = if quick { 2 } else { 20 };
     let points = sizes.iter().map(|&caches| {
-        let mut world = World::new(Case { caches, ..Case::default() }, seed);
-        (0..300).for_each(|_| world.txn(&mut |_, _, _| {}));
+        let mut world = Harness::new(Case { caches, ..Case::default() }, seed);
+        (0..300).for_each(|_| world.submit_txn(&mut |_, _, _| {}));
         let us = (0..rounds).map(|round| {
             let began = ThreadTime::now();
             change(&mut world, round);
             began.elapsed().as_secs_f64() * 1e6
         });
         let us: Vec<f64> = us.collect();
-        point(caches as f64, &us)
+        sample(caches as f64, &us)
     });
     let points = points.collect();
-    head(id, "caches", "us", true).with(Case::default().fixed("caches"), points)
+    head(id, "caches", "us", true).series(Case::default().fixed("caches"), points)
 }
 
-fn one_drains(world: &mut World, round: usize) {
+fn drain_one(world: &mut Harness, round: usize) {
     let mut one = member(format!("cache-{}", round / 2), EDGE, 0, 100.0);
     one.state = if round.is_multiple_of(2) { MemberState::Draining } else { MemberState::Up };
     world.gateway.update_members(world.now, false, vec![one]);
 }
 
 /// One goes and another one, with a name of its own, comes.
-fn one_is_replaced(world: &mut World, round: usize) {
+fn replace_one(world: &mut Harness, round: usize) {
     let name = |round: usize| if round == 0 { "cache-0".to_owned() } else { format!("new-{round}") };
     let mut gone = member(name(round), EDGE, 0, 100.0);
     gone.state = MemberState::Gone;
@@ -390,30 +414,60 @@
     world.gateway.update_members(world.now, false, news);
 }
 
-fn whole_list(world: &mut World, _: usize) {
+fn replace_all(world: &mut Harness, _: usize) {
     world.gateway.update_members(world.now, true, world.case.list(world.now));
 }
 
-pub fn measure(seed: u64, quick: bool) -> Vec<Ladder> {
+pub fn measure(seed: u64, quick: bool) -> Vec<Series> {
     let how = (seed, quick);
-    let caches = some(&[100, 200, 300, 600, 1_100, 2_200], quick);
-    let mut all = txns("caches", "caches", caches, |caches| Case { caches, ..Case::default() }, how);
+    let caches = limit_sizes(&[100, 200, 300, 600, 1_100, 2_200], quick);
+    let mut all = txn_series("caches", "caches", caches, |caches| Case { caches, ..Case::default() }, how);
     let one_zone = |n| Case { caches: n, zone_caches: n, ..Case::default() };
-    all.extend(txns("caches-of-one-zone", "caches", caches, one_zone, how));
+    all.extend(txn_series("caches-of-one-zone", "caches", caches, one_zone, how));
     let zone = |n| Case { zone_caches: n, ..Case::default() };
-    all.extend(txns("zone-caches", "zone_caches", some(&[10, 20, 37, 75, 150, 300], quick), zone, how));
+    all.extend(txn_series(
+        "zone-caches",
+        "zone_caches",
+        limit_sizes(&[10, 20, 37, 75, 150, 300], quick),
+        zone,
+        how,
+    ));
     let no_source = |n| Case { caches: n, parents: 0, ..Case::default() };
-    all.extend(txns("caches-without-parents", "caches", caches, no_source, how));
+    all.extend(txn_series("caches-without-parents", "caches", caches, no_source, how));
     let parents = |n| Case { parents: n, ..Case::default() };
-    all.extend(txns("parents", "parents", some(&[5, 11, 33, 66, 110, 220], quick), parents, how));
+    all.extend(txn_series(
+        "parents",
+        "parents",
+        limit_sizes(&[5, 11, 33, 66, 110, 220], quick),
+        parents,
+        how,
+    ));
     let purges = |n: usize| Case { purges_per_s: n as u32, ..Case::default() };
-    all.extend(txns("purges", "purges_per_s", some(&[0, 15, 50, 150, 300, 1_500], quick), purges, how));
-    let sets = |n: usize| Case { purges_per_s: n as u32, sets: true, ..Case::default() };
-    all.extend(txns("purges-in-sets", "purges_per_s", some(&[0, 15, 50, 150, 300, 1_500], quick), sets, how));
-    let open = |open| Case { open, ..Case::default() };
-    all.extend(txns("open-txns", "open_txns", some(&[60, 125, 250, 1_000, 4_000, 16_000], quick), open, how));
-    all.push(changes("module.processor-of-a-change.by-caches", caches, how, one_drains));
-    all.push(changes("module.processor-of-a-replacement.by-caches", caches, how, one_is_replaced));
-    all.push(changes("module.processor-of-a-whole-list.by-caches", caches, how, whole_list));
+    all.extend(txn_series(
+        "purges",
+        "purges_per_s",
+        limit_sizes(&[0, 15, 50, 150, 300, 1_500], quick),
+        purges,
+        how,
+    ));
+    let sets = |n: usize| Case { purges_per_s: n as u32, purge_sets: true, ..Case::default() };
+    all.extend(txn_series(
+        "purges-in-sets",
+        "purges_per_s",
+        limit_sizes(&[0, 15, 50, 150, 300, 1_500], quick),
+        sets,
+        how,
+    ));
+    let open = |open| Case { in_flight: open, ..Case::default() };
+    all.extend(txn_series(
+        "open-txns",
+        "open_txns",
+        limit_sizes(&[60, 125, 250, 1_000, 4_000, 16_000], quick),
+        open,
+        how,
+    ));
+    all.push(list_change_series("module.processor-of-a-change.by-caches", caches, how, drain_one));
+    all.push(list_change_series("module.processor-of-a-replacement.by-caches", caches, how, replace_one));
+    all.push(list_change_series("module.processor-of-a-whole-list.by-caches", caches, how, replace_all));
     all
 }
--- a/scale/src/ladders/roles.rs
+++ b/scale/src/benchmarks/roles.rs
@@ -2,9 +2,9 @@
 //! keepers, groups of ledgers, the decision on zones. Owns the worlds that these cores stand in. Must never count what a
 //! world of its own costs as its core's.
 
-use crate::ladders::module::{Case, Head, World, point, some};
+use crate::benchmarks::module::{Case, Harness, SeriesHead, limit_sizes, sample};
 use crate::sim::{Actor, Sim};
-use crate::slopes::{Host, Ladder, Point};
+use crate::slopes::{Host, Sample, Series};
 use cpu_time::ThreadTime;
 use kelpcart::interface::MemberId;
 use kelpcart::{Span, Time};
@@ -27,8 +27,8 @@
 
 const COMMAND: &str = "cargo run --release -p kelpcart-scale -- measure --only roles --json FILE";
 
-fn head<'a>(id: &'a str, over: &'a str, unit: &'a str, mechanism: &'a str) -> Head<'a> {
-    Head { id, over, unit, mechanism, command: COMMAND, host: Host::Core, timed: false }
+fn head<'a>(id: &'a str, over: &'a str, unit: &'a str, mechanism: &'a str) -> SeriesHead<'a> {
+    SeriesHead { id, over, unit, mechanism, command: COMMAND, host: Host::Core, timed: false }
 }
 
 fn fixed(all: &[(&str, f64)]) -> BTreeMap<String, f64> {
@@ -38,16 +38,16 @@
 // Connections.
 
 /// A connection that rests is closed after this time: the host's, from `ConnIdleUs` of 15 s.
-const KEPT: Span = Span::from_millis(11_250);
+const IDLE_RETENTION: Span = Span::from_millis(11_250);
 const CACHES: &str = "gateway/src/caches.rs";
 
 /// Caches to which one gateway has connections out or kept.
-fn kept_to(case: Case, seed: u64) -> f64 {
-    let mut world = World::new(case, seed);
-    let ends = world.now + KEPT;
+fn connected_caches(case: Case, seed: u64) -> f64 {
+    let mut world = Harness::new(case, seed);
+    let ends = world.now + IDLE_RETENTION;
     let mut sent: BTreeMap<MemberId, u64> = BTreeMap::new();
     while world.now < ends {
-        world.txn(&mut |_, member, begins| {
+        world.submit_txn(&mut |_, member, begins| {
             if begins && member.starts_with("cache-") {
                 *sent.entry(member.clone()).or_default() += 1;
             }
@@ -56,13 +56,14 @@
     sent.len() as f64
 }
 
-fn connections(seed: u64, quick: bool) -> Vec<Ladder> {
+fn connection_series(seed: u64, quick: bool) -> Vec<Series> {
     let one = |id: &str, over: &str, sizes: &[usize], case: fn(usize) -> Case| {
-        let points = some(sizes, quick).iter().map(|&n| point(n as f64, &[kept_to(case(n), seed)]));
-        head(id, over, "count", CACHES).with(case(sizes[0]).fixed(over), points.collect())
+        let points =
+            limit_sizes(sizes, quick).iter().map(|&n| sample(n as f64, &[connected_caches(case(n), seed)]));
+        head(id, over, "count", CACHES).series(case(sizes[0]).fixed(over), points.collect())
     };
     // All of a txn lasts 50 ms, whatever the rate.
-    let at_rate = |n: usize| Case { txns_per_s: n as f64, open: (n / 20).max(1), ..Case::default() };
+    let at_rate = |n: usize| Case { txns_per_s: n as f64, in_flight: (n / 20).max(1), ..Case::default() };
     let in_zone = |n: usize| Case { zone_caches: n, txns_per_s: 600.0, ..Case::default() };
     vec![
         one("connections.caches.by-txns", "txns_per_s", &[1, 3, 10, 30, 100, 300, 1_200], at_rate),
@@ -80,17 +81,17 @@
 /// A cache's transfers: twice what 9.6 million txns a second of 24 ms put in flight at one of 1,100.
 const TRANSFERS: f64 = 400.0;
 /// The span over which a cold one's budget counts.
-const OVER: Span = Span::from_millis(3_000);
+const COLD_SPAN: Span = Span::from_millis(3_000);
 
 /// What one gateway sends into each cold cache of its zone in the first span, where so many share them.
-fn into_cold(sharers: usize, seed: u64) -> Vec<f64> {
+fn txns_to_cold(sharers: usize, seed: u64) -> Vec<f64> {
     let cold = Some(TRANSFERS);
     let case = Case { zone_gateways: sharers as u32, cold, ..Case::default() };
-    let mut world = World::new(case, seed);
-    let ends = world.now + OVER;
+    let mut world = Harness::new(case, seed);
+    let ends = world.now + COLD_SPAN;
     let mut sent: BTreeMap<MemberId, f64> = BTreeMap::new();
     while world.now < ends {
-        world.txn(&mut |_, member, begins| {
+        world.submit_txn(&mut |_, member, begins| {
             if begins && member.starts_with("cache-") {
                 *sent.entry(member.clone()).or_default() += 1.0;
             }
@@ -101,24 +102,24 @@
     all
 }
 
-fn cold(seed: u64, quick: bool) -> Vec<Ladder> {
+fn cold_series(seed: u64, quick: bool) -> Vec<Series> {
     let sizes = [24, 267, 800, 2_400, 8_000, 24_000, 80_000];
-    let sizes = some(&sizes, quick);
+    let sizes = limit_sizes(&sizes, quick);
     let over = "zone_gateways";
     let case = Case { cold: Some(TRANSFERS), ..Case::default() };
     let mut stays = case.fixed(over);
     stays.insert("transfers".to_owned(), TRANSFERS);
-    let all: Vec<(f64, Vec<f64>)> = sizes.iter().map(|&n| (n as f64, into_cold(n, seed))).collect();
-    let each = all.iter().map(|(n, sent)| point(*n, sent)).collect();
+    let all: Vec<(f64, Vec<f64>)> = sizes.iter().map(|&n| (n as f64, txns_to_cold(n, seed))).collect();
+    let each = all.iter().map(|(n, sent)| sample(*n, sent)).collect();
     let whole = all.iter().map(|(n, sent)| {
-        let Point { mean, worst, .. } = point(*n, sent);
-        let by_all = |one: f64| one * n / OVER.as_secs_f64();
-        Point { mean: by_all(mean), worst: by_all(worst), ..point(*n, &[]) }
+        let Sample { mean, worst, .. } = sample(*n, sent);
+        let by_all = |one: f64| one * n / COLD_SPAN.as_secs_f64();
+        Sample { mean: by_all(mean), worst: by_all(worst), ..sample(*n, &[]) }
     });
     let logic = "src/logic.rs";
     vec![
-        head("cold.txns-of-one-gateway.by-zone-gateways", over, "count", logic).with(stays.clone(), each),
-        head("cold.txns-at-a-cache.by-zone-gateways", over, "txns/s", logic).with(stays, whole.collect()),
+        head("cold.txns-of-one-gateway.by-zone-gateways", over, "count", logic).series(stays.clone(), each),
+        head("cold.txns-at-a-cache.by-zone-gateways", over, "txns/s", logic).series(stays, whole.collect()),
     ]
 }
 
@@ -128,15 +129,15 @@
 struct Member {
     node: Node,
     out: VecDeque<(SocketAddr, Vec<u8>)>,
-    go: u32,
+    granted: u32,
 }
 
 impl Member {
-    fn pull(&mut self) {
+    fn drain_output(&mut self) {
         while let Some(out) = self.node.poll() {
             match out {
                 Output::Datagram(to, bytes) => self.out.push_back((to, bytes)),
-                Output::Decision(_, verdict) => self.go += u32::from(verdict == Decision::Granted),
+                Output::Decision(_, verdict) => self.granted += u32::from(verdict == Decision::Granted),
                 _ => {}
             }
         }
@@ -144,21 +145,21 @@
 }
 
 impl Actor for Member {
-    fn datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
+    fn handle_datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
         self.node.handle_datagram(now, from, bytes);
-        self.pull();
+        self.drain_output();
     }
 
     fn tick(&mut self, now: Time) {
         self.node.tick(now);
-        self.pull();
+        self.drain_output();
     }
 
     fn next_wake(&self, now: Time) -> Time {
         self.node.next_wake(now)
     }
 
-    fn sent(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
+    fn poll_datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
         self.out.pop_front()
     }
 }
@@ -179,83 +180,84 @@
         let file = Fleet::read(&file.to_string()).expect("a file that fits");
         let node =
             Node::new(&file, 1_000 + i as u64, seed + i as u64, sim.now, 0, &[]).expect("keys that fit");
-        sim.add(at(i), Some(Member { node, out: VecDeque::new(), go: 0 }));
+        sim.add(at(i), Some(Member { node, out: VecDeque::new(), granted: 0 }));
     }
-    sim.run(Span::from_millis(20_000));
+    sim.run_for(Span::from_millis(20_000));
     let knows_all = |m: &Member| m.node.members.live() == n;
     assert!(sim.live().all(|(_, m)| knows_all(m)), "a fleet of {n} does not know itself");
-    sim.measures = true;
+    sim.measure_cpu = true;
     sim
 }
 
 /// What the busiest member, which is the budget's keeper, spends beyond what it does in calm.
-struct Keeper {
+struct CoordinatorLoad {
     bytes_in: f64,
     bytes_out: f64,
-    processor: f64,
+    cpu_us_per_s: f64,
     /// Units that all got, of each gateway's one.
-    lent: f64,
+    granted_part: f64,
 }
 
 /// Each gateway wants one unit of one cache's budget, twice a second, and holds it for a quarter of a second.
-fn keeper(n: usize, seed: u64) -> Keeper {
+fn coordinator_load(n: usize, seed: u64) -> CoordinatorLoad {
     let mut sim = fleet(n, seed);
     let lasts = Span::from_millis(10_000);
-    let spent = |sim: &Sim<Member>| sim.slots.iter().map(|s| s.spent).collect::<Vec<_>>();
-    sim.reset_spent();
-    sim.run(lasts);
+    let spent = |sim: &Sim<Member>| sim.slots.iter().map(|s| s.usage).collect::<Vec<_>>();
+    sim.reset_usage();
+    sim.run_for(lasts);
     let calm = spent(&sim);
-    sim.reset_spent();
+    sim.reset_usage();
     let key = (BudgetKind::Connections, 77);
     let quarter = Span::from_millis(250);
     for round in 0..20 {
         for i in 0..n {
-            sim.with(i, |m, now| {
+            sim.with_actor(i, |m, now| {
                 m.node.request(now, key, round, now + quarter);
-                m.pull();
+                m.drain_output();
             });
         }
-        sim.run(quarter);
+        sim.run_for(quarter);
         for i in 0..n {
-            sim.with(i, |m, now| {
+            sim.with_actor(i, |m, now| {
                 if m.node.leases.usage(key).0 > 0 {
                     m.node.release(now, key, false);
                 }
-                m.pull();
+                m.drain_output();
             });
         }
-        sim.run(quarter);
+        sim.run_for(quarter);
     }
     let busy = spent(&sim);
     let a_second = |more: f64| more.max(0.0) / lasts.as_secs_f64();
-    let most = |of: fn(&crate::sim::Spent) -> f64| {
+    let most = |of: fn(&crate::sim::Usage) -> f64| {
         let more = busy.iter().zip(&calm).map(|(b, c)| of(b) - of(c));
         a_second(more.fold(0.0, f64::max))
     };
-    let go: u32 = sim.live().map(|(_, m)| m.go).sum();
-    Keeper {
+    let go: u32 = sim.live().map(|(_, m)| m.granted).sum();
+    CoordinatorLoad {
         bytes_in: most(|s| s.bytes_in as f64),
         bytes_out: most(|s| s.bytes_out as f64),
-        processor: most(|s| s.processor.as_secs_f64() * 1e6),
-        lent: f64::from(go) / 20.0 / n as f64,
+        cpu_us_per_s: most(|s| s.cpu_time.as_secs_f64() * 1e6),
+        granted_part: f64::from(go) / 20.0 / n as f64,
     }
 }
 
-fn budgets(seed: u64, quick: bool) -> Vec<Ladder> {
-    let sizes = some(&[4, 8, 12, 24, 36, 100, 300], quick);
-    let all: Vec<(f64, Keeper)> = sizes.iter().map(|&n| (n as f64, keeper(n, seed))).collect();
-    let one = |what: &str, unit: &str, timed: bool, of: fn(&Keeper) -> f64| {
+fn budget_series(seed: u64, quick: bool) -> Vec<Series> {
+    let sizes = limit_sizes(&[4, 8, 12, 24, 36, 100, 300], quick);
+    let all: Vec<(f64, CoordinatorLoad)> =
+        sizes.iter().map(|&n| (n as f64, coordinator_load(n, seed))).collect();
+    let one = |what: &str, unit: &str, timed: bool, of: fn(&CoordinatorLoad) -> f64| {
         let id = format!("budgets.{what}.by-gateways");
-        let points = all.iter().map(|(n, k)| point(*n, &[of(k)])).collect();
+        let points = all.iter().map(|(n, k)| sample(*n, &[of(k)])).collect();
         let stays = fixed(&[("budget", BUDGET.into()), ("wants_per_s", 2.0)]);
-        let head = Head { timed, host: Host::Simulated, ..head(&id, "gateways", unit, LEASES) };
-        head.with(stays, points)
+        let head = SeriesHead { timed, host: Host::Simulated, ..head(&id, "gateways", unit, LEASES) };
+        head.series(stays, points)
     };
     vec![
         one("keeper-bytes-in", "B/s", false, |k| k.bytes_in),
         one("keeper-bytes-out", "B/s", false, |k| k.bytes_out),
-        one("keeper-processor", "us/s", true, |k| k.processor),
-        one("lent-part", "part", false, |k| k.lent),
+        one("keeper-processor", "us/s", true, |k| k.cpu_us_per_s),
+        one("lent-part", "part", false, |k| k.granted_part),
     ]
 }
 
@@ -266,16 +268,16 @@
 const GROUP: &str = "copies/src/group.rs";
 
 /// Holders that hear each other at once, on one thread.
-struct Holders {
+struct Replicas {
     now: Time,
     all: Vec<copies::Node>,
     frames: VecDeque<(usize, usize, Vec<u8>)>,
-    told: u64,
+    answered: u64,
     bytes: u64,
 }
 
-impl Holders {
-    fn new(groups: usize, seed: u64) -> Holders {
+impl Replicas {
+    fn new(groups: usize, seed: u64) -> Replicas {
         let now = Time::from_micros(1_000_000);
         let at = |i: usize| format!("127.0.0.1:{}", 7_000 + i);
         let holder =
@@ -289,58 +291,58 @@
         };
         let all: Vec<copies::Node> = (0..HOLDERS).map(node).collect();
         let greetings: Vec<Vec<u8>> = all.iter().map(copies::Node::greeting).collect();
-        let mut world = Holders { now, all, frames: VecDeque::new(), told: 0, bytes: 0 };
+        let mut world = Replicas { now, all, frames: VecDeque::new(), answered: 0, bytes: 0 };
         for (i, node) in world.all.iter_mut().enumerate() {
             for (_, greeting) in greetings.iter().enumerate().filter(|(j, _)| *j != i) {
                 node.greeted(now, greeting).expect("a holder");
             }
         }
-        world.pass(Span::from_millis(20_000));
+        world.advance(Span::from_millis(20_000));
         world
     }
 
-    fn pull(&mut self, i: usize) {
+    fn drain_output(&mut self, i: usize) {
         while let Some(out) = self.all[i].poll() {
             match out {
                 copies::Out::Send { holder, frame, .. } => {
                     self.bytes += frame.len() as u64;
                     self.frames.push_back((i, holder, frame));
                 }
-                copies::Out::Told(told) => self.told += u64::from(told.result != Ok(Outcome::Running)),
+                copies::Out::Told(told) => self.answered += u64::from(told.result != Ok(Outcome::Running)),
                 copies::Out::Ledger { .. } | copies::Out::Write { .. } => {}
             }
         }
     }
 
-    fn settle(&mut self) {
-        (0..HOLDERS).for_each(|i| self.pull(i));
+    fn deliver_all(&mut self) {
+        (0..HOLDERS).for_each(|i| self.drain_output(i));
         while let Some((from, to, frame)) = self.frames.pop_front() {
             let (now, id) = (self.now, self.all[from].id());
             self.all[to].frame(now, from, id, &frame);
-            self.pull(to);
+            self.drain_output(to);
         }
     }
 
-    fn pass(&mut self, span: Span) {
+    fn advance(&mut self, span: Span) {
         let ends = self.now + span;
         while self.now < ends {
             self.now += Span::from_millis(10);
             self.all.iter_mut().for_each(|node| node.tick(self.now));
-            self.settle();
+            self.deliver_all();
         }
     }
 }
 
 /// Books of all groups a second of one thread's time, and bytes a book between holders.
-fn books(groups: usize, at_once: u64, total: u64, seed: u64) -> (f64, f64) {
-    let mut world = Holders::new(groups, seed);
+fn ledger_throughput(groups: usize, at_once: u64, total: u64, seed: u64) -> (f64, f64) {
+    let mut world = Replicas::new(groups, seed);
     let senders: Vec<u64> = (1..=64).collect();
     for &sender in &senders {
         let group = world.all[0].group_of(sender);
         world.all[0].ask(world.now, group, 9, Word::Greet(Greet { sender, fresh: 1 }));
     }
-    world.settle();
-    let (began, bytes, told) = (ThreadTime::now(), world.bytes, world.told);
+    world.deliver_all();
+    let (began, bytes, told) = (ThreadTime::now(), world.bytes, world.answered);
     let mut number = 0;
     while number < total {
         for end in [false, true] {
@@ -352,18 +354,18 @@
                 let word = if end { Word::end(key, &answer, 0) } else { Word::take(key) };
                 world.all[at].ask(world.now, group, 9, word);
             }
-            world.settle();
+            world.deliver_all();
         }
         number += at_once;
         if number.is_multiple_of(1_024) {
-            world.pass(Span::from_millis(10));
+            world.advance(Span::from_millis(10));
         }
     }
-    assert_eq!(world.told - told, 2 * number, "books that were not told");
+    assert_eq!(world.answered - told, 2 * number, "books that were not told");
     (number as f64 / began.elapsed().as_secs_f64(), (world.bytes - bytes) as f64 / number as f64)
 }
 
-fn ledgers(seed: u64, quick: bool) -> Vec<Ladder> {
+fn ledger_series(seed: u64, quick: bool) -> Vec<Series> {
     let total = if quick { 256 } else { 20_000 };
     let mut ladders = Vec::new();
     for (name, over, sizes) in
@@ -371,16 +373,16 @@
     {
         let played = sizes.map(|n| {
             let (groups, at_once) = if over == "groups" { (n, 64) } else { (4, n) };
-            (n as f64, books(groups, at_once as u64, total, seed))
+            (n as f64, ledger_throughput(groups, at_once as u64, total, seed))
         });
         let other = if over == "groups" { ("at_once", 64.0) } else { ("groups", 4.0) };
         let stays = fixed(&[("copies", COPIES as f64), ("holders", HOLDERS as f64), other]);
-        let points = |of: fn((f64, f64)) -> f64| played.iter().map(|(n, b)| point(*n, &[of(*b)])).collect();
+        let points = |of: fn((f64, f64)) -> f64| played.iter().map(|(n, b)| sample(*n, &[of(*b)])).collect();
         let id = format!("ledgers.books.by-{name}");
-        let rate = Head { timed: true, ..head(&id, over, "txns/s", GROUP) };
-        ladders.push(rate.with(stays.clone(), points(|b| b.0)));
+        let rate = SeriesHead { timed: true, ..head(&id, over, "txns/s", GROUP) };
+        ladders.push(rate.series(stays.clone(), points(|b| b.0)));
         let id = format!("ledgers.bytes-a-book.by-{name}");
-        ladders.push(head(&id, over, "B", GROUP).with(stays, points(|b| b.1)));
+        ladders.push(head(&id, over, "B", GROUP).series(stays, points(|b| b.1)));
     }
     ladders
 }
@@ -389,15 +391,15 @@
 
 const DECIDE: &str = "failover/src/decide.rs";
 
-struct Steps {
+struct StepCosts {
     /// Of a step with the reports before it, in us.
     us: Vec<f64>,
     /// Gateways whose reports counted.
-    heard: f64,
+    counted: f64,
 }
 
 /// One zone in five is ill from the start; all gateways report before each step.
-fn steps(zones: usize, gateways: usize, rounds: usize) -> Steps {
+fn step_costs(zones: usize, gateways: usize, rounds: usize) -> StepCosts {
     let near = |z: usize| (1..zones).map(|k| format!("z{}", (z + k) % zones)).collect::<Vec<_>>();
     let all: Vec<_> = (0..zones).map(|z| json!({"name": format!("z{z}"), "near": near(z)})).collect();
     let file = Failover::read(&json!({"zones": all}).to_string()).expect("a file that fits");
@@ -426,27 +428,32 @@
         began.elapsed().as_secs_f64() * 1e6
     });
     let us = us.collect();
-    Steps { us, heard: decider.shown(0) }
+    StepCosts { us, counted: decider.shown(0) }
 }
 
-fn failover(quick: bool) -> Vec<Ladder> {
+fn failover_series(quick: bool) -> Vec<Series> {
     let rounds = if quick { 2 } else { 10 };
-    let timed = |id, over| Head { timed: true, ..head(id, over, "us", DECIDE) };
-    let by_zones = [5, 10, 20, 40, 64].map(|n| point(n as f64, &steps(n, 267, rounds).us));
-    let sizes = some(&[25, 100, 267, 1_000, 2_000, 4_000, 8_000], quick);
-    let all: Vec<(f64, Steps)> = sizes.iter().map(|&n| (n as f64, steps(30, n, rounds))).collect();
+    let timed = |id, over| SeriesHead { timed: true, ..head(id, over, "us", DECIDE) };
+    let by_zones = [5, 10, 20, 40, 64].map(|n| sample(n as f64, &step_costs(n, 267, rounds).us));
+    let sizes = limit_sizes(&[25, 100, 267, 1_000, 2_000, 4_000, 8_000], quick);
+    let all: Vec<(f64, StepCosts)> = sizes.iter().map(|&n| (n as f64, step_costs(30, n, rounds))).collect();
     let zones = fixed(&[("zones", 30.0)]);
-    let by_gateways = all.iter().map(|(n, s)| point(*n, &s.us)).collect();
-    let heard = all.iter().map(|(n, s)| point(*n, &[s.heard])).collect();
+    let by_gateways = all.iter().map(|(n, s)| sample(*n, &s.us)).collect();
+    let heard = all.iter().map(|(n, s)| sample(*n, &[s.counted])).collect();
     vec![
         timed("failover.processor-a-step.by-zones", "zones")
-            .with(fixed(&[("gateways", 267.0)]), by_zones.to_vec()),
-        timed("failover.processor-a-step.by-gateways", "gateways").with(zones.clone(), by_gateways),
-        head("failover.gateways-heard.by-gateways", "gateways", "count", DECIDE).with(zones, heard),
+            .series(fixed(&[("gateways", 267.0)]), by_zones.to_vec()),
+        timed("failover.processor-a-step.by-gateways", "gateways").series(zones.clone(), by_gateways),
+        head("failover.gateways-heard.by-gateways", "gateways", "count", DECIDE).series(zones, heard),
     ]
 }
 
-pub fn measure(seed: u64, quick: bool) -> Vec<Ladder> {
-    let all = [connections(seed, quick), cold(seed, quick), budgets(seed, quick), ledgers(seed, quick)];
-    all.into_iter().flatten().chain(failover(quick)).collect()
+pub fn measure(seed: u64, quick: bool) -> Vec<Series> {
+    let all = [
+        connection_series(seed, quick),
+        cold_series(seed, quick),
+        budget_series(seed, quick),
+        ledger_series(seed, quick),
+    ];
+    all.into_iter().flatten().chain(failover_series(quick)).collect()
 }
--- a/scale/src/capacity/rows.rs
+++ b/scale/src/capacity/rows.rs
@@ -1,9 +1,9 @@
 //! The rows, role by role. A row whose ladder nobody has measured stands all the same: it is red.
 
 use super::Quantity::{Delay, Memory, Messages, Processor, State};
-use super::Source::{Computed, Ladders};
-use super::{Of, Read, Role, before, read, row};
-use crate::fit::Figure::{Mean, P99, Worst};
+use super::Source::{Computed, Fitted};
+use super::{Role, TargetFn, Term, row, superseded, term};
+use crate::fit::Statistic::{Mean, P99, Worst};
 use crate::target::Target;
 
 fn gateways(t: &Target) -> f64 {
@@ -54,15 +54,15 @@
     t.purges.per_s
 }
 
-const PURGE_MS: Option<Of> = Some(|t| t.purges.within_ms as f64);
-const CHANGE_MS: Option<Of> = Some(|t| t.changes.within_ms as f64);
-const BYTES_IN: Option<Of> = Some(|t| t.control.bytes_in_per_s);
-const BYTES_OUT: Option<Of> = Some(|t| t.control.bytes_out_per_s);
-const BYTES_BOTH: Option<Of> = Some(|t| t.control.bytes_in_per_s + t.control.bytes_out_per_s);
-const CORE: Option<Of> = Some(|t| t.control.core_part * 1e6);
-const MEMORY: Option<Of> = Some(|t| t.control.memory as f64);
-const MACHINE: Option<Of> = Some(|t| t.assumed.machine_cores * 1e6);
-const TXN_CORES: Option<Of> = Some(|t| t.assumed.data_path_cores * 1e6);
+const PURGE_MS: Option<TargetFn> = Some(|t| t.purges.within_ms as f64);
+const CHANGE_MS: Option<TargetFn> = Some(|t| t.changes.within_ms as f64);
+const BYTES_IN: Option<TargetFn> = Some(|t| t.control.bytes_in_per_s);
+const BYTES_OUT: Option<TargetFn> = Some(|t| t.control.bytes_out_per_s);
+const BYTES_BOTH: Option<TargetFn> = Some(|t| t.control.bytes_in_per_s + t.control.bytes_out_per_s);
+const CORE: Option<TargetFn> = Some(|t| t.control.core_part * 1e6);
+const MEMORY: Option<TargetFn> = Some(|t| t.control.memory as f64);
+const MACHINE: Option<TargetFn> = Some(|t| t.assumed.machine_cores * 1e6);
+const TXN_CORES: Option<TargetFn> = Some(|t| t.assumed.data_path_cores * 1e6);
 
 /// Objects that a name of so many bits hits beside the one that was meant.
 fn hits(t: &Target, bits: i32) -> f64 {
@@ -70,20 +70,20 @@
 }
 
 /// Per cent of all objects that names of so many bits cover of what a region missed.
-fn covered(t: &Target, bits: i32) -> f64 {
+fn covered_percent(t: &Target, bits: i32) -> f64 {
     100.0 * (1.0 - (-t.purges_missed() / 2f64.powi(bits)).exp())
 }
 
 /// Names of `bits` that are sorted and told by their differences (Golomb-Rice) take about this many bits each.
-fn bits_told(bits: f64, names: f64) -> f64 {
+fn encoded_bits(bits: f64, names: f64) -> f64 {
     bits - names.log2() + 1.5
 }
 
 /// Seconds until what a region missed is told again within a gateway's bytes in, beside live purges at 40 bits.
-fn told_again_s(t: &Target, bits: f64) -> f64 {
+fn resend_s(t: &Target, bits: f64) -> f64 {
     let gathered = t.purges.per_s * t.assumed.feed_period_ms as f64 / 1e3;
-    let live = t.purges.per_s * bits_told(40.0, gathered) / 8.0;
-    let missed = t.purges_missed() * bits_told(bits, t.purges_missed()) / 8.0;
+    let live = t.purges.per_s * encoded_bits(40.0, gathered) / 8.0;
+    let missed = t.purges_missed() * encoded_bits(bits, t.purges_missed()) / 8.0;
     missed / (t.control.bytes_in_per_s - live).max(0.0)
 }
 
@@ -100,10 +100,10 @@
 /// One ladder's figure at a size.
 macro_rules! of {
     ($id:literal, $figure:expr, $at:expr) => {
-        Ladders(&[read($id, $figure, $at)])
+        Fitted(&[term($id, $figure, $at)])
     };
     ($id:literal, $figure:expr, $at:expr, times $times:expr) => {
-        Ladders(&[Read { id: $id, figure: $figure, at: $at, times: $times }])
+        Fitted(&[Term { id: $id, figure: $figure, size: $at, factor: $times }])
     };
 }
 
@@ -261,7 +261,7 @@
                 TXN_CORES,
                 MODULE,
             ),
-            before(row(
+            superseded(row(
                 "before: decisions by purges told one by one",
                 Processor,
                 "us/s",
@@ -331,7 +331,7 @@
         id: "membership",
         title: "Membership",
         rows: &[
-            before(row(
+            superseded(row(
                 "before, all in one fleet: bytes out in calm",
                 Messages,
                 "B/s",
@@ -339,7 +339,7 @@
                 BYTES_OUT,
                 MEMBERS,
             )),
-            before(row(
+            superseded(row(
                 "before: memory",
                 Memory,
                 "B",
@@ -378,7 +378,7 @@
         id: "purges",
         title: "List and purges",
         rows: &[
-            before(row(
+            superseded(row(
                 "before, the relayed list: bytes in",
                 Messages,
                 "B/s",
@@ -386,7 +386,7 @@
                 BYTES_IN,
                 RELAY,
             )),
-            before(row(
+            superseded(row(
                 "before: bytes out of the one that sends most",
                 Messages,
                 "B/s",
@@ -394,7 +394,7 @@
                 BYTES_OUT,
                 RELAY,
             )),
-            before(row(
+            superseded(row(
                 "before: processor",
                 Processor,
                 "us/s",
@@ -402,7 +402,7 @@
                 CORE,
                 RELAY,
             )),
-            before(row(
+            superseded(row(
                 "before: memory",
                 Memory,
                 "B",
@@ -410,7 +410,7 @@
                 MEMORY,
                 RELAY,
             )),
-            before(row(
+            superseded(row(
                 "before: delay to the last gateway",
                 Delay,
                 "ms",
@@ -528,9 +528,9 @@
                 "bytes in and out",
                 Messages,
                 "B/s",
-                Ladders(&[
-                    read("control.bytes-in.by-gateways", Mean, gateways),
-                    read("control.bytes-out.by-gateways", Mean, gateways),
+                Fitted(&[
+                    term("control.bytes-in.by-gateways", Mean, gateways),
+                    term("control.bytes-out.by-gateways", Mean, gateways),
                 ]),
                 BYTES_BOTH,
                 FEED,
@@ -1001,14 +1001,35 @@
                 None,
                 FEED,
             ),
-            row("objects that these cover, 40 bits", State, "%", Computed(|t| covered(t, 40)), None, NAMES),
-            row("objects that these cover, 32 bits", State, "%", Computed(|t| covered(t, 32)), None, NAMES),
-            row("objects that these cover, 21 bits", State, "%", Computed(|t| covered(t, 21)), None, NAMES),
+            row(
+                "objects that these cover, 40 bits",
+                State,
+                "%",
+                Computed(|t| covered_percent(t, 40)),
+                None,
+                NAMES,
+            ),
+            row(
+                "objects that these cover, 32 bits",
+                State,
+                "%",
+                Computed(|t| covered_percent(t, 32)),
+                None,
+                NAMES,
+            ),
+            row(
+                "objects that these cover, 21 bits",
+                State,
+                "%",
+                Computed(|t| covered_percent(t, 21)),
+                None,
+                NAMES,
+            ),
             row(
                 "these told again within the bytes in, 40 bits",
                 Delay,
                 "s",
-                Computed(|t| told_again_s(t, 40.0)),
+                Computed(|t| resend_s(t, 40.0)),
                 None,
                 NAMES,
             ),
@@ -1016,7 +1037,7 @@
                 "these told again within the bytes in, 32 bits",
                 Delay,
                 "s",
-                Computed(|t| told_again_s(t, 32.0)),
+                Computed(|t| resend_s(t, 32.0)),
                 None,
                 NAMES,
             ),
--- a/scale/src/fit.rs
+++ b/scale/src/fit.rs
@@ -7,58 +7,59 @@
 //! Multimodel Inference", 2002, 2.6: less support beyond 4). What these give at a size beyond the ladder is the range
 //! within which the law is not known.
 
-use crate::slopes::{Ladder, Point};
+use crate::slopes::{Sample, Series};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Law {
+pub enum GrowthLaw {
     Constant,
     Log,
     Linear,
     LinearLog,
-    Square,
+    Quadratic,
 }
 
 /// From what grows least to what grows most.
-pub const LAWS: [Law; 5] = [Law::Constant, Law::Log, Law::Linear, Law::LinearLog, Law::Square];
+pub const GROWTH_LAWS: [GrowthLaw; 5] =
+    [GrowthLaw::Constant, GrowthLaw::Log, GrowthLaw::Linear, GrowthLaw::LinearLog, GrowthLaw::Quadratic];
 
-impl Law {
+impl GrowthLaw {
     /// f(n); the logarithm is that of 1 + n, so that nothing lost and nobody there are sizes, too.
-    pub fn of(self, n: f64) -> f64 {
+    pub fn basis(self, n: f64) -> f64 {
         let log = (1.0 + n.max(0.0)).log2();
         match self {
-            Law::Constant => 0.0,
-            Law::Log => log,
-            Law::Linear => n,
-            Law::LinearLog => n * log,
-            Law::Square => n * n,
+            GrowthLaw::Constant => 0.0,
+            GrowthLaw::Log => log,
+            GrowthLaw::Linear => n,
+            GrowthLaw::LinearLog => n * log,
+            GrowthLaw::Quadratic => n * n,
         }
     }
 
     pub fn name(self) -> &'static str {
         match self {
-            Law::Constant => "constant",
-            Law::Log => "log n",
-            Law::Linear => "n",
-            Law::LinearLog => "n log n",
-            Law::Square => "n²",
+            GrowthLaw::Constant => "constant",
+            GrowthLaw::Log => "log n",
+            GrowthLaw::Linear => "n",
+            GrowthLaw::LinearLog => "n log n",
+            GrowthLaw::Quadratic => "n²",
         }
     }
 }
 
 /// Which figure of the points.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Figure {
+pub enum Statistic {
     Mean,
     Worst,
     P99,
 }
 
-impl Figure {
-    pub fn of(self, point: &Point) -> Option<f64> {
+impl Statistic {
+    pub fn of(self, point: &Sample) -> Option<f64> {
         match self {
-            Figure::Mean => Some(point.mean),
-            Figure::Worst => Some(point.worst),
-            Figure::P99 => point.p99,
+            Statistic::Mean => Some(point.mean),
+            Statistic::Worst => Some(point.worst),
+            Statistic::P99 => point.p99,
         }
     }
 }
@@ -66,14 +67,14 @@
 /// a + b f(n).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Curve {
-    pub law: Law,
+    pub law: GrowthLaw,
     pub a: f64,
     pub b: f64,
 }
 
 impl Curve {
     pub fn at(&self, n: f64) -> f64 {
-        self.a + self.b * self.law.of(n)
+        self.a + self.b * self.law.basis(n)
     }
 }
 
@@ -83,7 +84,7 @@
     /// Root of the mean squared relative error over the points.
     pub error: f64,
     /// Laws that fit as well, by the rule above.
-    pub rivals: Vec<Curve>,
+    pub alternatives: Vec<Curve>,
     /// Sizes and values that were run, by size.
     points: Vec<(f64, f64)>,
 }
@@ -93,21 +94,21 @@
 pub struct Estimate {
     pub value: f64,
     /// Beyond what was run: of the law and its rivals, with the law's error.
-    pub least: f64,
-    pub most: f64,
+    pub lower: f64,
+    pub upper: f64,
     pub basis: Basis,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Basis {
     /// The size itself was run: the value is the run's.
-    Run,
+    Sampled,
     /// Between two sizes that were run: on the line from one to the other, since bounds and steps follow no law.
-    Between,
+    Interpolated,
     /// Below the smallest size that was run.
-    Below,
+    BelowRange,
     /// So many times the largest size that was run.
-    Beyond(f64),
+    Extrapolated(f64),
 }
 
 /// A point weighs by its own value; one near zero by the ladder's greatest, so that it alone does not decide.
@@ -117,19 +118,19 @@
     points.iter().map(|p| 1.0 / p.1.abs().max(floor)).collect()
 }
 
-fn squares(curve: &Curve, points: &[(f64, f64)], weights: &[f64]) -> f64 {
+fn squared_error(curve: &Curve, points: &[(f64, f64)], weights: &[f64]) -> f64 {
     points.iter().zip(weights).map(|(p, w)| ((curve.at(p.0) - p.1) * w).powi(2)).sum()
 }
 
 /// The best of one law over some points.
-fn best(law: Law, points: &[(f64, f64)], weights: &[f64]) -> Curve {
+fn fit_law(law: GrowthLaw, points: &[(f64, f64)], weights: &[f64]) -> Curve {
     // Relative residuals: (a + b f - y) w.
     let (mut ww, mut wf, mut ff, mut wy, mut fy) = (0.0, 0.0, 0.0, 0.0, 0.0);
     // Scaled by the greatest, so that squares of squares stay exact enough.
-    let unit = points.iter().fold(0.0_f64, |m, p| m.max(law.of(p.0).abs()));
+    let unit = points.iter().fold(0.0_f64, |m, p| m.max(law.basis(p.0).abs()));
     let unit = if unit > 0.0 { unit } else { 1.0 };
     for (p, w) in points.iter().zip(weights) {
-        let (f, w2) = (law.of(p.0) / unit, w * w);
+        let (f, w2) = (law.basis(p.0) / unit, w * w);
         ww += w2;
         wf += w2 * f;
         ff += w2 * f * f;
@@ -137,7 +138,7 @@
         fy += w2 * f * p.1;
     }
     let flat = Curve { law, a: (wy / ww).max(0.0), b: 0.0 };
-    if law == Law::Constant || ff <= 0.0 {
+    if law == GrowthLaw::Constant || ff <= 0.0 {
         return flat;
     }
     let through = Curve { law, a: 0.0, b: (fy / ff).max(0.0) / unit };
@@ -146,7 +147,7 @@
     if det > 1e-12 * ww * ff && a >= 0.0 && b >= 0.0 {
         return Curve { law, a, b: b / unit };
     }
-    let less = squares(&through, points, weights) < squares(&flat, points, weights);
+    let less = squared_error(&through, points, weights) < squared_error(&flat, points, weights);
     if less { through } else { flat }
 }
 
@@ -155,15 +156,15 @@
 }
 
 /// By Akaike's criterion: no law is preferred for less than this, and none left out for less than that.
-const ALIKE: f64 = 1.0;
-const RIVAL: f64 = 4.0;
+const TIE_AIC: f64 = 1.0;
+const ALTERNATIVE_AIC: f64 = 4.0;
 /// Mean squared relative error below which nothing is told apart: a millionth, squared.
-const EXACT: f64 = 1e-12;
+const MIN_SQUARED_ERROR: f64 = 1e-12;
 
-fn criterion(curve: &Curve, points: &[(f64, f64)], weights: &[f64]) -> f64 {
+fn aic(curve: &Curve, points: &[(f64, f64)], weights: &[f64]) -> f64 {
     let n = points.len() as f64;
-    let parts = if curve.law == Law::Constant { 1.0 } else { 2.0 };
-    n * (squares(curve, points, weights) / n + EXACT).ln() + 2.0 * parts
+    let parts = if curve.law == GrowthLaw::Constant { 1.0 } else { 2.0 };
+    n * (squared_error(curve, points, weights) / n + MIN_SQUARED_ERROR).ln() + 2.0 * parts
 }
 
 /// Of sizes and values; none where there are no points or one is not a number.
@@ -179,25 +180,26 @@
     distinct.dedup();
     // Two sizes can't tell laws apart: what grows is taken to grow as they do.
     let laws = match distinct.len() {
-        1 => vec![Law::Constant],
-        2 => vec![Law::Linear],
-        _ => LAWS.to_vec(),
+        1 => vec![GrowthLaw::Constant],
+        2 => vec![GrowthLaw::Linear],
+        _ => GROWTH_LAWS.to_vec(),
     };
-    let curves: Vec<Curve> = laws.iter().map(|law| best(*law, &points, &weights)).collect();
-    let judged: Vec<f64> = curves.iter().map(|c| criterion(c, &points, &weights)).collect();
+    let curves: Vec<Curve> = laws.iter().map(|law| fit_law(*law, &points, &weights)).collect();
+    let judged: Vec<f64> = curves.iter().map(|c| aic(c, &points, &weights)).collect();
     let least = judged.iter().copied().fold(f64::INFINITY, f64::min);
-    let chosen = judged.iter().position(|c| *c <= least + ALIKE)?;
+    let chosen = judged.iter().position(|c| *c <= least + TIE_AIC)?;
     let others = curves.iter().zip(&judged).enumerate();
-    let rivals = others.filter(|(i, (_, c))| *i != chosen && **c <= least + RIVAL).map(|(_, (c, _))| *c);
+    let rivals =
+        others.filter(|(i, (_, c))| *i != chosen && **c <= least + ALTERNATIVE_AIC).map(|(_, (c, _))| *c);
     let rivals = rivals.collect();
     let curve = curves[chosen];
-    let curve = if curve.b == 0.0 { Curve { law: Law::Constant, ..curve } } else { curve };
-    let error = (squares(&curve, &points, &weights) / points.len() as f64).sqrt();
-    Some(Fit { curve, error, rivals, points })
+    let curve = if curve.b == 0.0 { Curve { law: GrowthLaw::Constant, ..curve } } else { curve };
+    let error = (squared_error(&curve, &points, &weights) / points.len() as f64).sqrt();
+    Some(Fit { curve, error, alternatives: rivals, points })
 }
 
 /// Of one figure of a ladder, where all its points have it.
-pub fn of_ladder(ladder: &Ladder, figure: Figure) -> Option<Fit> {
+pub fn fit_series(ladder: &Series, figure: Statistic) -> Option<Fit> {
     let points: Option<Vec<_>> = ladder.points.iter().map(|p| Some((p.at, figure.of(p)?))).collect();
     fit(&points?)
 }
@@ -208,44 +210,49 @@
     }
 
     /// The law in words, with its error.
-    pub fn told(&self) -> String {
+    pub fn describe(&self) -> String {
         let (law, a, b) = (self.curve.law.name(), self.curve.a, self.curve.b);
         let grows = match (a > 0.0, b > 0.0) {
-            (_, false) => digits(a),
-            (false, true) => format!("{} {law}", digits(b)),
-            (true, true) => format!("{} + {} {law}", digits(a), digits(b)),
+            (_, false) => format_number(a),
+            (false, true) => format!("{} {law}", format_number(b)),
+            (true, true) => format!("{} + {} {law}", format_number(a), format_number(b)),
         };
-        format!("{grows} {}", off(self.error))
+        format!("{grows} {}", format_error(self.error))
     }
 
     pub fn at(&self, n: f64) -> Estimate {
         let run: Vec<f64> = self.points.iter().filter(|p| p.0 == n).map(|p| p.1).collect();
-        let surely = |value: f64, basis: Basis| Estimate { value, least: value, most: value, basis };
+        let surely = |value: f64, basis: Basis| Estimate { value, lower: value, upper: value, basis };
         if !run.is_empty() {
-            return surely(mean(&run), Basis::Run);
+            return surely(mean(&run), Basis::Sampled);
         }
         let above = self.points.partition_point(|p| p.0 < n);
         if above > 0 && above < self.points.len() {
             let (low, high) = (self.points[above - 1], self.points[above]);
             let part = (n - low.0) / (high.0 - low.0);
-            return surely(low.1 + part * (high.1 - low.1), Basis::Between);
+            return surely(low.1 + part * (high.1 - low.1), Basis::Interpolated);
         }
         let value = self.curve.at(n);
-        let all = || self.rivals.iter().map(|c| c.at(n));
+        let all = || self.alternatives.iter().map(|c| c.at(n));
         let (least, most) = (all().fold(value, f64::min), all().fold(value, f64::max));
-        let basis = if above == 0 { Basis::Below } else { Basis::Beyond(n / self.largest()) };
-        Estimate { value, least: least * (1.0 - self.error).max(0.0), most: most * (1.0 + self.error), basis }
+        let basis = if above == 0 { Basis::BelowRange } else { Basis::Extrapolated(n / self.largest()) };
+        Estimate {
+            value,
+            lower: least * (1.0 - self.error).max(0.0),
+            upper: most * (1.0 + self.error),
+            basis,
+        }
     }
 }
 
 /// A relative error in per cent; below a hundredth of one it is none.
-pub fn off(error: f64) -> String {
+pub fn format_error(error: f64) -> String {
     let percent = error * 100.0;
-    format!("±{}%", if percent < 0.01 { "0".to_owned() } else { digits(percent) })
+    format!("±{}%", if percent < 0.01 { "0".to_owned() } else { format_number(percent) })
 }
 
 /// Three digits that count, thousands set apart.
-pub fn digits(value: f64) -> String {
+pub fn format_number(value: f64) -> String {
     let size = value.abs();
     if size >= 1e9 {
         return format!("{value:.2e}");
--- a/scale/src/fleet_net.rs
+++ b/scale/src/fleet_net.rs
@@ -22,7 +22,7 @@
 }
 
 /// The file of one member, with what `change` makes of it.
-pub fn file(i: usize, change: impl Fn(&mut Value)) -> Fleet {
+pub fn member_config(i: usize, change: impl Fn(&mut Value)) -> Fleet {
     let mut all = json!({
         "fleet": "east", "gateway": format!("g{i}"), "listen": address(i).to_string(),
         "seeds": [address(0).to_string(), address(1).to_string(), address(2).to_string()],
@@ -36,18 +36,18 @@
 pub struct Member {
     pub node: Node,
     datagrams: VecDeque<(SocketAddr, Vec<u8>)>,
-    lines: Vec<Vec<u8>>,
-    verdicts: Vec<(u64, Decision)>,
+    events: Vec<Vec<u8>>,
+    decisions: Vec<(u64, Decision)>,
 }
 
 impl Member {
     pub fn new(node: Node) -> Member {
-        Member { node, datagrams: VecDeque::new(), lines: Vec::new(), verdicts: Vec::new() }
+        Member { node, datagrams: VecDeque::new(), events: Vec::new(), decisions: Vec::new() }
     }
 }
 
 impl Actor for Member {
-    fn datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
+    fn handle_datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
         self.node.handle_datagram(now, from, bytes);
     }
 
@@ -59,15 +59,15 @@
         self.node.next_wake(now)
     }
 
-    fn sent(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
+    fn poll_datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
         while let Some(out) = self.node.poll() {
             match out {
                 Output::Datagram(to, bytes) => {
                     assert!(bytes.len() <= kelpcart_fleet::seal::MAX_DATAGRAM_BYTES, "{} bytes", bytes.len());
                     self.datagrams.push_back((to, bytes));
                 }
-                Output::Event(line) => self.lines.push(line),
-                Output::Decision(ticket, verdict) => self.verdicts.push((ticket, verdict)),
+                Output::Event(line) => self.events.push(line),
+                Output::Decision(ticket, verdict) => self.decisions.push((ticket, verdict)),
                 Output::Contended(_) => {}
             }
         }
@@ -77,45 +77,45 @@
 
 /// What outlives a member's node.
 #[derive(Default)]
-struct Place {
-    file: Option<Fleet>,
+struct HostState {
+    config: Option<Fleet>,
     /// A connection to the bulletin: when it stands, how far it was told, and when it is told the last number.
-    line: Option<(Time, u64, Time)>,
-    heard: Vec<(u64, bool, Time)>,
-    verdicts: BTreeMap<u64, (Time, Decision)>,
+    discovery_conn: Option<(Time, u64, Time)>,
+    received: Vec<(u64, bool, Time)>,
+    decisions: BTreeMap<u64, (Time, Decision)>,
     /// The last number that was counted into the delays.
-    reached: u64,
+    delivered: u64,
 }
 
 pub struct Net {
     pub sim: Sim<Member>,
-    places: Vec<Place>,
+    hosts: Vec<HostState>,
     /// Those that ask the bulletin or are connected to it.
-    active: BTreeSet<usize>,
-    pub cut_from_bulletin: BTreeSet<usize>,
+    discovery_active: BTreeSet<usize>,
+    pub cut_from_discovery: BTreeSet<usize>,
     /// The bulletin's events, as it writes them, and when each one came.
     pub events: Vec<(String, Time)>,
-    pub bulletin_up: bool,
+    pub discovery_up: bool,
     /// There is a bulletin; without it nobody is connected nor told that it failed.
-    pub told: bool,
+    pub has_discovery: bool,
     pub connections: u64,
     pub attempts: u64,
-    pub at_once: usize,
+    pub max_connections: usize,
     /// Rules are checked after every so many steps; each step in tests.
     pub check_every: u64,
     /// Keeps what each host heard, and its verdicts; else only how long each event took to each member.
-    pub keeps: bool,
+    pub keep_log: bool,
     /// How long an event took to each member that was there when it came, in us.
     pub delays: Histogram<u64>,
-    next_lines: Time,
+    next_discovery_poll: Time,
 }
 
 /// An empty table of delays in us, up to an hour, to three digits.
-pub fn delays() -> Histogram<u64> {
+pub fn delay_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 3_600_000_000, 3).expect("bounds that can be used")
 }
 
-fn roster(no: u64, whole: bool, names: &[(String, &str)]) -> String {
+fn roster_event(no: u64, whole: bool, names: &[(String, &str)]) -> String {
     let all: Vec<Value> = names
         .iter()
         .map(|(n, status)| json!({"name": n, "address": "127.0.0.1:1", "zone": "hub", "type": "box", "status": status}))
@@ -130,51 +130,51 @@
         let places = (0..n)
             .map(|i| {
                 sim.add(address(i), None);
-                Place { file: Some(file(i, |v| change(i, v))), ..Place::default() }
+                HostState { config: Some(member_config(i, |v| change(i, v))), ..HostState::default() }
             })
             .collect();
         Net {
-            events: vec![(roster(1, true, &caches), sim.now)],
-            next_lines: sim.now,
+            events: vec![(roster_event(1, true, &caches), sim.now)],
+            next_discovery_poll: sim.now,
             sim,
-            places,
-            active: BTreeSet::new(),
-            cut_from_bulletin: BTreeSet::new(),
-            bulletin_up: true,
-            told: true,
+            hosts: places,
+            discovery_active: BTreeSet::new(),
+            cut_from_discovery: BTreeSet::new(),
+            discovery_up: true,
+            has_discovery: true,
             connections: 0,
             attempts: 0,
-            at_once: 0,
+            max_connections: 0,
             check_every: 1,
-            keeps: true,
-            delays: delays(),
+            keep_log: true,
+            delays: delay_histogram(),
         }
     }
 
     pub fn start(&mut self, i: usize) {
         let (run, seed) = (self.sim.rng.random(), self.sim.rng.random());
-        let now = self.sim.at(i);
+        let now = self.sim.local_time(i);
         let last = self.events.len() as u64;
-        let place = &mut self.places[i];
-        place.heard.clear();
-        (place.line, place.reached) = (None, last);
-        let file = place.file.as_ref().expect("a file");
+        let place = &mut self.hosts[i];
+        place.received.clear();
+        (place.discovery_conn, place.delivered) = (None, last);
+        let file = place.config.as_ref().expect("a file");
         let node = Node::new(file, run, seed, now, 0, &[]).expect("a node");
-        self.sim.put(i, Some(Member::new(node)));
-        self.done(i);
+        self.sim.set_actor(i, Some(Member::new(node)));
+        self.after_step(i);
     }
 
     pub fn start_all(&mut self) {
-        (0..self.places.len()).for_each(|i| self.start(i));
+        (0..self.hosts.len()).for_each(|i| self.start(i));
     }
 
     pub fn kill(&mut self, i: usize) {
-        self.sim.put(i, None);
-        self.places[i].line = None;
+        self.sim.set_actor(i, None);
+        self.hosts[i].discovery_conn = None;
     }
 
-    pub fn runs(&self, i: usize) -> bool {
-        self.sim.get(i).is_some()
+    pub fn is_running(&self, i: usize) -> bool {
+        self.sim.actor(i).is_some()
     }
 
     pub fn is_stopped(&self, i: usize) -> bool {
@@ -182,94 +182,94 @@
     }
 
     pub fn node(&self, i: usize) -> &Node {
-        &self.sim.get(i).expect("one that runs").node
+        &self.sim.actor(i).expect("one that runs").node
     }
 
     /// What its host has heard since its start: the number of each line, whether it is a whole list, and when.
-    pub fn heard(&self, i: usize) -> &[(u64, bool, Time)] {
-        &self.places[i].heard
+    pub fn received(&self, i: usize) -> &[(u64, bool, Time)] {
+        &self.hosts[i].received
     }
 
-    pub fn verdicts(&self, i: usize) -> &BTreeMap<u64, (Time, Decision)> {
-        &self.places[i].verdicts
+    pub fn decisions(&self, i: usize) -> &BTreeMap<u64, (Time, Decision)> {
+        &self.hosts[i].decisions
     }
 
-    pub fn with<T>(&mut self, i: usize, act: impl FnOnce(&mut Node, Time) -> T) -> T {
-        let given = self.sim.with(i, |member, now| act(&mut member.node, now)).expect("one that runs");
-        self.done(i);
+    pub fn with_node<T>(&mut self, i: usize, act: impl FnOnce(&mut Node, Time) -> T) -> T {
+        let given = self.sim.with_actor(i, |member, now| act(&mut member.node, now)).expect("one that runs");
+        self.after_step(i);
         given
     }
 
-    pub fn want(&mut self, i: usize, key: BudgetKey, ticket: u64, until: Time) {
-        self.with(i, |n, now| n.request(now, key, ticket, until));
+    pub fn request(&mut self, i: usize, key: BudgetKey, ticket: u64, until: Time) {
+        self.with_node(i, |n, now| n.request(now, key, ticket, until));
     }
 
-    fn event(&mut self, line: String) -> u64 {
+    fn publish(&mut self, line: String) -> u64 {
         self.events.push((line, self.sim.now));
-        self.tell_lines();
+        self.deliver_events();
         self.events.len() as u64
     }
 
     pub fn purge(&mut self, object: u64) -> u64 {
         let no = self.events.len() as u64 + 1;
-        self.event(
+        self.publish(
             json!({"no": no, "recall": {"item": format!("{object:016x}"), "issued": 1_000}}).to_string(),
         )
     }
 
-    pub fn listed(&mut self, name: &str, status: &'static str) -> u64 {
+    pub fn publish_endpoint(&mut self, name: &str, status: &'static str) -> u64 {
         let no = self.events.len() as u64 + 1;
-        self.event(roster(no, false, &[(name.to_owned(), status)]))
+        self.publish(roster_event(no, false, &[(name.to_owned(), status)]))
     }
 
     /// One has done something: what its host heard is noted, and the rules hold.
-    fn done(&mut self, i: usize) {
+    fn after_step(&mut self, i: usize) {
         let now = self.sim.now;
-        let own = self.sim.at(i);
+        let own = self.sim.local_time(i);
         let checks = self.sim.steps.is_multiple_of(self.check_every);
         let Some(member) = self.sim.slots[i].actor.as_mut() else { return };
-        let (lines, verdicts) = (std::mem::take(&mut member.lines), std::mem::take(&mut member.verdicts));
+        let (lines, verdicts) = (std::mem::take(&mut member.events), std::mem::take(&mut member.decisions));
         let node = &member.node;
         if checks {
             node.check_invariants(own).unwrap_or_else(|why| panic!("g{i}: {why}"));
         }
-        let place = &mut self.places[i];
-        if self.told && (node.wants_discovery() || place.line.is_some()) {
-            self.active.insert(i);
+        let place = &mut self.hosts[i];
+        if self.has_discovery && (node.wants_discovery() || place.discovery_conn.is_some()) {
+            self.discovery_active.insert(i);
         }
         // What a member made up is no event.
         let no = node.relay.list.version().min(self.events.len() as u64);
-        while place.reached < no {
-            let took = now - self.events[place.reached as usize].1;
+        while place.delivered < no {
+            let took = now - self.events[place.delivered as usize].1;
             self.delays.saturating_record(took.as_micros());
-            place.reached += 1;
+            place.delivered += 1;
         }
-        if !self.keeps {
+        if !self.keep_log {
             return;
         }
         for line in lines {
             let value: Value = serde_json::from_slice(&line).expect("a line of JSON");
             let whole = value.pointer("/roster/snapshot") == Some(&Value::Bool(true));
             let no = value["no"].as_u64().expect("a number");
-            place.heard.push((no, whole, now));
+            place.received.push((no, whole, now));
         }
         for (ticket, verdict) in verdicts {
-            let before = place.verdicts.insert(ticket, (now, verdict));
+            let before = place.decisions.insert(ticket, (now, verdict));
             assert!(before.is_none(), "two verdicts for ticket {ticket}");
         }
     }
 
     /// What stands at the bulletin is told to those who are connected.
-    fn tell_lines(&mut self) {
-        for i in self.active.clone() {
+    fn deliver_events(&mut self) {
+        for i in self.discovery_active.clone() {
             let now = self.sim.now;
-            let Some((since, told, pulse)) = self.places[i].line else { continue };
-            if since > now || self.is_stopped(i) || !self.runs(i) {
+            let Some((since, told, pulse)) = self.hosts[i].discovery_conn else { continue };
+            if since > now || self.is_stopped(i) || !self.is_running(i) {
                 continue;
             }
             let last = self.events.len() as u64;
             let events = &self.events[told as usize..];
-            self.sim.with(i, |member, own| {
+            self.sim.with_actor(i, |member, own| {
                 for (line, _) in events {
                     member.node.discovery_event(own, line.as_bytes()).expect("a line that fits");
                 }
@@ -278,66 +278,66 @@
                 }
             });
             let pulse = if now >= pulse { now + ms(1_000) } else { pulse };
-            self.places[i].line = Some((since, last, pulse));
-            self.done(i);
+            self.hosts[i].discovery_conn = Some((since, last, pulse));
+            self.after_step(i);
         }
     }
 
-    fn lines(&mut self) {
+    fn update_connections(&mut self) {
         let mut open = 0;
-        for i in self.active.clone() {
-            let reach = self.bulletin_up && !self.cut_from_bulletin.contains(&i);
-            let (now, own) = (self.sim.now, self.sim.at(i));
-            let place = &mut self.places[i];
+        for i in self.discovery_active.clone() {
+            let reach = self.discovery_up && !self.cut_from_discovery.contains(&i);
+            let (now, own) = (self.sim.now, self.sim.local_time(i));
+            let place = &mut self.hosts[i];
             // A stopped one's connection ends all the same.
             let Some(node) = self.sim.slots[i].actor.as_mut().map(|m| &mut m.node) else {
-                self.active.remove(&i);
+                self.discovery_active.remove(&i);
                 continue;
             };
             let asks = node.wants_discovery();
-            match place.line {
+            match place.discovery_conn {
                 None if asks => {
                     self.attempts += 1;
                     if reach {
                         self.connections += 1;
                         let at = now + ms(2);
-                        place.line = Some((at, node.relay.list.version(), at));
+                        place.discovery_conn = Some((at, node.relay.list.version(), at));
                     } else {
                         node.discovery_closed(own);
                     }
                 }
                 Some(_) if !asks || !reach => {
-                    place.line = None;
+                    place.discovery_conn = None;
                     if asks {
                         node.discovery_closed(own);
                     }
                 }
                 _ => {}
             }
-            open += usize::from(place.line.is_some());
-            if !asks && place.line.is_none() {
-                self.active.remove(&i);
+            open += usize::from(place.discovery_conn.is_some());
+            if !asks && place.discovery_conn.is_none() {
+                self.discovery_active.remove(&i);
             }
         }
-        self.at_once = self.at_once.max(open);
-        self.tell_lines();
+        self.max_connections = self.max_connections.max(open);
+        self.deliver_events();
     }
 
     /// Goes on for so long.
-    pub fn run(&mut self, span: Span) {
+    pub fn run_for(&mut self, span: Span) {
         let end = self.sim.now + span;
         loop {
-            let until = end.min(self.next_lines);
+            let until = end.min(self.next_discovery_poll);
             while let Some(i) = self.sim.step(until) {
-                self.done(i);
+                self.after_step(i);
             }
-            if self.next_lines > end {
+            if self.next_discovery_poll > end {
                 return;
             }
-            if self.told {
-                self.lines();
+            if self.has_discovery {
+                self.update_connections();
             }
-            self.next_lines = self.sim.now + ms(10);
+            self.next_discovery_poll = self.sim.now + ms(10);
         }
     }
 
@@ -346,7 +346,7 @@
     }
 
     /// Every live one knows the bulletin's list, whole and in order.
-    pub fn all_told(&self) -> Result<(), String> {
+    pub fn check_delivered(&self) -> Result<(), String> {
         let last = self.events.len() as u64;
         for (i, member) in self.sim.live() {
             let no = member.node.relay.list.version();
@@ -358,10 +358,10 @@
     }
 
     /// Each line once, none after a gap; a whole list may stand for those before it.
-    pub fn in_order(&self) -> Result<(), String> {
-        for (i, place) in self.places.iter().enumerate() {
+    pub fn check_order(&self) -> Result<(), String> {
+        for (i, place) in self.hosts.iter().enumerate() {
             let mut at = 0;
-            for &(no, whole, _) in &place.heard {
+            for &(no, whole, _) in &place.received {
                 let fits = if whole { no >= at } else { no == at + 1 || no <= at };
                 if !fits {
                     return Err(format!("g{i} heard {no} after {at}"));
@@ -373,7 +373,7 @@
     }
 
     /// How many others each live one holds to be live, least and most.
-    pub fn seen(&self) -> (usize, usize) {
+    pub fn live_view_range(&self) -> (usize, usize) {
         let all = self.sim.live().map(|(_, m)| m.node.members.live());
         all.fold((usize::MAX, 0), |(a, b), n| (a.min(n), b.max(n)))
     }
--- a/scale/src/hollow.rs
+++ b/scale/src/hollow.rs
@@ -1,7 +1,7 @@
 //! A hollow gateway: the real cores of its site's membership and of the feed without sockets, clock or txns, so that
 //! thousands fit in one process. Must never do in a core's place what the gateway's host would not do.
 
-use crate::sim::{Actor, Spent};
+use crate::sim::{Actor, Usage};
 use cpu_time::ThreadTime;
 use kelpcart::Time;
 use kelpcart::hash_prefix::PrefixSet;
@@ -13,78 +13,78 @@
 
 /// What the gateway's module is told.
 #[derive(Clone, Debug)]
-pub enum Told {
+pub enum Delivery {
     Purge { names: PrefixSet, issued_ms: u64 },
     Line { stream: usize, no: u64 },
 }
 
-pub struct Hollow {
+pub struct HollowGateway {
     /// Its part in its site; none at a hub.
     pub node: Option<Node>,
     pub feed: Feed,
     /// Of the feed alone; the network notes the sum of both.
-    pub spent: Spent,
+    pub usage: Usage,
     /// Notes the feed's processor time.
-    pub measures: bool,
-    pub told: Vec<Told>,
-    version: u64,
+    pub measure_cpu: bool,
+    pub deliveries: Vec<Delivery>,
+    members_version: u64,
     node_wake: Time,
     feed_wake: Time,
     datagrams: VecDeque<(SocketAddr, Vec<u8>)>,
 }
 
-impl Hollow {
-    pub fn new(now: Time, node: Option<Node>, feed: Feed) -> Hollow {
-        Hollow {
+impl HollowGateway {
+    pub fn new(now: Time, node: Option<Node>, feed: Feed) -> HollowGateway {
+        HollowGateway {
             node_wake: now,
             feed_wake: now,
             node,
             feed,
-            spent: Spent::default(),
-            measures: false,
-            told: Vec::new(),
-            version: u64::MAX,
+            usage: Usage::default(),
+            measure_cpu: false,
+            deliveries: Vec::new(),
+            members_version: u64::MAX,
             datagrams: VecDeque::new(),
         }
     }
 
     /// Has the feed do something; its time is noted apart.
-    pub fn feeds<T>(&mut self, now: Time, act: impl FnOnce(&mut Feed) -> T) -> T {
-        let begun = self.measures.then(ThreadTime::now);
+    pub fn with_feed<T>(&mut self, now: Time, act: impl FnOnce(&mut Feed) -> T) -> T {
+        let begun = self.measure_cpu.then(ThreadTime::now);
         let given = act(&mut self.feed);
         self.feed_wake = self.feed.next_wake(now);
-        self.spent.processor += begun.map_or(Duration::ZERO, |b| b.elapsed());
+        self.usage.cpu_time += begun.map_or(Duration::ZERO, |b| b.elapsed());
         given
     }
 
     /// The feed is told who is live whenever that changes.
-    fn members(&mut self, now: Time) {
+    fn update_members(&mut self, now: Time) {
         let Some(node) = &self.node else { return };
         self.node_wake = node.next_wake(now);
-        if node.members.version == self.version {
+        if node.members.version == self.members_version {
             return;
         }
-        self.version = node.members.version;
-        let begun = self.measures.then(ThreadTime::now);
+        self.members_version = node.members.version;
+        let begun = self.measure_cpu.then(ThreadTime::now);
         let live = node.members.others().map(|(name, known)| (&**name, known.address));
         self.feed.set_members(now, live);
         self.feed_wake = self.feed.next_wake(now);
-        self.spent.processor += begun.map_or(Duration::ZERO, |b| b.elapsed());
+        self.usage.cpu_time += begun.map_or(Duration::ZERO, |b| b.elapsed());
     }
 
     fn drain(&mut self) {
         while let Some(out) = self.feed.poll() {
             match out {
                 kelpcart_feed::Output::Datagram(to, bytes) => {
-                    self.spent.datagrams_out += 1;
-                    self.spent.bytes_out += bytes.len() as u64;
+                    self.usage.datagrams_out += 1;
+                    self.usage.bytes_out += bytes.len() as u64;
                     self.datagrams.push_back((to, bytes));
                 }
                 kelpcart_feed::Output::Purge { names, issued_ms, .. } => {
-                    self.told.push(Told::Purge { names, issued_ms });
+                    self.deliveries.push(Delivery::Purge { names, issued_ms });
                 }
                 kelpcart_feed::Output::Line { stream, seq: no, .. } => {
-                    self.told.push(Told::Line { stream, no })
+                    self.deliveries.push(Delivery::Line { stream, no })
                 }
             }
         }
@@ -97,25 +97,25 @@
     }
 }
 
-impl Actor for Hollow {
-    fn datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
+impl Actor for HollowGateway {
+    fn handle_datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
         if bytes.first() == Some(&VERSION) {
-            self.spent.datagrams_in += 1;
-            self.spent.bytes_in += bytes.len() as u64;
-            self.feeds(now, |feed| feed.handle_datagram(now, from, bytes));
+            self.usage.datagrams_in += 1;
+            self.usage.bytes_in += bytes.len() as u64;
+            self.with_feed(now, |feed| feed.handle_datagram(now, from, bytes));
         } else if let Some(node) = &mut self.node {
             node.handle_datagram(now, from, bytes);
-            self.members(now);
+            self.update_members(now);
         }
     }
 
     fn tick(&mut self, now: Time) {
         if let Some(node) = self.node.as_mut().filter(|_| self.node_wake <= now) {
             node.tick(now);
-            self.members(now);
+            self.update_members(now);
         }
         if self.feed_wake <= now {
-            self.feeds(now, |feed| feed.tick(now));
+            self.with_feed(now, |feed| feed.tick(now));
         }
     }
 
@@ -123,7 +123,7 @@
         if self.node.is_some() { self.node_wake.min(self.feed_wake) } else { self.feed_wake }
     }
 
-    fn sent(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
+    fn poll_datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
         self.drain();
         self.datagrams.pop_front()
     }
--- a/scale/src/lib.rs
+++ b/scale/src/lib.rs
@@ -2,12 +2,12 @@
 //! laws that fit them, and what a target size then asks of each role. Must never run on the platform, nor hold a figure
 //! that a run did not give.
 
+pub mod benchmarks;
 pub mod capacity;
 pub mod feed_net;
 pub mod fit;
 pub mod fleet_net;
 pub mod hollow;
-pub mod ladders;
 pub mod loopback;
 pub mod memory;
 pub mod plot;
--- a/scale/src/loopback.rs
+++ b/scale/src/loopback.rs
@@ -2,11 +2,11 @@
 //! installation of such processes, real gateways, real hubs and stand-ins of list services on loopback. Must never open
 //! a socket outside of 127.0.0.0/8.
 
-use crate::fleet_net::delays;
-use crate::hollow::{Hollow, Told};
-use crate::ladders::group::{Group, Run};
-use crate::sim::{Actor, Spent};
-use crate::slopes::{Host, Ladder};
+use crate::benchmarks::group::{Run, SeriesGroup};
+use crate::fleet_net::delay_histogram;
+use crate::hollow::{Delivery, HollowGateway};
+use crate::sim::{Actor, Usage};
+use crate::slopes::{Host, Series};
 use hdrhistogram::Histogram;
 use kelpcart::hash_prefix::object_hash;
 use kelpcart::{Span, Time};
@@ -31,29 +31,29 @@
 use std::time::{Duration, Instant, SystemTime};
 
 const MECHANISM: &str = "feed/src/lib.rs";
-const SITE: usize = 24;
+const GATEWAYS_PER_SITE: usize = 24;
 const HUBS: usize = 2;
 const STREAMS: usize = 3;
 const PURGES_PER_S: u64 = 150;
 /// One in so many purges is followed by its name.
-const FOLLOWED: u64 = 10;
+const TRACKED_PURGE_INTERVAL: u64 = 10;
 /// Hollow gateways of one process.
-const OF_A_PROCESS: usize = 100;
-const MOST_DATAGRAM: usize = 2_048;
-const STARTS: Duration = Duration::from_secs(60);
+const HOLLOW_PER_PROCESS: usize = 100;
+const MAX_DATAGRAM_BYTES: usize = 2_048;
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(60);
 
 #[derive(Debug, thiserror::Error)]
-pub enum Failed {
+pub enum Error {
     #[error("{0}")]
     Io(#[from] io::Error),
     #[error("{0}")]
     Json(#[from] serde_json::Error),
     #[error("{0}")]
-    File(String),
+    Config(String),
     #[error("{0} is not at a socket of 127.0.0.0/8")]
-    Outside(SocketAddr),
+    NotLoopback(SocketAddr),
     #[error("{0}")]
-    NotDone(String),
+    NotConverged(String),
 }
 
 fn unix_us() -> u64 {
@@ -64,14 +64,14 @@
 
 /// A purge that is followed: its name, when it was told, and as of when it holds.
 #[derive(Clone, Copy)]
-struct Follow {
-    name: u64,
+struct TrackedPurge {
+    hash: u64,
     told_us: u64,
 }
 
 /// What one of them has to say in the end.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Said {
+pub struct HollowReport {
     pub name: String,
     pub positions: Vec<u64>,
     pub missing: usize,
@@ -86,77 +86,77 @@
 
 #[derive(Default)]
 struct Shared {
-    followed: RwLock<Vec<Follow>>,
+    tracked: RwLock<Vec<TrackedPurge>>,
     /// Counts up at each command; the last one ends them.
-    begun: AtomicU32,
-    said: Mutex<Vec<Said>>,
+    generation: AtomicU32,
+    reports: Mutex<Vec<HollowReport>>,
 }
 
-const ENDS: u32 = 1 << 16;
+const STOP: u32 = 1 << 16;
 
-struct One {
-    hollow: Hollow,
+struct HollowServer {
+    hollow: HollowGateway,
     socket: UdpSocket,
     clock: Instant,
-    first: usize,
+    first_pending: usize,
     done: Vec<bool>,
     delays: Histogram<u64>,
-    all: Spent,
+    total: Usage,
 }
 
-impl One {
-    fn new(file: &Fleet, clock: Instant) -> Result<One, Failed> {
+impl HollowServer {
+    fn new(file: &Fleet, clock: Instant) -> Result<HollowServer, Error> {
         if !file.listen.ip().is_loopback() {
-            return Err(Failed::Outside(file.listen));
+            return Err(Error::NotLoopback(file.listen));
         }
         let now = now(clock);
         let (run, mut rng) = (rand::rng().random(), rand::rng());
         let node =
-            Node::new(file, run, rng.random(), now, 0, &[]).map_err(|e| Failed::File(e.to_string()))?;
-        let of = file.feed.as_ref().ok_or_else(|| Failed::File(format!("{}: no feed", file.gateway)))?;
+            Node::new(file, run, rng.random(), now, 0, &[]).map_err(|e| Error::Config(e.to_string()))?;
+        let of = file.feed.as_ref().ok_or_else(|| Error::Config(format!("{}: no feed", file.gateway)))?;
         let feed = Feed::new(of, &file.keys, &file.gateway, run, rng.random(), now)
-            .map_err(|e| Failed::File(e.to_string()))?;
-        let mut hollow = Hollow::new(now, Some(node), feed);
-        hollow.measures = true;
+            .map_err(|e| Error::Config(e.to_string()))?;
+        let mut hollow = HollowGateway::new(now, Some(node), feed);
+        hollow.measure_cpu = true;
         let socket = UdpSocket::bind(file.listen)?;
-        let (done, delays) = (Vec::new(), delays());
-        Ok(One { hollow, socket, clock, first: 0, done, delays, all: Spent::default() })
+        let (done, delays) = (Vec::new(), delay_histogram());
+        Ok(HollowServer { hollow, socket, clock, first_pending: 0, done, delays, total: Usage::default() })
     }
 
     fn flush(&mut self, shared: &Shared) {
-        while let Some((to, bytes)) = self.hollow.sent() {
-            self.all.datagrams_out += 1;
-            self.all.bytes_out += bytes.len() as u64;
+        while let Some((to, bytes)) = self.hollow.poll_datagram() {
+            self.total.datagrams_out += 1;
+            self.total.bytes_out += bytes.len() as u64;
             // What the system doesn't take is lost on the way.
             _ = self.socket.send_to(&bytes, to);
         }
         let at = unix_us();
-        for told in std::mem::take(&mut self.hollow.told) {
-            let Told::Purge { names, .. } = told else { continue };
-            let followed = shared.followed.read().expect("no writer fails");
+        for told in std::mem::take(&mut self.hollow.deliveries) {
+            let Delivery::Purge { names, .. } = told else { continue };
+            let followed = shared.tracked.read().expect("no writer fails");
             self.done.resize(followed.len(), false);
-            for (follow, done) in followed.iter().zip(&mut self.done).skip(self.first) {
-                if !*done && names.contains(follow.name) {
+            for (follow, done) in followed.iter().zip(&mut self.done).skip(self.first_pending) {
+                if !*done && names.contains(follow.hash) {
                     *done = true;
                     self.delays.saturating_record(at.saturating_sub(follow.told_us));
                 }
             }
-            self.first += self.done[self.first..].iter().take_while(|d| **d).count();
+            self.first_pending += self.done[self.first_pending..].iter().take_while(|d| **d).count();
         }
     }
 
     /// Serves until it is told to end.
-    fn run(mut self, shared: &Shared) -> Said {
+    fn run(mut self, shared: &Shared) -> HollowReport {
         let mut begun = 0;
-        let mut bytes = [0; MOST_DATAGRAM];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES];
         loop {
-            let command = shared.begun.load(Ordering::Relaxed);
-            if command >= ENDS {
+            let command = shared.generation.load(Ordering::Relaxed);
+            if command >= STOP {
                 break;
             }
             if command != begun {
                 begun = command;
-                (self.all, self.hollow.spent) = (Spent::default(), Spent::default());
+                (self.total, self.hollow.usage) = (Usage::default(), Usage::default());
                 self.delays.reset();
             }
             let at = now(self.clock);
@@ -170,27 +170,27 @@
             _ = self.socket.set_read_timeout(Some(most));
             match self.socket.recv_from(&mut bytes) {
                 Ok((n, from)) => {
-                    self.all.datagrams_in += 1;
-                    self.all.bytes_in += n as u64;
-                    self.hollow.datagram(now(self.clock), from, &bytes[..n]);
+                    self.total.datagrams_in += 1;
+                    self.total.bytes_in += n as u64;
+                    self.hollow.handle_datagram(now(self.clock), from, &bytes[..n]);
                     self.flush(shared);
                 }
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
                 Err(_) => thread::sleep(Duration::from_millis(1)),
             }
         }
-        let followed = shared.followed.read().map_or(0, |f| f.len());
+        let followed = shared.tracked.read().map_or(0, |f| f.len());
         self.done.resize(followed, false);
         let file = self.hollow.node.as_ref().map_or(String::new(), |n| n.members.name.to_string());
-        Said {
+        HollowReport {
             name: file,
             positions: (0..STREAMS).map(|s| self.hollow.feed.position(s)).collect(),
             missing: self.done.iter().filter(|d| !**d).count(),
-            bytes_in: self.all.bytes_in,
-            bytes_out: self.all.bytes_out,
-            datagrams_in: self.all.datagrams_in,
-            datagrams_out: self.all.datagrams_out,
-            processor_us: self.hollow.spent.processor.as_micros() as u64,
+            bytes_in: self.total.bytes_in,
+            bytes_out: self.total.bytes_out,
+            datagrams_in: self.total.datagrams_in,
+            datagrams_out: self.total.datagrams_out,
+            processor_us: self.hollow.usage.cpu_time.as_micros() as u64,
             delays: self
                 .delays
                 .iter_recorded()
@@ -207,13 +207,13 @@
 /// Serves the gateways of a file (a list of fleet files, each with a `feed`). Commands on standard input: `OBJECT US` a
 /// purge that is followed and when it was told, `begin` to count from now on; its end ends them, and each says what it
 /// has seen on standard output as a list in JSON.
-pub fn serve(files: &Path) -> Result<(), Failed> {
+pub fn serve(files: &Path) -> Result<(), Error> {
     let all: Vec<Value> = serde_json::from_str(&std::fs::read_to_string(files)?)?;
     let (clock, shared) = (Instant::now(), Arc::new(Shared::default()));
     let mut ones = Vec::new();
     for file in all {
-        let file = Fleet::read(&file.to_string()).map_err(|e| Failed::File(e.to_string()))?;
-        ones.push(One::new(&file, clock)?);
+        let file = Fleet::read(&file.to_string()).map_err(|e| Error::Config(e.to_string()))?;
+        ones.push(HollowServer::new(&file, clock)?);
     }
     let mut threads = Vec::new();
     for one in ones {
@@ -221,26 +221,26 @@
         let builder = thread::Builder::new().stack_size(512 * 1_024);
         threads.push(builder.spawn(move || {
             let said = one.run(&shared);
-            shared.said.lock().expect("none fails").push(said);
+            shared.reports.lock().expect("none fails").push(said);
         })?);
     }
     for line in io::stdin().lock().lines() {
         let line = line?;
         if line == "begin" {
-            shared.begun.fetch_add(1, Ordering::Relaxed);
+            shared.generation.fetch_add(1, Ordering::Relaxed);
             continue;
         }
         let (object, told_us) = line.split_once(' ').unwrap_or_default();
         if let (Ok(object), Ok(told_us)) = (object.parse(), told_us.parse()) {
-            let follow = Follow { name: object_hash(object), told_us };
-            shared.followed.write().expect("no reader fails").push(follow);
+            let follow = TrackedPurge { hash: object_hash(object), told_us };
+            shared.tracked.write().expect("no reader fails").push(follow);
         }
     }
-    shared.begun.store(ENDS, Ordering::Relaxed);
+    shared.generation.store(STOP, Ordering::Relaxed);
     for thread in threads {
         _ = thread.join();
     }
-    let mut said = std::mem::take(&mut *shared.said.lock().expect("none fails"));
+    let mut said = std::mem::take(&mut *shared.reports.lock().expect("none fails"));
     said.sort_by(|a, b| a.name.cmp(&b.name));
     println!("{}", serde_json::to_string(&said)?);
     Ok(())
@@ -260,7 +260,7 @@
     pub span: Duration,
 }
 
-fn digits(bytes: &[u8]) -> String {
+fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
@@ -269,11 +269,11 @@
 }
 
 struct Installation {
-    lists: Vec<Bulletin>,
+    discovery: Vec<Bulletin>,
     hubs: Vec<Process>,
     real: Vec<Process>,
     hollow: Vec<Child>,
-    first: usize,
+    gateways: usize,
 }
 
 impl Drop for Installation {
@@ -287,14 +287,14 @@
 }
 
 impl Installation {
-    fn start(o: &Options, n: usize, net: u8) -> Result<Installation, Failed> {
+    fn start(o: &Options, n: usize, net: u8) -> Result<Installation, Error> {
         let place = |i: usize| SocketAddr::from(([127, net, (i / 200) as u8, (i % 200) as u8 + 1], 7_800));
         let lists = (0..STREAMS).map(|_| Bulletin::start(1)).collect::<io::Result<Vec<_>>>()?;
-        let sites = n.div_ceil(SITE);
+        let sites = n.div_ceil(GATEWAYS_PER_SITE);
         let hubs: Vec<Value> = (0..HUBS)
             .map(|h| {
                 let pair = Ed25519KeyPair::from_seed_unchecked(&hub_secret(h)).expect("a seed");
-                let public = digits(pair.public_key().as_ref());
+                let public = hex(pair.public_key().as_ref());
                 json!({"name": format!("h{h}"), "address": place(n + h).to_string(), "public": public})
             })
             .collect();
@@ -307,7 +307,7 @@
             json!({
                 "fleet": site, "gateway": name, "listen": place(i).to_string(),
                 "seeds": (first..first + 3).map(|j| place(j).to_string()).collect::<Vec<_>>(),
-                "keys": [{"id": 1, "secret": "17".repeat(32)}], "members": {"expected": SITE},
+                "keys": [{"id": 1, "secret": "17".repeat(32)}], "members": {"expected": GATEWAYS_PER_SITE},
                 "feed": {"name": "loop", "site": site, "streams": streams, "hubs": hubs},
             })
         };
@@ -316,13 +316,18 @@
         let all: Vec<Value> = (0..n)
             .map(|i| file(i, format!("g{i}"), format!("site{}", site_of(i)), first_of(site_of(i))))
             .collect();
-        let mut made =
-            Installation { lists, hubs: Vec::new(), real: Vec::new(), hollow: Vec::new(), first: n };
+        let mut made = Installation {
+            discovery: lists,
+            hubs: Vec::new(),
+            real: Vec::new(),
+            hollow: Vec::new(),
+            gateways: n,
+        };
         let spawn = |name: &str, file: &Value, made: &Installation| {
             let node = fleet::Node {
                 name,
                 zone: "hub",
-                bulletin: made.lists[0].address,
+                bulletin: made.discovery[0].address,
                 places: &[],
                 memory_mb: 64,
                 seed: o.seed,
@@ -334,7 +339,7 @@
             let named: Vec<String> = (0..sites).map(|s| format!("site{s}")).collect();
             own["seeds"] = json!([]);
             own["feed"]["control"] =
-                json!({"name": format!("h{h}"), "secret": digits(&hub_secret(h)), "sites": named});
+                json!({"name": format!("h{h}"), "secret": hex(&hub_secret(h)), "sites": named});
             made.hubs.push(spawn(&format!("h{h}"), &own, &made)?);
         }
         // One real gateway a site, the last of it.
@@ -344,7 +349,7 @@
             made.real.push(spawn(&format!("g{i}"), &all[i], &made)?);
         }
         let hollow: Vec<&Value> = (0..n).filter(|i| !real.contains(i)).map(|i| &all[i]).collect();
-        for (p, files) in hollow.chunks(OF_A_PROCESS).enumerate() {
+        for (p, files) in hollow.chunks(HOLLOW_PER_PROCESS).enumerate() {
             let path = o.folder.join(format!("hollow{p}.json"));
             std::fs::write(&path, json!(files).to_string())?;
             let mut command = Command::new(&o.hollow);
@@ -375,21 +380,21 @@
     }
 
     /// Whether a hub holds all that was told to be done everywhere.
-    fn is_done(&self) -> bool {
+    fn is_converged(&self) -> bool {
         let done = |c: &BTreeMap<String, f64>| {
-            let mut all = self.lists.iter().enumerate();
+            let mut all = self.discovery.iter().enumerate();
             all.all(|(s, l)| c.get(&format!("fleet feed done everywhere {s}")) == Some(&(l.last() as f64)))
         };
         self.hubs.iter().any(|h| done(&self.counters(h)))
     }
 
-    fn wait_done(&self, what: &str) -> Result<(), Failed> {
+    fn wait_converged(&self, what: &str) -> Result<(), Error> {
         let began = Instant::now();
-        while !self.is_done() {
-            if began.elapsed() > STARTS {
-                return Err(Failed::NotDone(format!(
+        while !self.is_converged() {
+            if began.elapsed() > CONVERGENCE_TIMEOUT {
+                return Err(Error::NotConverged(format!(
                     "{what}: no hub holds all of {} to be done",
-                    self.first
+                    self.gateways
                 )));
             }
             thread::sleep(Duration::from_millis(200));
@@ -402,8 +407,8 @@
         while began.elapsed() < span {
             let object: u64 = rng.random();
             let told = unix_us();
-            self.lists[rng.random_range(0..STREAMS)].purge(object, told / 1_000);
-            if no % FOLLOWED == 0 {
+            self.discovery[rng.random_range(0..STREAMS)].purge(object, told / 1_000);
+            if no % TRACKED_PURGE_INTERVAL == 0 {
                 self.command(&format!("{object} {told}"))?;
             }
             no += 1;
@@ -414,12 +419,12 @@
     }
 }
 
-fn run(o: &Options, n: usize, net: u8) -> Result<Run, Failed> {
+fn run(o: &Options, n: usize, net: u8) -> Result<Run, Error> {
     let began = Instant::now();
     let mut all = Installation::start(o, n, net)?;
     let mut rng = Pcg64Mcg::seed_from_u64(o.seed);
     all.purge(&mut rng, Duration::from_millis(500))?;
-    all.wait_done("at the start")?;
+    all.wait_converged("at the start")?;
     let start = Span::from_micros(began.elapsed().as_micros() as u64);
     all.purge(&mut rng, Duration::from_secs(2))?;
     let before: Vec<_> = all.real.iter().map(|r| all.counters(r)).collect();
@@ -428,32 +433,35 @@
     all.purge(&mut rng, o.span)?;
     let over = Span::from_micros(from.elapsed().as_micros() as u64);
     let after: Vec<_> = all.real.iter().map(|r| all.counters(r)).collect();
-    all.wait_done("at the end")?;
+    all.wait_converged("at the end")?;
     for r in &all.real {
         let c = all.counters(r);
         let at = |(s, l): (usize, &Bulletin)| {
             c.get(&format!("fleet feed position {s}")) == Some(&(l.last() as f64))
         };
-        if !all.lists.iter().enumerate().all(at) {
-            return Err(Failed::NotDone(format!("a real gateway is not at the last numbers: {}", r.log())));
+        if !all.discovery.iter().enumerate().all(at) {
+            return Err(Error::NotConverged(format!(
+                "a real gateway is not at the last numbers: {}",
+                r.log()
+            )));
         }
     }
-    let mut said: Vec<Said> = Vec::new();
+    let mut said: Vec<HollowReport> = Vec::new();
     for child in &mut all.hollow {
         drop(child.stdin.take());
         let Some(output) = child.stdout.take() else { continue };
         let mut line = String::new();
         BufReader::new(output).read_line(&mut line)?;
-        said.extend(serde_json::from_str::<Vec<Said>>(&line)?);
+        said.extend(serde_json::from_str::<Vec<HollowReport>>(&line)?);
     }
-    let lasts: Vec<u64> = all.lists.iter().map(Bulletin::last).collect();
+    let lasts: Vec<u64> = all.discovery.iter().map(Bulletin::last).collect();
     let wrong = said.iter().find(|s| s.positions != lasts || s.missing > 0);
     let told = wrong.map_or(Ok(()), |s| {
         Err(format!("{} is at {:?} of {lasts:?}, {} purges were not done", s.name, s.positions, s.missing))
     });
-    let mut delays = delays();
+    let mut delays = delay_histogram();
     said.iter().flat_map(|s| &s.delays).for_each(|(us, n)| _ = delays.record_n(*us, *n));
-    let spent: Vec<Spent> = said.iter().map(Spent::from).collect();
+    let spent: Vec<Usage> = said.iter().map(Usage::from).collect();
     let real = |what: &str| {
         let names = [format!("fleet {what}"), format!("fleet feed {what}")];
         let of = |c: &BTreeMap<String, f64>| names.iter().filter_map(|n| c.get(n)).sum::<f64>();
@@ -461,26 +469,26 @@
         all / after.len().max(1) as f64 / over.as_secs_f64()
     };
     let more = vec![("real-bytes-in", "B/s", real("bytes in")), ("real-bytes-out", "B/s", real("bytes out"))];
-    Ok(Run { spent, over, delays, memory: 0.0, start, told, more })
+    Ok(Run { usage: spent, duration: over, delays, memory: 0.0, start, converged: told, extra: more })
 }
 
-impl From<&Said> for Spent {
-    fn from(s: &Said) -> Spent {
-        Spent {
+impl From<&HollowReport> for Usage {
+    fn from(s: &HollowReport) -> Usage {
+        Usage {
             bytes_in: s.bytes_in,
             bytes_out: s.bytes_out,
             datagrams_in: s.datagrams_in,
             datagrams_out: s.datagrams_out,
-            processor: Duration::from_micros(s.processor_us),
+            cpu_time: Duration::from_micros(s.processor_us),
         }
     }
 }
 
 /// Hollow gateways beside some real ones, at growing sizes. Counts are of the feed and of membership, of the hollow ones
 /// unless the ladder's name says `real`.
-pub fn loopback(o: &Options) -> Result<Vec<Ladder>, Failed> {
+pub fn loopback(o: &Options) -> Result<Vec<Series>, Error> {
     std::fs::create_dir_all(&o.folder)?;
-    let mut by = Group::new(
+    let mut by = SeriesGroup::new(
         "loopback",
         "loopback",
         MECHANISM,
@@ -490,12 +498,12 @@
     );
     for (i, &n) in o.sizes.iter().enumerate() {
         let run = run(o, n, 100 + i as u8)?;
-        if let Err(why) = run.told {
-            return Err(Failed::NotDone(why));
+        if let Err(why) = run.converged {
+            return Err(Error::NotConverged(why));
         }
-        by.take(n as f64, run);
+        by.push(n as f64, run);
     }
-    let mut all = by.ladders(o.seed);
+    let mut all = by.series(o.seed);
     all.retain(|l| !l.id.contains(".memory."));
     Ok(all)
 }
--- a/scale/src/main.rs
+++ b/scale/src/main.rs
@@ -2,26 +2,26 @@
 //! exceeded or a row is not measured, with 2 where a file can't be used.
 
 use clap::{Parser, Subcommand};
+use kelpcart_scale::benchmarks;
 use kelpcart_scale::capacity::{self, State, Verdict};
-use kelpcart_scale::fit::{self, Figure, digits};
-use kelpcart_scale::ladders;
+use kelpcart_scale::fit::{self, Statistic, format_number};
 use kelpcart_scale::loopback;
 use kelpcart_scale::memory;
 use kelpcart_scale::plot;
-use kelpcart_scale::slopes::{Ladder, Slopes};
+use kelpcart_scale::slopes::{Series, Slopes};
 use kelpcart_scale::target::Target;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 #[derive(Parser)]
 #[command(about = "How costs grow with an installation's size, and what a target size asks of each role.")]
-struct Line {
+struct Cli {
     #[command(subcommand)]
-    what: What,
+    what: Command,
 }
 
 #[derive(Subcommand)]
-enum What {
+enum Command {
     /// Plays the ladders and writes the file of slopes.
     Measure(Measure),
     /// Role by role: what the target asks, what the slopes give, the share of the budget.
@@ -78,10 +78,10 @@
 type Outcome = Result<bool, Box<dyn std::error::Error>>;
 
 fn main() -> ExitCode {
-    let result = match Line::parse().what {
-        What::Measure(options) => measure(&options),
-        What::Capacity(options) => capacity(&options),
-        What::Hollow(options) => loopback::serve(&options.files).map(|()| true).map_err(Into::into),
+    let result = match Cli::parse().what {
+        Command::Measure(options) => measure(&options),
+        Command::Capacity(options) => capacity(&options),
+        Command::Hollow(options) => loopback::serve(&options.files).map(|()| true).map_err(Into::into),
     };
     match result {
         Ok(true) => ExitCode::SUCCESS,
@@ -93,93 +93,102 @@
     }
 }
 
-fn text(path: &Path) -> Result<String, String> {
+fn read_file(path: &Path) -> Result<String, String> {
     std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-fn write(path: &Path, text: &str) -> Result<(), String> {
+fn write_file(path: &Path, text: &str) -> Result<(), String> {
     std::fs::write(path, text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
 fn slopes(path: &Path) -> Result<Slopes, String> {
-    Slopes::read(&text(path)?).map_err(|e| format!("{}: {e}", path.display()))
+    Slopes::read(&read_file(path)?).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-fn law(ladder: &Ladder, figure: Figure) -> String {
-    fit::of_ladder(ladder, figure).map_or("-".to_owned(), |f| f.told())
+fn describe_law(ladder: &Series, figure: Statistic) -> String {
+    fit::fit_series(ladder, figure).map_or("-".to_owned(), |f| f.describe())
 }
 
-fn print(ladder: &Ladder) {
+fn print_series(ladder: &Series) {
     println!("{}  [{}, over {}]", ladder.id, ladder.unit, ladder.over);
     for p in &ladder.points {
-        let p99 = p.p99.map_or(String::new(), |p| format!("  p99 {}", digits(p)));
-        println!("  {:>10}  mean {:>10}  worst {:>10}{p99}", digits(p.at), digits(p.mean), digits(p.worst));
+        let p99 = p.p99.map_or(String::new(), |p| format!("  p99 {}", format_number(p)));
+        println!(
+            "  {:>10}  mean {:>10}  worst {:>10}{p99}",
+            format_number(p.at),
+            format_number(p.mean),
+            format_number(p.worst)
+        );
     }
-    println!("  mean: {}; worst: {}", law(ladder, Figure::Mean), law(ladder, Figure::Worst));
+    println!(
+        "  mean: {}; worst: {}",
+        describe_law(ladder, Statistic::Mean),
+        describe_law(ladder, Statistic::Worst)
+    );
 }
 
 fn measure(options: &Measure) -> Outcome {
     let old = options.merge.as_deref().map(slopes).transpose()?;
     let wanted = |name: &str| options.only.as_deref().is_none_or(|only| name.starts_with(only));
-    let chosen: Vec<_> = ladders::MODULES.iter().filter(|(name, _)| wanted(name)).collect();
+    let chosen: Vec<_> = benchmarks::MODULES.iter().filter(|(name, _)| wanted(name)).collect();
     if chosen.is_empty() {
-        let names: Vec<&str> = ladders::MODULES.iter().map(|(name, _)| *name).collect();
+        let names: Vec<&str> = benchmarks::MODULES.iter().map(|(name, _)| *name).collect();
         return Err(format!("--only: there are {}", names.join(", ")).into());
     }
     let mut all = Vec::new();
     for (name, measure) in chosen {
         println!("{name}");
         let given = measure(options.seed, options.quick);
-        given.iter().for_each(print);
+        given.iter().for_each(print_series);
         all.extend(given);
     }
     let mut new =
         Slopes { seed: options.seed, quick: options.quick, peak_memory: memory::peak(), ladders: all };
     if let Some(old) = old {
-        new = new.over(old)?;
+        new = new.merged_with(old)?;
     }
     new.check()?;
-    write(&options.json, &(serde_json::to_string_pretty(&new)? + "\n"))?;
+    write_file(&options.json, &(serde_json::to_string_pretty(&new)? + "\n"))?;
     Ok(true)
 }
 
 fn capacity(options: &Capacity) -> Outcome {
     let slopes = slopes(&options.slopes)?;
-    let target =
-        Target::read(&text(&options.target)?).map_err(|e| format!("{}: {e}", options.target.display()))?;
+    let target = Target::read(&read_file(&options.target)?)
+        .map_err(|e| format!("{}: {e}", options.target.display()))?;
     let verdicts = capacity::verdicts(&slopes, &target);
-    let breaks = capacity::breaks(&slopes, &target);
+    let breaks = capacity::breaking_points(&slopes, &target);
     if let Some(page) = &options.page {
-        let new = capacity::page(&text(page)?, &slopes, &target);
-        write(page, &new.map_err(|e| format!("{}: {e}", page.display()))?)?;
+        let new = capacity::page(&read_file(page)?, &slopes, &target);
+        write_file(page, &new.map_err(|e| format!("{}: {e}", page.display()))?)?;
     }
     for role in capacity::ROLES {
         println!("{}{}\n", if options.markdown { "## " } else { "" }, role.title);
         if options.markdown {
             println!("{}", capacity::table(role.id, &verdicts));
         } else {
-            println!("{}", capacity::plain(role.id, &verdicts));
+            println!("{}", capacity::plain_table(role.id, &verdicts));
         }
     }
     println!("{}What breaks first\n", if options.markdown { "## " } else { "" });
     if options.markdown {
-        println!("{}", capacity::breaks_table(&breaks));
+        println!("{}", capacity::breaking_points_table(&breaks));
     } else {
-        println!("{}", capacity::breaks_plain(&breaks));
+        println!("{}", capacity::breaking_points_plain(&breaks));
     }
     if options.markdown {
-        println!("## Ladders\n\n{}", capacity::ladders_table(&slopes));
+        println!("## Ladders\n\n{}", capacity::series_table(&slopes));
     }
     if let Some(folder) = &options.plot {
         std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         for ladder in &slopes.ladders {
-            let (budgets, size) = capacity::marks(&ladder.id, &verdicts);
+            let (budgets, size) = capacity::chart_marks(&ladder.id, &verdicts);
             plot::draw(ladder, &budgets, size, folder)?;
         }
     }
     if let Some(path) = &options.json {
         let all = serde_json::json!({ "rows": verdicts, "breaks": breaks });
-        write(path, &(serde_json::to_string_pretty(&all)? + "\n"))?;
+        write_file(path, &(serde_json::to_string_pretty(&all)? + "\n"))?;
     }
     if slopes.quick {
         println!("these are slopes of short ladders");
@@ -189,9 +198,9 @@
         "{} green, {} red, {} open, {} not measured, {} told; {} of what was before",
         count(State::Green),
         count(State::Red),
-        count(State::Open),
+        count(State::Uncertain),
         count(State::NotMeasured),
-        count(State::Told),
+        count(State::NoBudget),
         verdicts.iter().filter(|v| v.before).count()
     );
     Ok(!verdicts.iter().any(Verdict::fails))
--- a/scale/src/memory.rs
+++ b/scale/src/memory.rs
@@ -8,7 +8,7 @@
 static ALLOCATED: Cap<System> = Cap::new(System, usize::MAX);
 
 /// Bytes that the process holds now.
-pub fn held() -> u64 {
+pub fn allocated() -> u64 {
     ALLOCATED.allocated() as u64
 }
 
@@ -18,9 +18,9 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
+pub enum MemoryError {
     #[error("{needs} bytes are wanted, more than half of the machine's {total}")]
-    Large { needs: u64, total: u64 },
+    TooLarge { needs: u64, total: u64 },
     #[error("the machine does not tell its memory")]
     Unknown,
 }
@@ -32,9 +32,9 @@
 }
 
 /// Whether `needs` more bytes leave half of the machine's memory to others.
-pub fn fits(needs: u64) -> Result<(), Refused> {
+pub fn fits(needs: u64) -> Result<(), MemoryError> {
     let read = std::fs::read_to_string("/proc/meminfo").ok();
-    let total = read.as_deref().and_then(total).ok_or(Refused::Unknown)?;
-    let needs = needs.saturating_add(held());
-    if needs <= total / 2 { Ok(()) } else { Err(Refused::Large { needs, total }) }
+    let total = read.as_deref().and_then(total).ok_or(MemoryError::Unknown)?;
+    let needs = needs.saturating_add(allocated());
+    if needs <= total / 2 { Ok(()) } else { Err(MemoryError::TooLarge { needs, total }) }
 }
--- a/scale/src/sim.rs
+++ b/scale/src/sim.rs
@@ -14,54 +14,54 @@
 
 /// A core that a network hosts. What it wants done beside datagrams it keeps for its owner.
 pub trait Actor {
-    fn datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]);
+    fn handle_datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]);
     fn tick(&mut self, now: Time);
     fn next_wake(&self, now: Time) -> Time;
     /// The next datagram that it sends.
-    fn sent(&mut self) -> Option<(SocketAddr, Vec<u8>)>;
+    fn poll_datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)>;
 }
 
-enum Due {
+enum EventKind {
     Wake(usize),
     Datagram { from: usize, to: usize, bytes: Rc<[u8]> },
 }
 
-struct Queued {
+struct QueuedEvent {
     at: Time,
-    number: u64,
-    due: Due,
+    seq: u64,
+    kind: EventKind,
 }
 
-impl PartialEq for Queued {
-    fn eq(&self, other: &Queued) -> bool {
+impl PartialEq for QueuedEvent {
+    fn eq(&self, other: &QueuedEvent) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl Eq for Queued {}
+impl Eq for QueuedEvent {}
 
-impl PartialOrd for Queued {
-    fn partial_cmp(&self, other: &Queued) -> Option<Ordering> {
+impl PartialOrd for QueuedEvent {
+    fn partial_cmp(&self, other: &QueuedEvent) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Queued {
+impl Ord for QueuedEvent {
     /// The earliest is the greatest; what is due at once goes by its number.
-    fn cmp(&self, other: &Queued) -> Ordering {
-        (other.at, other.number).cmp(&(self.at, self.number))
+    fn cmp(&self, other: &QueuedEvent) -> Ordering {
+        (other.at, other.seq).cmp(&(self.at, self.seq))
     }
 }
 
 /// What one actor has sent and taken since it was last reset, in payload bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Spent {
+pub struct Usage {
     pub bytes_in: u64,
     pub bytes_out: u64,
     pub datagrams_in: u64,
     pub datagrams_out: u64,
     /// Of its core alone, where the network measures it.
-    pub processor: Duration,
+    pub cpu_time: Duration,
 }
 
 pub struct Slot<A> {
@@ -70,12 +70,12 @@
     /// It is given nothing; what comes meanwhile is lost.
     pub stopped: bool,
     /// Its clock is that much ahead.
-    pub ahead: Span,
-    pub spent: Spent,
+    pub clock_offset: Span,
+    pub usage: Usage,
     wake: Option<Time>,
 }
 
-type Between<T> = Box<dyn Fn(usize, usize) -> T>;
+type LinkFn<T> = Box<dyn Fn(usize, usize) -> T>;
 
 pub struct Sim<A> {
     pub now: Time,
@@ -83,23 +83,23 @@
     pub rng: Pcg64Mcg,
     /// The part of datagrams that is lost, and that comes twice.
     pub loss: f64,
-    pub repeat: f64,
+    pub duplication: f64,
     /// One way, at the mean; a datagram takes half of it to once and a half of it.
-    pub delay: Between<Span>,
+    pub delay: LinkFn<Span>,
     /// Nothing goes from the first to the second.
-    pub cut: Between<bool>,
+    pub link_down: LinkFn<bool>,
     /// Nothing goes from the first to the second, either.
-    pub cuts: BTreeSet<(usize, usize)>,
+    pub down_links: BTreeSet<(usize, usize)>,
     /// Datagrams that are kept to be sent again, at the most.
-    pub records: usize,
-    pub recorded: Vec<(usize, usize, Vec<u8>)>,
+    pub capture_limit: usize,
+    pub captured: Vec<(usize, usize, Vec<u8>)>,
     /// Notes the processor time of the cores.
-    pub measures: bool,
+    pub measure_cpu: bool,
     pub steps: u64,
-    queue: BinaryHeap<Queued>,
-    number: u64,
-    places: HashMap<SocketAddr, usize>,
-    still: (Time, u32),
+    queue: BinaryHeap<QueuedEvent>,
+    seq: u64,
+    by_address: HashMap<SocketAddr, usize>,
+    same_time_steps: (Time, u32),
 }
 
 impl<A: Actor> Sim<A> {
@@ -110,47 +110,54 @@
             slots: Vec::new(),
             rng: Pcg64Mcg::seed_from_u64(seed),
             loss: 0.0,
-            repeat: 0.0,
+            duplication: 0.0,
             delay: Box::new(|_, _| Span::from_millis(1)),
-            cut: Box::new(|_, _| false),
-            cuts: BTreeSet::new(),
-            records: 0,
-            recorded: Vec::new(),
-            measures: false,
+            link_down: Box::new(|_, _| false),
+            down_links: BTreeSet::new(),
+            capture_limit: 0,
+            captured: Vec::new(),
+            measure_cpu: false,
             steps: 0,
             queue: BinaryHeap::new(),
-            number: 0,
-            places: HashMap::new(),
-            still: (Time::default(), 0),
+            seq: 0,
+            by_address: HashMap::new(),
+            same_time_steps: (Time::default(), 0),
         }
     }
 
     /// A place for an actor, which may come later.
     pub fn add(&mut self, address: SocketAddr, actor: Option<A>) -> usize {
         let i = self.slots.len();
-        let (stopped, ahead, spent) = (false, Span::ZERO, Spent::default());
-        self.slots.push(Slot { actor: None, address, stopped, ahead, spent, wake: None });
-        self.places.insert(address, i);
-        self.put(i, actor);
+        let (stopped, ahead, spent) = (false, Span::ZERO, Usage::default());
+        self.slots.push(Slot {
+            actor: None,
+            address,
+            stopped,
+            clock_offset: ahead,
+            usage: spent,
+            wake: None,
+        });
+        self.by_address.insert(address, i);
+        self.set_actor(i, actor);
         i
     }
 
     /// Starts one anew, or ends it.
-    pub fn put(&mut self, i: usize, actor: Option<A>) {
+    pub fn set_actor(&mut self, i: usize, actor: Option<A>) {
         let slot = &mut self.slots[i];
         (slot.actor, slot.stopped, slot.wake) = (actor, false, None);
-        self.pull(i);
+        self.drain_output(i);
     }
 
-    pub fn stop(&mut self, i: usize, stopped: bool) {
+    pub fn set_stopped(&mut self, i: usize, stopped: bool) {
         self.slots[i].stopped = stopped;
         self.slots[i].wake = None;
         if !stopped {
-            self.pull(i);
+            self.drain_output(i);
         }
     }
 
-    pub fn get(&self, i: usize) -> Option<&A> {
+    pub fn actor(&self, i: usize) -> Option<&A> {
         self.slots[i].actor.as_ref()
     }
 
@@ -161,58 +168,61 @@
     }
 
     /// The time by the clock of one.
-    pub fn at(&self, i: usize) -> Time {
-        self.now + self.slots[i].ahead
+    pub fn local_time(&self, i: usize) -> Time {
+        self.now + self.slots[i].clock_offset
     }
 
     /// Has one do something by its own clock; what it sends goes out.
-    pub fn with<T>(&mut self, i: usize, act: impl FnOnce(&mut A, Time) -> T) -> Option<T> {
-        let (now, measures) = (self.at(i), self.measures);
+    pub fn with_actor<T>(&mut self, i: usize, act: impl FnOnce(&mut A, Time) -> T) -> Option<T> {
+        let (now, measures) = (self.local_time(i), self.measure_cpu);
         let slot = &mut self.slots[i];
         let actor = slot.actor.as_mut().filter(|_| !slot.stopped)?;
         let begun = measures.then(ThreadTime::now);
         let given = act(actor, now);
-        slot.spent.processor += begun.map_or(Duration::ZERO, |b| b.elapsed());
-        self.pull(i);
+        slot.usage.cpu_time += begun.map_or(Duration::ZERO, |b| b.elapsed());
+        self.drain_output(i);
         Some(given)
     }
 
-    fn push(&mut self, at: Time, due: Due) {
-        self.number += 1;
-        self.queue.push(Queued { at, number: self.number, due });
+    fn push(&mut self, at: Time, due: EventKind) {
+        self.seq += 1;
+        self.queue.push(QueuedEvent { at, seq: self.seq, kind: due });
     }
 
     /// A datagram from one to another, as if the first had sent it.
     pub fn send(&mut self, from: usize, to: usize, bytes: &[u8]) {
-        if (self.cut)(from, to) || self.cuts.contains(&(from, to)) || self.rng.random_bool(self.loss) {
+        if (self.link_down)(from, to)
+            || self.down_links.contains(&(from, to))
+            || self.rng.random_bool(self.loss)
+        {
             return;
         }
-        let copies = 1 + u32::from(self.rng.random_bool(self.repeat));
+        let copies = 1 + u32::from(self.rng.random_bool(self.duplication));
         let shared: Rc<[u8]> = Rc::from(bytes);
         for _ in 0..copies {
             let takes = (self.delay)(from, to) * self.rng.random_range(0.5..1.5);
-            self.push(self.now + takes, Due::Datagram { from, to, bytes: Rc::clone(&shared) });
+            self.push(self.now + takes, EventKind::Datagram { from, to, bytes: Rc::clone(&shared) });
         }
     }
 
-    fn pull(&mut self, i: usize) {
-        while let Some((to, bytes)) = self.slots[i].actor.as_mut().and_then(A::sent) {
-            self.slots[i].spent.datagrams_out += 1;
-            self.slots[i].spent.bytes_out += bytes.len() as u64;
-            if let Some(to) = self.places.get(&to).copied() {
-                if self.recorded.len() < self.records {
-                    self.recorded.push((i, to, bytes.clone()));
+    fn drain_output(&mut self, i: usize) {
+        while let Some((to, bytes)) = self.slots[i].actor.as_mut().and_then(A::poll_datagram) {
+            self.slots[i].usage.datagrams_out += 1;
+            self.slots[i].usage.bytes_out += bytes.len() as u64;
+            if let Some(to) = self.by_address.get(&to).copied() {
+                if self.captured.len() < self.capture_limit {
+                    self.captured.push((i, to, bytes.clone()));
                 }
                 self.send(i, to, &bytes);
             }
         }
-        let own = self.at(i);
+        let own = self.local_time(i);
         let slot = &mut self.slots[i];
         let Some(actor) = slot.actor.as_ref().filter(|_| !slot.stopped) else { return };
         let at = self.now + (actor.next_wake(own) - own);
         if slot.wake != Some(at) {
             slot.wake = Some(at);
-            self.push(at, Due::Wake(i));
+            self.push(at, EventKind::Wake(i));
         }
     }
 
@@ -221,14 +231,15 @@
         while self.queue.peek().is_some_and(|q| q.at <= until) {
             let Some(next) = self.queue.pop() else { break };
             let at = next.at.max(self.now);
-            self.still = if self.still.0 == at { (at, self.still.1 + 1) } else { (at, 0) };
+            self.same_time_steps =
+                if self.same_time_steps.0 == at { (at, self.same_time_steps.1 + 1) } else { (at, 0) };
             let most = 100 * self.slots.len().max(200) as u32;
-            assert!(self.still.1 < most, "time stands still");
+            assert!(self.same_time_steps.1 < most, "time stands still");
             self.now = at;
-            let measures = self.measures;
-            let (i, given) = match next.due {
-                Due::Wake(i) => {
-                    let own = self.at(i);
+            let measures = self.measure_cpu;
+            let (i, given) = match next.kind {
+                EventKind::Wake(i) => {
+                    let own = self.local_time(i);
                     let slot = &mut self.slots[i];
                     if slot.wake != Some(next.at) || slot.stopped {
                         continue;
@@ -239,32 +250,32 @@
                     actor.tick(own);
                     (i, begun.map(|b| b.elapsed()))
                 }
-                Due::Datagram { from, to, bytes } => {
-                    let (own, sender) = (self.at(to), self.slots[from].address);
+                EventKind::Datagram { from, to, bytes } => {
+                    let (own, sender) = (self.local_time(to), self.slots[from].address);
                     let slot = &mut self.slots[to];
                     let Some(actor) = slot.actor.as_mut().filter(|_| !slot.stopped) else { continue };
-                    slot.spent.datagrams_in += 1;
-                    slot.spent.bytes_in += bytes.len() as u64;
+                    slot.usage.datagrams_in += 1;
+                    slot.usage.bytes_in += bytes.len() as u64;
                     let begun = measures.then(ThreadTime::now);
-                    actor.datagram(own, sender, &bytes);
+                    actor.handle_datagram(own, sender, &bytes);
                     (to, begun.map(|b| b.elapsed()))
                 }
             };
-            self.slots[i].spent.processor += given.unwrap_or_default();
+            self.slots[i].usage.cpu_time += given.unwrap_or_default();
             self.steps += 1;
-            self.pull(i);
+            self.drain_output(i);
             return Some(i);
         }
         self.now = self.now.max(until);
         None
     }
 
-    pub fn run(&mut self, span: Span) {
+    pub fn run_for(&mut self, span: Span) {
         let until = self.now + span;
         while self.step(until).is_some() {}
     }
 
-    pub fn reset_spent(&mut self) {
-        self.slots.iter_mut().for_each(|s| s.spent = Spent::default());
+    pub fn reset_usage(&mut self) {
+        self.slots.iter_mut().for_each(|s| s.usage = Usage::default());
     }
 }
--- a/scale/src/slopes.rs
+++ b/scale/src/slopes.rs
@@ -12,13 +12,13 @@
     pub quick: bool,
     /// The most memory that the run held, in bytes.
     pub peak_memory: u64,
-    pub ladders: Vec<Ladder>,
+    pub ladders: Vec<Series>,
 }
 
 /// One quantity at growing sizes of one thing, all else fixed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Ladder {
+pub struct Series {
     /// Unique: what is measured, of whom, and over what, such as `feed.bytes-out.by-gateways`.
     pub id: String,
     /// What grows: `gateways`, `caches`, `sites`, `purges_per_s`, `changes_per_s`, `restarts_per_h`, `lost_part`.
@@ -35,7 +35,7 @@
     pub command: String,
     /// Depends on the machine's speed: CI does not compare it.
     pub timed: bool,
-    pub points: Vec<Point>,
+    pub points: Vec<Sample>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -58,7 +58,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Point {
+pub struct Sample {
     /// The size.
     pub at: f64,
     /// Over all members of the role.
@@ -72,13 +72,13 @@
 }
 
 impl Slopes {
-    pub fn get(&self, id: &str) -> Option<&Ladder> {
+    pub fn get(&self, id: &str) -> Option<&Series> {
         self.ladders.iter().find(|l| l.id == id)
     }
 }
 
 #[derive(Debug, thiserror::Error)]
-pub enum Unusable {
+pub enum InvalidSlopes {
     #[error("{0}")]
     Form(#[from] serde_json::Error),
     #[error("ladder {0}: {1}")]
@@ -88,21 +88,21 @@
 }
 
 impl Slopes {
-    pub fn read(text: &str) -> Result<Slopes, Unusable> {
+    pub fn read(text: &str) -> Result<Slopes, InvalidSlopes> {
         let slopes: Slopes = serde_json::from_str(text)?;
         slopes.check()?;
         Ok(slopes)
     }
 
-    pub fn check(&self) -> Result<(), Unusable> {
+    pub fn check(&self) -> Result<(), InvalidSlopes> {
         let mut seen = BTreeSet::new();
         for ladder in &self.ladders {
             let need = |is: bool, what: &'static str| {
-                if is { Ok(()) } else { Err(Unusable::Ladder(ladder.id.clone(), what)) }
+                if is { Ok(()) } else { Err(InvalidSlopes::Ladder(ladder.id.clone(), what)) }
             };
             need(seen.insert(&ladder.id), "stands twice")?;
             need(!ladder.points.is_empty(), "no points")?;
-            let figures = |p: &Point| [Some(p.at), Some(p.mean), Some(p.worst), p.p50, p.p99];
+            let figures = |p: &Sample| [Some(p.at), Some(p.mean), Some(p.worst), p.p50, p.p99];
             let mut all = ladder.points.iter().flat_map(figures).flatten();
             need(all.all(|f| f.is_finite() && f >= 0.0), "a figure is below zero or none")?;
             need(ladder.points.windows(2).all(|w| w[0].at < w[1].at), "sizes don't rise")?;
@@ -111,12 +111,12 @@
     }
 
     /// These, and those of an older file that were not measured anew, by id.
-    pub fn over(mut self, old: Slopes) -> Result<Slopes, Unusable> {
+    pub fn merged_with(mut self, old: Slopes) -> Result<Slopes, InvalidSlopes> {
         if self.quick != old.quick {
-            return Err(Unusable::Quick);
+            return Err(InvalidSlopes::Quick);
         }
         self.peak_memory = self.peak_memory.max(old.peak_memory);
-        let kept: Vec<Ladder> = old.ladders.into_iter().filter(|l| self.get(&l.id).is_none()).collect();
+        let kept: Vec<Series> = old.ladders.into_iter().filter(|l| self.get(&l.id).is_none()).collect();
         self.ladders.extend(kept);
         self.ladders.sort_by(|x, y| x.id.cmp(&y.id));
         Ok(self)
--- a/scale/src/target.rs
+++ b/scale/src/target.rs
@@ -98,7 +98,7 @@
 }
 
 #[derive(Debug, thiserror::Error)]
-pub enum Unusable {
+pub enum InvalidTarget {
     #[error("{0}")]
     Form(#[from] serde_json::Error),
     #[error("{0}: {1}")]
@@ -106,7 +106,7 @@
 }
 
 impl Target {
-    pub fn read(text: &str) -> Result<Target, Unusable> {
+    pub fn read(text: &str) -> Result<Target, InvalidTarget> {
         let target: Target = serde_json::from_str(text)?;
         target.check()?;
         Ok(target)
@@ -117,9 +117,9 @@
         serde_json::to_string_pretty(&schemars::schema_for!(Target)).unwrap_or_default()
     }
 
-    fn check(&self) -> Result<(), Unusable> {
+    fn check(&self) -> Result<(), InvalidTarget> {
         let need = |is: bool, field: &'static str, what: &'static str| {
-            if is { Ok(()) } else { Err(Unusable::Field(field, what)) }
+            if is { Ok(()) } else { Err(InvalidTarget::Field(field, what)) }
         };
         let some = |x: f64| x.is_finite() && x > 0.0;
         let any = |x: f64| x.is_finite() && x >= 0.0;
--- a/scale/tests/ladders.rs
+++ b/scale/tests/benchmarks.rs
@@ -1,7 +1,7 @@
 //! The ladders of single roles: at least five sizes each, ids of their own, and counts that are as the sizes say.
 
-use kelpcart_scale::ladders::{data_path, module, roles};
-use kelpcart_scale::slopes::Ladder;
+use kelpcart_scale::benchmarks::{data_path, module, roles};
+use kelpcart_scale::slopes::Series;
 use std::collections::BTreeSet;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -12,7 +12,7 @@
     ALONE.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn sound(all: &[Ladder]) {
+fn sound(all: &[Series]) {
     let ids: BTreeSet<&str> = all.iter().map(|l| l.id.as_str()).collect();
     assert_eq!(ids.len(), all.len(), "two ladders of one id");
     for l in all {
@@ -25,7 +25,7 @@
     }
 }
 
-fn counts(all: &[Ladder]) -> Vec<&Ladder> {
+fn counts(all: &[Series]) -> Vec<&Series> {
     all.iter().filter(|l| !l.timed).collect()
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-fn means(all: &[Ladder], id: &str) -> Vec<f64> {
+fn means(all: &[Series], id: &str) -> Vec<f64> {
     all.iter().find(|l| l.id == id).expect("a ladder").points.iter().map(|p| p.mean).collect()
 }
 
@@ -73,7 +73,7 @@
             let spent = all.iter().filter(|l| l.id.starts_with("data-path.processor"));
             assert!(spent.clone().count() == 2 && spent.flat_map(|l| &l.points).all(|p| p.mean > 0.0));
         }
-        Err(data_path::Failed::NoProgram(path)) => eprintln!("not run: no program at {}", path.display()),
+        Err(data_path::Error::BinaryNotFound(path)) => eprintln!("not run: no program at {}", path.display()),
         Err(why) => panic!("{why}"),
     }
 }
--- a/scale/tests/capacity.rs
+++ b/scale/tests/capacity.rs
@@ -1,7 +1,7 @@
 //! The page's tables are those of the committed slopes and target; a verdict is what its ladder, size and budget give.
 
-use kelpcart_scale::capacity::{self, State, Unwritable, Verdict};
-use kelpcart_scale::slopes::{Host, Ladder, Point, Slopes};
+use kelpcart_scale::capacity::{self, PageError, State, Verdict};
+use kelpcart_scale::slopes::{Host, Sample, Series, Slopes};
 use kelpcart_scale::target::Target;
 use std::collections::BTreeMap;
 
@@ -13,9 +13,9 @@
     Target::read(&file("deploy/target.json")).unwrap()
 }
 
-fn ladder(id: &str, over: &str, sizes: &[f64], value: impl Fn(f64) -> f64) -> Ladder {
-    let point = |n: &f64| Point { at: *n, mean: value(*n), worst: 2.0 * value(*n), p50: None, p99: None };
-    Ladder {
+fn ladder(id: &str, over: &str, sizes: &[f64], value: impl Fn(f64) -> f64) -> Series {
+    let point = |n: &f64| Sample { at: *n, mean: value(*n), worst: 2.0 * value(*n), p50: None, p99: None };
+    Series {
         id: id.to_owned(),
         over: over.to_owned(),
         fixed: BTreeMap::new(),
@@ -32,7 +32,7 @@
 const OUT: &str = "feed.bytes-out.by-gateways";
 const BOTH: [&str; 2] = ["control.bytes-in.by-gateways", "control.bytes-out.by-gateways"];
 
-fn slopes(ladders: Vec<Ladder>) -> Slopes {
+fn slopes(ladders: Vec<Series>) -> Slopes {
     Slopes { seed: 1, quick: true, peak_memory: 0, ladders }
 }
 
@@ -73,7 +73,7 @@
     let short = ladder(IN, "gateways", &sizes, |n| 300.0 + n / 6.0 * if n == 110.0 { 1.2 } else { 1.0 });
     let verdicts = capacity::verdicts(&slopes(vec![short]), &target());
     let row = &rows(&verdicts, &[IN])[0];
-    assert_eq!(row.state, State::Open, "{row:?}");
+    assert_eq!(row.state, State::Uncertain, "{row:?}");
     assert!(row.fails() && row.basis.contains("×61.5 beyond"), "{row:?}");
 }
 
@@ -81,7 +81,7 @@
 fn what_breaks_first_is_told_with_its_size() {
     let sizes = [25.0, 100.0, 1_000.0, 8_000.0];
     let both = BOTH.map(|id| ladder(id, "gateways", &sizes, |n| 1_000.0 + 0.1 * n));
-    let breaks = capacity::breaks(&slopes(both.to_vec()), &target());
+    let breaks = capacity::breaking_points(&slopes(both.to_vec()), &target());
     let told: Vec<(f64, f64)> = breaks.iter().map(|b| (b.size.round(), (b.times * 100.0).round())).collect();
     assert_eq!(
         told,
@@ -95,7 +95,7 @@
     let slopes = slopes(vec![lossy]);
     let verdicts = capacity::verdicts(&slopes, &target());
     assert_eq!(rows(&verdicts, &["feed-lossy.delay.by-lost-part"])[0].state, State::Red);
-    assert!(capacity::breaks(&slopes, &target()).is_empty());
+    assert!(capacity::breaking_points(&slopes, &target()).is_empty());
 }
 
 /// The relayed list passes its budget, but it is the feed that stands there now.
@@ -105,35 +105,35 @@
     let slopes = slopes(vec![list]);
     let row = &rows(&capacity::verdicts(&slopes, &target()), &["fleet.bytes-in.by-gateways"])[0];
     assert!(row.state == State::Red && !row.fails(), "{row:?}");
-    assert!(capacity::breaks(&slopes, &target()).is_empty());
+    assert!(capacity::breaking_points(&slopes, &target()).is_empty());
 }
 
 #[test]
 fn the_page_is_refused_where_a_table_is_not_whole() {
     let (none, target) = (slopes(Vec::new()), target());
     let page = |text: &str| capacity::page(text, &none, &target);
-    assert_eq!(page("<!-- table: nobody -->\n"), Err(Unwritable::Unknown("nobody".to_owned())));
-    assert_eq!(page("<!-- table: module -->\n"), Err(Unwritable::Endless("module".to_owned())));
-    assert!(matches!(page("no table\n"), Err(Unwritable::Count(_))));
+    assert_eq!(page("<!-- table: nobody -->\n"), Err(PageError::UnknownRole("nobody".to_owned())));
+    assert_eq!(page("<!-- table: module -->\n"), Err(PageError::Unterminated("module".to_owned())));
+    assert!(matches!(page("no table\n"), Err(PageError::NotOnce(_))));
 }
 
 #[test]
 fn mechanisms_are_files_of_the_repository() {
     for row in capacity::ROLES.iter().flat_map(|r| r.rows) {
         let path = format!("{}/../{}", env!("CARGO_MANIFEST_DIR"), row.mechanism);
-        assert!(std::path::Path::new(&path).is_file(), "{}: {}", row.what, row.mechanism);
+        assert!(std::path::Path::new(&path).is_file(), "{}: {}", row.label, row.mechanism);
     }
 }
 
 #[test]
 fn slopes_measured_anew_take_the_place_of_old_ones() {
     let old = slopes(vec![ladder(IN, "gateways", &[1.0], |_| 1.0), ladder(OUT, "gateways", &[1.0], |_| 1.0)]);
-    let new = slopes(vec![ladder(OUT, "gateways", &[1.0], |_| 2.0)]).over(old).unwrap();
+    let new = slopes(vec![ladder(OUT, "gateways", &[1.0], |_| 2.0)]).merged_with(old).unwrap();
     assert_eq!(new.ladders.len(), 2);
     assert_eq!(new.get(OUT).unwrap().points[0].mean, 2.0);
     let mut full = slopes(Vec::new());
     full.quick = false;
-    assert!(full.over(new).is_err());
+    assert!(full.merged_with(new).is_err());
 }
 
 #[test]
--- a/scale/tests/fit.rs
+++ b/scale/tests/fit.rs
@@ -1,6 +1,6 @@
 //! The law of growth is found again, whatever its size and unit.
 
-use kelpcart_scale::fit::{self, Basis, Law};
+use kelpcart_scale::fit::{self, Basis, GrowthLaw};
 use quickcheck::{TestResult, quickcheck};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -8,13 +8,13 @@
 const SIZES: [f64; 8] = [25.0, 50.0, 100.0, 300.0, 1_000.0, 2_000.0, 4_000.0, 8_000.0];
 const NOISE: f64 = 0.03;
 
-fn law(n: u8) -> Law {
-    fit::LAWS[usize::from(n) % fit::LAWS.len()]
+fn law(n: u8) -> GrowthLaw {
+    fit::GROWTH_LAWS[usize::from(n) % fit::GROWTH_LAWS.len()]
 }
 
 /// A law whose part that grows is `part` of the constant one at the smallest size.
-fn truth(law: Law, part: f64) -> impl Fn(f64) -> f64 {
-    move |n| 100.0 + 100.0 * part * law.of(n) / law.of(SIZES[0]).max(1.0)
+fn truth(law: GrowthLaw, part: f64) -> impl Fn(f64) -> f64 {
+    move |n| 100.0 + 100.0 * part * law.basis(n) / law.basis(SIZES[0]).max(1.0)
 }
 
 quickcheck! {
@@ -61,18 +61,18 @@
         let found = fit::fit(&points).unwrap();
         let whole = found.curve.a >= 0.0 && found.curve.b >= 0.0 && found.error.is_finite();
         let at = found.at(1e4);
-        TestResult::from_bool(whole && at.least <= at.value && at.value <= at.most)
+        TestResult::from_bool(whole && at.lower <= at.value && at.value <= at.upper)
     }
 }
 
 #[test]
 fn a_size_beyond_the_ladder_is_told_with_how_far() {
     let found = fit::fit(&SIZES.map(|n| (n, 3.0 * n))).unwrap();
-    assert_eq!(found.curve.law, Law::Linear);
-    assert_eq!(found.at(16_000.0).basis, Basis::Beyond(2.0));
-    assert_eq!(found.at(500.0).basis, Basis::Between);
-    assert_eq!(found.at(1.0).basis, Basis::Below);
-    assert_eq!(found.at(4_000.0).basis, Basis::Run);
+    assert_eq!(found.curve.law, GrowthLaw::Linear);
+    assert_eq!(found.at(16_000.0).basis, Basis::Extrapolated(2.0));
+    assert_eq!(found.at(500.0).basis, Basis::Interpolated);
+    assert_eq!(found.at(1.0).basis, Basis::BelowRange);
+    assert_eq!(found.at(4_000.0).basis, Basis::Sampled);
 }
 
 #[test]
@@ -89,9 +89,9 @@
     let found = fit::fit(&bounded).unwrap();
     assert_eq!((found.at(727.0).value, found.at(4_000.0).value), (727.0, 1_024.0));
     let far = found.at(16_000.0);
-    let laws = found.rivals.iter().chain([&found.curve]).map(|c| c.at(16_000.0));
+    let laws = found.alternatives.iter().chain([&found.curve]).map(|c| c.at(16_000.0));
     let top = laws.fold(0.0, f64::max);
-    assert!(found.error > 0.2 && far.most >= top * (1.0 + found.error), "{far:?}");
+    assert!(found.error > 0.2 && far.upper >= top * (1.0 + found.error), "{far:?}");
 }
 
 /// Of sizes near each other all laws look alike: what they differ by further out has to be seen.
@@ -100,14 +100,14 @@
     let near =
         [100.0, 110.0, 120.0, 130.0].map(|n: f64| (n, 300.0 + n * if n == 110.0 { 1.05 } else { 1.0 }));
     let far = fit::fit(&near).unwrap().at(10_000.0);
-    assert!(far.most > 2.0 * far.least, "{far:?}");
+    assert!(far.upper > 2.0 * far.lower, "{far:?}");
 }
 
 /// Of a run: lists of 100 to 2,200 caches, us. One point far off does not make n log n out of it.
 #[test]
 fn a_law_that_is_clearly_nearer_is_taken_before_one_that_grows_less() {
     let run = [(100.0, 21.6), (300.0, 97.9), (600.0, 364.0), (1_100.0, 902.0), (2_200.0, 2_800.0)];
-    assert_eq!(fit::fit(&run).unwrap().curve.law, Law::Square);
+    assert_eq!(fit::fit(&run).unwrap().curve.law, GrowthLaw::Quadratic);
 }
 
 #[test]
--- a/scale/tests/fleet.rs
+++ b/scale/tests/fleet.rs
@@ -1,11 +1,11 @@
 //! The short ladders of a fleet and of the feed are whole and come again with their seed; what a network lays wrong, or a
 //! gateway leaves out, is seen.
 
+use kelpcart_scale::benchmarks::{feed, fleet};
 use kelpcart_scale::feed_net::{Net, Shape};
 use kelpcart_scale::fleet_net::ms;
-use kelpcart_scale::ladders::{feed, fleet};
 use kelpcart_scale::memory;
-use kelpcart_scale::slopes::Ladder;
+use kelpcart_scale::slopes::Series;
 use std::collections::BTreeSet;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -15,14 +15,14 @@
     ONE.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn whole(ladders: &[Ladder]) {
+fn whole(ladders: &[Series]) {
     let ids: BTreeSet<&str> = ladders.iter().map(|l| l.id.as_str()).collect();
     assert_eq!(ids.len(), ladders.len());
     for l in ladders {
         assert!(l.points.len() >= 5, "{}", l.id);
         assert!(l.points.windows(2).all(|p| p[0].at < p[1].at), "{}", l.id);
         let may_be_none = l.unit == "count";
-        let told = |p: &kelpcart_scale::slopes::Point| p.worst >= p.mean && (p.mean > 0.0 || may_be_none);
+        let told = |p: &kelpcart_scale::slopes::Sample| p.worst >= p.mean && (p.mean > 0.0 || may_be_none);
         assert!(l.points.iter().all(told), "{}: {:?}", l.id, l.points);
         let root = concat!(env!("CARGO_MANIFEST_DIR"), "/..");
         assert!(std::path::Path::new(root).join(&l.mechanism).is_file(), "{}", l.mechanism);
@@ -30,7 +30,7 @@
 }
 
 /// Bytes held are those of the whole process.
-fn counts(all: &[Ladder]) -> Vec<&Ladder> {
+fn counts(all: &[Series]) -> Vec<&Series> {
     all.iter().filter(|l| !l.timed && l.unit != "B").collect()
 }
 
@@ -57,27 +57,27 @@
     let mut net = Net::new(Shape { gateways: 24, sites: 2 }, 7);
     net.check_every = 1;
     net.start_all();
-    net.run(ms(4_000));
-    net.all_told().unwrap();
+    net.run_for(ms(4_000));
+    net.check_delivered().unwrap();
     net.purges_per_s = 40.0;
-    net.run(ms(3_000));
+    net.run_for(ms(3_000));
     net.purges_per_s = 0.0;
-    net.run(ms(3_000));
-    net.all_told().unwrap();
-    assert!(net.all_known() && net.delays.len() > 100, "{}", net.delays.len());
+    net.run_for(ms(3_000));
+    net.check_delivered().unwrap();
+    assert!(net.all_confirmed() && net.delays.len() > 100, "{}", net.delays.len());
     // One hears nothing for the time of some purges.
     let one = net.gateways().last().unwrap();
-    (0..one).for_each(|i| _ = net.sim.cuts.insert((i, one)));
+    (0..one).for_each(|i| _ = net.sim.down_links.insert((i, one)));
     net.purges_per_s = 40.0;
-    net.run(ms(1_000));
+    net.run_for(ms(1_000));
     net.purges_per_s = 0.0;
-    net.run(ms(1_500));
-    let why = net.all_told().unwrap_err();
-    assert!(why.starts_with(&format!("g{one} ")) && !net.all_known(), "{why}");
-    net.sim.cuts.clear();
-    net.run(ms(15_000));
-    net.all_told().unwrap();
-    assert!(net.all_known());
+    net.run_for(ms(1_500));
+    let why = net.check_delivered().unwrap_err();
+    assert!(why.starts_with(&format!("g{one} ")) && !net.all_confirmed(), "{why}");
+    net.sim.down_links.clear();
+    net.run_for(ms(15_000));
+    net.check_delivered().unwrap();
+    assert!(net.all_confirmed());
 }
 
 #[test]
@@ -85,6 +85,6 @@
     let _alone = alone();
     assert_eq!(memory::total("MemTotal:       2048 kB\nMemFree: 3 kB\n"), Some(2_048 * 1_024));
     assert!(memory::fits(1 << 20).is_ok());
-    assert!(matches!(memory::fits(1 << 60), Err(memory::Refused::Large { .. })));
-    assert!(memory::peak() >= memory::held() && memory::held() > 0);
+    assert!(matches!(memory::fits(1 << 60), Err(memory::MemoryError::TooLarge { .. })));
+    assert!(memory::peak() >= memory::allocated() && memory::allocated() > 0);
 }
