--- a/scale/src/benchmarks/feed.rs
+++ b/scale/src/benchmarks/feed.rs
@@ -73,7 +73,7 @@
     let given_back = before.saturating_sub(memory::allocated()) as f64;
     let memory = given_back / load.shape.gateways as f64;
     let each_hub = (hub_memory - given_back) / net.hubs().len() as f64;
-    let delays = if load.changes_per_s > 0.0 { &net.change_delays } else { &net.delays }.clone();
+    let delays = if load.changes_per_s > 0.0 { &net.change_delays } else { &net.purge_delays }.clone();
     let more = vec![
         ("late", "count", late(&delays) as f64),
         ("purges-of-all", "count", purges_of_all as f64),
--- a/scale/src/capacity.rs
+++ b/scale/src/capacity.rs
@@ -1,5 +1,7 @@
-//! What a target asks of each role and what the slopes give: the rows of docs/CAPACITY.md. Owns which ladder a row is
-//! read from and what its budget is; must never hold a figure of a run.
+//! Compares the load predicted at a target size with the budgets of each role, and renders the tables of
+//! docs/CAPACITY.md. Defines which benchmark series a row is computed from and which budget applies.
+//!
+//! Invariant: no measured value is hard-coded here; all of them come from the slopes file.
 
 use crate::fit::{self, Basis, Fit, Statistic, format_error, format_number};
 use crate::slopes::Slopes;
@@ -19,18 +21,19 @@
     Delay,
 }
 
-/// A value of a ladder at a size, times something.
+/// The value of a benchmark series at a size, multiplied by a factor.
 pub struct Term {
+    /// Id of the series.
     pub id: &'static str,
-    pub figure: Statistic,
+    pub statistic: Statistic,
     pub size: TargetFn,
     pub factor: TargetFn,
 }
 
 pub enum Source {
-    /// The sum of these.
+    /// The sum of these terms.
     Fitted(&'static [Term]),
-    /// Of the target alone.
+    /// Computed from the target alone, without measurements.
     Computed(TargetFn),
 }
 
@@ -39,16 +42,17 @@
     pub quantity: Quantity,
     pub unit: &'static str,
     pub source: Source,
-    /// None: the row is told, not judged.
+    /// `None`: the row is informational and has no verdict.
     pub budget: Option<TargetFn>,
-    /// The file that carries it.
+    /// The source file that implements the measured mechanism.
     pub mechanism: &'static str,
-    /// What it was with a mechanism that another one has replaced at this size: told beside it, of no weight.
+    /// The mechanism has been replaced by another one at this size: the row is shown for comparison and does not count
+    /// towards the verdict.
     pub superseded: bool,
 }
 
 pub struct Role {
-    /// As the page's markers name it.
+    /// The role's name in the markers of docs/CAPACITY.md.
     pub id: &'static str,
     pub title: &'static str,
     pub rows: &'static [Row],
@@ -79,7 +83,7 @@
     }
 }
 
-/// A row at the target.
+/// A row evaluated at the target.
 #[derive(Clone, Debug, Serialize)]
 pub struct Verdict {
     pub role: &'static str,
@@ -87,18 +91,18 @@
     pub quantity: Quantity,
     pub unit: &'static str,
     pub ladders: Vec<&'static str>,
-    /// What the target asks to be borne, as the size that the first ladder is read at.
+    /// The size required by the target, at which the first series is evaluated.
     pub at: Option<f64>,
     pub over: Option<String>,
     pub value: Option<f64>,
     pub least: Option<f64>,
     pub most: Option<f64>,
-    /// How the value came about: run, a law between sizes that were run, or so far beyond them.
+    /// How the value was obtained: measured at this size, interpolated, or extrapolated by a stated factor.
     pub basis: String,
-    /// Of the fits, the greatest.
+    /// The largest error of the fits involved.
     pub error: Option<f64>,
     pub budget: Option<f64>,
-    /// The budget in the ladder's own unit, where there is one ladder.
+    /// The budget converted to the unit of the series, if the row uses exactly one series.
     pub limit: Option<f64>,
     pub share: Option<f64>,
     pub state: State,
@@ -107,20 +111,20 @@
 }
 
 impl Verdict {
-    /// Not shown to be within its budget.
+    /// Whether a current row has not been shown to be within its budget.
     pub fn fails(&self) -> bool {
         !self.before && matches!(self.state, State::Red | State::Uncertain | State::NotMeasured)
     }
 }
 
-/// Where a row passes its budget as its size grows, all else as at the target.
+/// The size at which a row first exceeds its budget while all other dimensions stay at the target.
 #[derive(Clone, Debug, Serialize)]
 pub struct BreakingPoint {
     pub role: &'static str,
     pub what: &'static str,
     pub over: String,
     pub size: f64,
-    /// The size over that of the target.
+    /// The size as a multiple of the target's.
     pub times: f64,
     pub mechanism: &'static str,
 }
@@ -132,21 +136,21 @@
 }
 
 fn fitted_terms<'a>(row: &'a Row, slopes: &'a Slopes) -> Option<Vec<FittedTerm<'a>>> {
-    let Source::Fitted(reads) = &row.source else { return Some(Vec::new()) };
-    let one = |read: &'a Term| {
-        let ladder = slopes.get(read.id)?;
-        Some(FittedTerm { term: read, fit: fit::fit_series(ladder, read.figure)?, over: &ladder.over })
+    let Source::Fitted(terms) = &row.source else { return Some(Vec::new()) };
+    let one = |term: &'a Term| {
+        let series = slopes.get(term.id)?;
+        Some(FittedTerm { term, fit: fit::fit_series(series, term.statistic)?, over: &series.over })
     };
-    reads.iter().map(one).collect()
+    terms.iter().map(one).collect()
 }
 
 fn basis(all: &[Basis]) -> String {
-    let beyond =
+    let extrapolation =
         all.iter().fold(0.0_f64, |m, b| if let Basis::Extrapolated(times) = b { m.max(*times) } else { m });
-    if beyond > 0.0 {
-        return format!("law, ×{} beyond", format_number(beyond));
+    if extrapolation > 0.0 {
+        return format!("law, ×{} beyond", format_number(extrapolation));
     }
-    let has = |wanted: Basis| all.contains(&wanted);
+    let has = |kind: Basis| all.contains(&kind);
     if has(Basis::BelowRange) {
         "law, below the smallest"
     } else if has(Basis::Interpolated) {
@@ -160,7 +164,7 @@
 fn evaluate(role: &Role, row: &'static Row, slopes: &Slopes, target: &Target) -> Verdict {
     let budget = row.budget.map(|of| of(target));
     let ladders = match &row.source {
-        Source::Fitted(reads) => reads.iter().map(|r| r.id).collect(),
+        Source::Fitted(terms) => terms.iter().map(|r| r.id).collect(),
         Source::Computed(_) => Vec::new(),
     };
     let mut verdict = Verdict {
@@ -183,13 +187,13 @@
         mechanism: row.mechanism,
         before: row.superseded,
     };
-    if let Source::Fitted(reads) = &row.source {
-        verdict.at = reads.first().map(|r| (r.size)(target));
-        if let [read] = reads {
-            verdict.limit = budget.map(|b| b / (read.factor)(target));
+    if let Source::Fitted(terms) = &row.source {
+        verdict.at = terms.first().map(|r| (r.size)(target));
+        if let [term] = terms {
+            verdict.limit = budget.map(|b| b / (term.factor)(target));
         }
     }
-    let Some(readings) = fitted_terms(row, slopes) else { return verdict };
+    let Some(fitted) = fitted_terms(row, slopes) else { return verdict };
     let (mut value, mut least, mut most) = (0.0, 0.0, 0.0);
     match &row.source {
         Source::Computed(of) => {
@@ -199,15 +203,15 @@
         }
         Source::Fitted(_) => {
             let mut bases = Vec::new();
-            for r in &readings {
-                let (given, times) = (r.fit.at((r.term.size)(target)), (r.term.factor)(target));
-                value += given.value * times;
-                least += given.lower * times;
-                most += given.upper * times;
-                bases.push(given.basis);
+            for r in &fitted {
+                let (estimate, times) = (r.fit.at((r.term.size)(target)), (r.term.factor)(target));
+                value += estimate.value * times;
+                least += estimate.lower * times;
+                most += estimate.upper * times;
+                bases.push(estimate.basis);
             }
-            verdict.over = readings.first().map(|r| r.over.to_owned());
-            verdict.error = readings.iter().map(|r| r.fit.error).reduce(f64::max);
+            verdict.over = fitted.first().map(|r| r.over.to_owned());
+            verdict.error = fitted.iter().map(|r| r.fit.error).reduce(f64::max);
             verdict.basis = basis(&bases);
         }
     }
@@ -222,42 +226,44 @@
     verdict
 }
 
-/// All rows, in the order of the page.
+/// Evaluates all rows, in the order of docs/CAPACITY.md.
 pub fn verdicts(slopes: &Slopes, target: &Target) -> Vec<Verdict> {
     let rows = ROLES.iter().flat_map(|role| role.rows.iter().map(move |row| (role, row)));
     rows.map(|(role, row)| evaluate(role, row, slopes, target)).collect()
 }
 
-/// What these count is how bad a fault is, not how large the installation.
+/// Dimensions that state how severe a fault is rather than how large the installation is; they have no breaking point.
 const FAULT_SEVERITIES: [&str; 4] = ["away_s", "hubs_killed", "lost_part", "restarted_part"];
 
-/// Times the target's size between which breaks are sought, and by which steps.
+/// Bounds of the search for breaking points, as multiples of the target's size.
 const MIN_SCALE: f64 = 0.001;
 const MAX_SCALE: f64 = 100.0;
+/// Ratio between two successive sizes of the search.
 const SCALE_STEP: f64 = 1.02;
 
-/// The first step that leads above a budget: what was run may fall again beyond it.
+/// Finds the first step at which the value exceeds the budget. The search is linear because measured values need not be
+/// monotonic and may fall below the budget again at larger sizes.
 fn first_exceeding(at: impl Fn(f64) -> f64, budget: f64) -> Option<(f64, f64)> {
     let sizes =
         std::iter::successors(Some(MIN_SCALE), |s| Some(s * SCALE_STEP)).take_while(|s| *s < MAX_SCALE);
     sizes.map(|s| (s / SCALE_STEP, s)).find(|(_, s)| at(*s) > budget)
 }
 
-/// What passes its budget as the installation grows, the first first: rows that are read from
-/// ladders, by what was run and beyond it by their laws.
+/// Returns where each row that is backed by series exceeds its budget as the installation grows, smallest size first.
+/// Measured sizes are interpolated; larger ones are extrapolated with the fitted growth law.
 pub fn breaking_points(slopes: &Slopes, target: &Target) -> Vec<BreakingPoint> {
     let mut all: Vec<BreakingPoint> = Vec::new();
     for role in ROLES {
         for row in role.rows.iter().filter(|r| !r.superseded) {
-            let (Some(budget), Some(readings)) = (row.budget, fitted_terms(row, slopes)) else { continue };
-            let Some(first) = readings.first().filter(|r| !FAULT_SEVERITIES.contains(&r.over)) else {
+            let (Some(budget), Some(fitted)) = (row.budget, fitted_terms(row, slopes)) else { continue };
+            let Some(first) = fitted.first().filter(|r| !FAULT_SEVERITIES.contains(&r.over)) else {
                 continue;
             };
             let budget = budget(target);
             let at = |times: f64| -> f64 {
                 let one =
                     |r: &FittedTerm| r.fit.at((r.term.size)(target) * times).value * (r.term.factor)(target);
-                readings.iter().map(one).sum()
+                fitted.iter().map(one).sum()
             };
             let Some((mut low, mut high)) = first_exceeding(at, budget) else { continue };
             for _ in 0..60 {
@@ -292,12 +298,12 @@
     }
 }
 
-/// A role's table as it stands on the page.
+/// Renders the table of one role as Markdown, as in docs/CAPACITY.md.
 pub fn table(role: &str, verdicts: &[Verdict]) -> String {
     let mut out = "| what | ladder, read at | gives | budget | share | | mechanism |\n".to_owned();
     out += "| --- | --- | --- | --- | --- | --- | --- |\n";
     for v in verdicts.iter().filter(|v| v.role == role) {
-        let read = match (v.ladders.is_empty(), v.at) {
+        let source = match (v.ladders.is_empty(), v.at) {
             (true, _) => v.basis.clone(),
             (false, at) => {
                 let size = at.map_or(String::new(), |at| format!(" at {}", format_number(at)));
@@ -308,10 +314,10 @@
             }
         };
         let budget = v.budget.map_or(String::new(), |b| format!("{} {}", format_number(b), v.unit));
-        let given =
+        let estimate =
             if v.value.is_some() { format!("{} {}", format_estimate(v), v.unit) } else { String::new() };
         out += &format!(
-            "| {} | {read} | {given} | {budget} | {} | {} | [{}](../{}) |\n",
+            "| {} | {source} | {estimate} | {budget} | {} | {} | [{}](../{}) |\n",
             v.what,
             percent(v.share),
             v.state.name(),
@@ -322,7 +328,7 @@
     out
 }
 
-/// The table of what breaks first, as it stands on the page.
+/// Renders the table of breaking points as Markdown, as in docs/CAPACITY.md.
 pub fn breaking_points_table(breaks: &[BreakingPoint]) -> String {
     let mut out = "| | what | passes its budget above | times the target | mechanism |\n".to_owned();
     out += "| --- | --- | --- | --- | --- |\n";
@@ -344,8 +350,8 @@
 
 fn align_columns(rows: Vec<Vec<String>>) -> String {
     let count = rows.iter().map(Vec::len).max().unwrap_or(0);
-    let wide = |i: usize| rows.iter().filter_map(|r| r.get(i)).map(|c| c.chars().count()).max();
-    let widths: Vec<usize> = (0..count).map(|i| wide(i).unwrap_or(0)).collect();
+    let width = |i: usize| rows.iter().filter_map(|r| r.get(i)).map(|c| c.chars().count()).max();
+    let widths: Vec<usize> = (0..count).map(|i| width(i).unwrap_or(0)).collect();
     let line = |row: &Vec<String>| {
         let cells = row.iter().zip(&widths).map(|(c, w)| format!("{c:<w$}"));
         format!("  {}\n", cells.collect::<Vec<_>>().join("  ").trim_end())
@@ -353,7 +359,7 @@
     rows.iter().map(line).collect()
 }
 
-/// A role's table for a terminal: what the target asks, what the slopes give, the share, where from.
+/// Renders the table of one role as plain text: required load, predicted load, share of the budget and source.
 pub fn plain_table(role: &str, verdicts: &[Verdict]) -> String {
     let one = |v: &Verdict| {
         let asked = v.budget.map_or(String::new(), |b| format!("of {}", format_number(b)));
@@ -375,7 +381,8 @@
     align_columns(breaks.iter().enumerate().map(one).collect())
 }
 
-/// What a picture of a ladder shows beside it: budgets of rows that are that ladder alone, and the size they are read at.
+/// Returns the reference marks for the chart of a series: the budgets of all rows that use only this series, and the
+/// largest size at which those rows are evaluated.
 pub fn chart_marks(id: &str, verdicts: &[Verdict]) -> (Vec<f64>, Option<f64>) {
     let rows: Vec<&Verdict> = verdicts.iter().filter(|v| v.ladders == [id]).collect();
     let mut budgets: Vec<f64> = rows.iter().filter_map(|v| v.limit).collect();
@@ -384,31 +391,31 @@
     (budgets, rows.iter().filter_map(|v| v.at).reduce(f64::max))
 }
 
-/// The ladders that rows are read from, with their laws and how they are played again.
+/// Renders the table of all series used by rows, with their fitted growth laws and the command that reproduces them.
 pub fn series_table(slopes: &Slopes) -> String {
     let mut out = "| ladder | run on | sizes | mean | worst | again by |\n".to_owned();
     out += "| --- | --- | --- | --- | --- | --- |\n";
-    let reads = ROLES.iter().flat_map(|r| r.rows).filter_map(|row| match &row.source {
-        Source::Fitted(reads) => Some(reads.iter().map(|r| r.id)),
+    let terms = ROLES.iter().flat_map(|r| r.rows).filter_map(|row| match &row.source {
+        Source::Fitted(terms) => Some(terms.iter().map(|r| r.id)),
         Source::Computed(_) => None,
     });
-    let ids: BTreeSet<&str> = reads.flatten().collect();
-    for ladder in ids.iter().filter_map(|id| slopes.get(id)) {
-        let (first, last) = (ladder.points.first(), ladder.points.last());
+    let ids: BTreeSet<&str> = terms.flatten().collect();
+    for series in ids.iter().filter_map(|id| slopes.get(id)) {
+        let (first, last) = (series.points.first(), series.points.last());
         let ends = first
             .zip(last)
             .map_or(String::new(), |(f, l)| format!("{} to {}", format_number(f.at), format_number(l.at)));
-        let law = |figure| fit::fit_series(ladder, figure).map_or(String::new(), |f| f.describe());
+        let law = |figure| fit::fit_series(series, figure).map_or(String::new(), |f| f.describe());
         out += &format!(
             "| `{}`, {} | {} | {}, {ends} {} | {} | {} | `{}` |\n",
-            ladder.id,
-            ladder.unit,
-            ladder.host.name(),
-            ladder.points.len(),
-            ladder.over.replace('_', " "),
+            series.id,
+            series.unit,
+            series.host.name(),
+            series.points.len(),
+            series.over.replace('_', " "),
             law(Statistic::Mean),
             law(Statistic::Worst),
-            ladder.command,
+            series.command,
         );
     }
     if !slopes.ladders.is_empty() {
@@ -422,52 +429,53 @@
     out
 }
 
-/// Where a table stands on the page: `<!-- table: ROLE -->` and `<!-- end -->`, each on a line of its own.
+/// Marker names of the two tables that belong to no role. A table is placed between the lines `<!-- table: NAME -->` and
+/// `<!-- end -->`.
 const BREAKS_TABLE: &str = "breaks";
 const SERIES_TABLE: &str = "ladders";
 
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum PageError {
-    #[error("table {0}: there is no such role")]
+    #[error("table {0}: unknown role")]
     UnknownRole(String),
-    #[error("table {0}: no end")]
+    #[error("table {0}: end marker missing")]
     Unterminated(String),
-    #[error("table {0}: stands twice or not at all")]
+    #[error("table {0}: expected exactly one marker")]
     NotOnce(String),
 }
 
-/// The page with its tables as the slopes and the target give them.
+/// Returns the page with all its tables regenerated from the slopes and the target.
 pub fn page(text: &str, slopes: &Slopes, target: &Target) -> Result<String, PageError> {
     let verdicts = verdicts(slopes, target);
-    let (mut out, mut told, mut inside) = (String::new(), Vec::new(), None);
+    let (mut out, mut rendered, mut open_table) = (String::new(), Vec::new(), None);
     for line in text.lines() {
         let marker = line.strip_prefix("<!-- table: ").and_then(|l| l.strip_suffix(" -->"));
         if let Some(role) = marker {
-            if let Some(open) = inside {
+            if let Some(open) = open_table {
                 return Err(PageError::Unterminated(open));
             }
-            let known = ROLES.iter().any(|r| r.id == role);
+            let is_role = ROLES.iter().any(|r| r.id == role);
             let table = match role {
                 BREAKS_TABLE => breaking_points_table(&breaking_points(slopes, target)),
                 SERIES_TABLE => series_table(slopes),
-                _ if known => table(role, &verdicts),
+                _ if is_role => table(role, &verdicts),
                 _ => return Err(PageError::UnknownRole(role.to_owned())),
             };
             out += &format!("{line}\n\n{table}\n");
-            told.push(role);
-            inside = Some(role.to_owned());
+            rendered.push(role);
+            open_table = Some(role.to_owned());
         } else if line == "<!-- end -->" {
-            inside = None;
+            open_table = None;
             out += &format!("{line}\n");
-        } else if inside.is_none() {
+        } else if open_table.is_none() {
             out += &format!("{line}\n");
         }
     }
-    if let Some(open) = inside {
+    if let Some(open) = open_table {
         return Err(PageError::Unterminated(open));
     }
     for role in ROLES.iter().map(|r| r.id).chain([BREAKS_TABLE, SERIES_TABLE]) {
-        if told.iter().filter(|t| **t == role).count() != 1 {
+        if rendered.iter().filter(|t| **t == role).count() != 1 {
             return Err(PageError::NotOnce(role.to_owned()));
         }
     }
@@ -475,7 +483,7 @@
 }
 
 const fn term(id: &'static str, figure: Statistic, at: TargetFn) -> Term {
-    Term { id, figure, size: at, factor: |_| 1.0 }
+    Term { id, statistic: figure, size: at, factor: |_| 1.0 }
 }
 
 const fn row(
--- a/scale/src/capacity/rows.rs
+++ b/scale/src/capacity/rows.rs
@@ -1,4 +1,5 @@
-//! The rows, role by role. A row whose ladder nobody has measured stands all the same: it is red.
+//! The capacity rows of each role. A row stays listed even if its benchmark series has not been measured: it then counts
+//! as failed.
 
 use super::Quantity::{Delay, Memory, Messages, Processor, State};
 use super::Source::{Computed, Fitted};
@@ -18,7 +19,7 @@
     f64::from(t.sites)
 }
 
-// Of a site, a zone, a region at the mean: there are no parts of a gateway or of a cache.
+// Mean sizes of a site, a zone and a region, rounded up because gateways and caches are whole machines.
 
 fn site(t: &Target) -> f64 {
     t.gateways_per_site().ceil()
@@ -32,7 +33,7 @@
     t.caches_per_zone().ceil()
 }
 
-/// Of a txn at the mean.
+/// Mean payload of a txn.
 fn kb(t: &Target) -> f64 {
     t.megabytes_per_s() / t.txns_per_s() * 1e3
 }
@@ -45,7 +46,7 @@
     (gateways(t) / f64::from(t.regions)).ceil()
 }
 
-/// Restarts an hour while a release goes over all.
+/// Restarts per hour while a release is rolled out to all gateways.
 fn release_per_h(t: &Target) -> f64 {
     gateways(t) / t.assumed.release_s * 3_600.0
 }
@@ -64,25 +65,27 @@
 const MACHINE: Option<TargetFn> = Some(|t| t.assumed.machine_cores * 1e6);
 const TXN_CORES: Option<TargetFn> = Some(|t| t.assumed.data_path_cores * 1e6);
 
-/// Objects that a name of so many bits hits beside the one that was meant.
+/// Expected number of unrelated objects that share a hash prefix of `bits` bits with a purged object.
 fn hits(t: &Target, bits: i32) -> f64 {
     t.traffic.objects as f64 / 2f64.powi(bits)
 }
 
-/// Per cent of all objects that names of so many bits cover of what a region missed.
+/// Percentage of all objects covered by hash prefixes of `bits` bits for the purges that a region missed.
 fn covered_percent(t: &Target, bits: i32) -> f64 {
     100.0 * (1.0 - (-t.purges_missed() / 2f64.powi(bits)).exp())
 }
 
-/// Names of `bits` that are sorted and told by their differences (Golomb-Rice) take about this many bits each.
-fn encoded_bits(bits: f64, names: f64) -> f64 {
-    bits - names.log2() + 1.5
+/// Approximate encoded size of one hash prefix of `bits` bits, in bits, when the sorted prefixes are delta-encoded with
+/// Golomb-Rice codes.
+fn encoded_bits(bits: f64, prefixes: f64) -> f64 {
+    bits - prefixes.log2() + 1.5
 }
 
-/// Seconds until what a region missed is told again within a gateway's bytes in, beside live purges at 40 bits.
+/// Seconds needed to resend the purges that a region missed within a gateway's inbound byte budget, next to live purges
+/// at 40 bits.
 fn resend_s(t: &Target, bits: f64) -> f64 {
-    let gathered = t.purges.per_s * t.assumed.feed_period_ms as f64 / 1e3;
-    let live = t.purges.per_s * encoded_bits(40.0, gathered) / 8.0;
+    let per_period = t.purges.per_s * t.assumed.feed_period_ms as f64 / 1e3;
+    let live = t.purges.per_s * encoded_bits(40.0, per_period) / 8.0;
     let missed = t.purges_missed() * encoded_bits(bits, t.purges_missed()) / 8.0;
     missed / (t.control.bytes_in_per_s - live).max(0.0)
 }
@@ -97,13 +100,13 @@
 const DECIDE: &str = "failover/src/decide.rs";
 const NAMES: &str = "src/hash_prefix.rs";
 
-/// One ladder's figure at a size.
+/// A source that evaluates one statistic of one series at a size.
 macro_rules! of {
     ($id:literal, $figure:expr, $at:expr) => {
         Fitted(&[term($id, $figure, $at)])
     };
     ($id:literal, $figure:expr, $at:expr, times $times:expr) => {
-        Fitted(&[Term { id: $id, figure: $figure, size: $at, factor: $times }])
+        Fitted(&[Term { id: $id, statistic: $figure, size: $at, factor: $times }])
     };
 }
 
--- a/scale/src/feed_net.rs
+++ b/scale/src/feed_net.rs
@@ -101,7 +101,7 @@
     pub purges_per_s: f64,
     pub changes_per_s: f64,
     /// From a purge's line to its being acted on, at each gateway, in us.
-    pub delays: Histogram<u64>,
+    pub purge_delays: Histogram<u64>,
     /// The same of other changes.
     pub change_delays: Histogram<u64>,
     /// From a line to a hub's knowing that it is done everywhere.
@@ -178,7 +178,7 @@
             shape,
             purges_per_s: 0.0,
             changes_per_s: 0.0,
-            delays: delay_histogram(),
+            purge_delays: delay_histogram(),
             change_delays: delay_histogram(),
             confirmation_delays: delay_histogram(),
             connections: 0,
@@ -278,7 +278,7 @@
             }
         }
         self.hosts.iter_mut().for_each(|p| p.steady = true);
-        self.delays.reset();
+        self.purge_delays.reset();
         self.change_delays.reset();
         self.confirmation_delays.reset();
         (self.attempts, self.connections) = (0, 0);
@@ -335,7 +335,7 @@
                             && names.contains(follow.hash)
                             && place.done.insert(n)
                         {
-                            self.delays.saturating_record((now - follow.at).as_micros());
+                            self.purge_delays.saturating_record((now - follow.at).as_micros());
                         }
                     }
                     while place.done.remove(&place.first_pending) {
--- a/scale/src/fit.rs
+++ b/scale/src/fit.rs
@@ -1,11 +1,13 @@
-//! The growth law that holds for a ladder: a + b f(n) with neither below zero, f one of log n, n, n log n and n squared,
-//! or the constant a alone. Must never hide that a size lies beyond those that were run.
+//! Fits growth laws to benchmark series: a + b f(n) with a, b >= 0, where f is log n, n, n log n or n squared, or the
+//! constant a alone.
 //!
-//! Fitted by least squared relative error, so that small sizes weigh as much as large ones. Laws are compared by
-//! Akaike's criterion, n ln(mean squared error) + 2 for each part that was fitted: taken is the one that grows least among
-//! those within 1 of the least; the others within 4 are kept as rivals (Burnham and Anderson, "Model Selection and
-//! Multimodel Inference", 2002, 2.6: less support beyond 4). What these give at a size beyond the ladder is the range
-//! within which the law is not known.
+//! Invariant: an estimate always states whether its size lies outside the measured range.
+//!
+//! The fit minimizes the squared relative error, so that small sizes weigh as much as large ones. Laws are compared by
+//! Akaike's information criterion (AIC), n ln(mean squared error) + 2 per fitted parameter. The slowest-growing law within
+//! 1 of the minimum is chosen; the others within 4 are kept as alternatives (Burnham and Anderson, "Model Selection and
+//! Multimodel Inference", 2002, 2.6: considerably less support beyond 4). The spread of the alternatives at an
+//! extrapolated size is the uncertainty of the prediction.
 
 use crate::slopes::{Sample, Series};
 
@@ -18,12 +20,12 @@
     Quadratic,
 }
 
-/// From what grows least to what grows most.
+/// All laws, ordered from the slowest to the fastest growth.
 pub const GROWTH_LAWS: [GrowthLaw; 5] =
     [GrowthLaw::Constant, GrowthLaw::Log, GrowthLaw::Linear, GrowthLaw::LinearLog, GrowthLaw::Quadratic];
 
 impl GrowthLaw {
-    /// f(n); the logarithm is that of 1 + n, so that nothing lost and nobody there are sizes, too.
+    /// Returns f(n). Logarithms are taken of 1 + n, so that 0 is a valid size (such as a loss rate of zero).
     pub fn basis(self, n: f64) -> f64 {
         let log = (1.0 + n.max(0.0)).log2();
         match self {
@@ -46,7 +48,7 @@
     }
 }
 
-/// Which figure of the points.
+/// Selects one statistic of a sample.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Statistic {
     Mean,
@@ -81,19 +83,19 @@
 #[derive(Clone, Debug)]
 pub struct Fit {
     pub curve: Curve,
-    /// Root of the mean squared relative error over the points.
+    /// Root mean square of the relative error over the samples.
     pub error: f64,
-    /// Laws that fit as well, by the rule above.
+    /// Fits of other laws whose AIC is within `ALTERNATIVE_AIC` of the best.
     pub alternatives: Vec<Curve>,
-    /// Sizes and values that were run, by size.
+    /// Measured sizes and values, sorted by size.
     points: Vec<(f64, f64)>,
 }
 
-/// What a ladder gives at a size.
+/// The value of a series at a size.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
     pub value: f64,
-    /// Beyond what was run: of the law and its rivals, with the law's error.
+    /// Bounds of the value. At an extrapolated size they cover the chosen law, the alternatives and the law's error.
     pub lower: f64,
     pub upper: f64,
     pub basis: Basis,
@@ -101,20 +103,21 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Basis {
-    /// The size itself was run: the value is the run's.
+    /// The size was measured.
     Sampled,
-    /// Between two sizes that were run: on the line from one to the other, since bounds and steps follow no law.
+    /// Interpolated linearly between two measured sizes, since values that are bounded or change in steps follow no law.
     Interpolated,
-    /// Below the smallest size that was run.
+    /// Below the smallest measured size.
     BelowRange,
-    /// So many times the largest size that was run.
+    /// Extrapolated to this multiple of the largest measured size.
     Extrapolated(f64),
 }
 
-/// A point weighs by its own value; one near zero by the ladder's greatest, so that it alone does not decide.
+/// Weights each sample by the inverse of its value. The value is clamped to 0.1 % of the largest one, so that a sample near
+/// zero does not dominate the fit.
 fn weights(points: &[(f64, f64)]) -> Vec<f64> {
-    let greatest = points.iter().fold(0.0_f64, |m, p| m.max(p.1.abs()));
-    let floor = if greatest > 0.0 { greatest * 1e-3 } else { 1.0 };
+    let largest = points.iter().fold(0.0_f64, |m, p| m.max(p.1.abs()));
+    let floor = if largest > 0.0 { largest * 1e-3 } else { 1.0 };
     points.iter().map(|p| 1.0 / p.1.abs().max(floor)).collect()
 }
 
@@ -122,15 +125,15 @@
     points.iter().zip(weights).map(|(p, w)| ((curve.at(p.0) - p.1) * w).powi(2)).sum()
 }
 
-/// The best of one law over some points.
+/// Fits one law to the samples by weighted least squares.
 fn fit_law(law: GrowthLaw, points: &[(f64, f64)], weights: &[f64]) -> Curve {
-    // Relative residuals: (a + b f - y) w.
+    // Sums of the normal equations for the relative residuals (a + b f - y) w.
     let (mut ww, mut wf, mut ff, mut wy, mut fy) = (0.0, 0.0, 0.0, 0.0, 0.0);
-    // Scaled by the greatest, so that squares of squares stay exact enough.
-    let unit = points.iter().fold(0.0_f64, |m, p| m.max(law.basis(p.0).abs()));
-    let unit = if unit > 0.0 { unit } else { 1.0 };
+    // f is scaled by its maximum, so that the fourth powers of the quadratic law keep enough precision.
+    let scale = points.iter().fold(0.0_f64, |m, p| m.max(law.basis(p.0).abs()));
+    let scale = if scale > 0.0 { scale } else { 1.0 };
     for (p, w) in points.iter().zip(weights) {
-        let (f, w2) = (law.basis(p.0) / unit, w * w);
+        let (f, w2) = (law.basis(p.0) / scale, w * w);
         ww += w2;
         wf += w2 * f;
         ff += w2 * f * f;
@@ -141,11 +144,11 @@
     if law == GrowthLaw::Constant || ff <= 0.0 {
         return flat;
     }
-    let through = Curve { law, a: 0.0, b: (fy / ff).max(0.0) / unit };
+    let through = Curve { law, a: 0.0, b: (fy / ff).max(0.0) / scale };
     let det = ww * ff - wf * wf;
     let (a, b) = ((wy * ff - fy * wf) / det, (fy * ww - wy * wf) / det);
     if det > 1e-12 * ww * ff && a >= 0.0 && b >= 0.0 {
-        return Curve { law, a, b: b / unit };
+        return Curve { law, a, b: b / scale };
     }
     let less = squared_error(&through, points, weights) < squared_error(&flat, points, weights);
     if less { through } else { flat }
@@ -155,52 +158,53 @@
     values.iter().sum::<f64>() / values.len() as f64
 }
 
-/// By Akaike's criterion: no law is preferred for less than this, and none left out for less than that.
+/// Difference in AIC up to which two laws count as equally good.
 const TIE_AIC: f64 = 1.0;
+/// Difference in AIC up to which a law is kept as an alternative.
 const ALTERNATIVE_AIC: f64 = 4.0;
-/// Mean squared relative error below which nothing is told apart: a millionth, squared.
+/// Floor of the mean squared relative error: relative errors below one millionth count as exact.
 const MIN_SQUARED_ERROR: f64 = 1e-12;
 
 fn aic(curve: &Curve, points: &[(f64, f64)], weights: &[f64]) -> f64 {
     let n = points.len() as f64;
-    let parts = if curve.law == GrowthLaw::Constant { 1.0 } else { 2.0 };
-    n * (squared_error(curve, points, weights) / n + MIN_SQUARED_ERROR).ln() + 2.0 * parts
+    let parameters = if curve.law == GrowthLaw::Constant { 1.0 } else { 2.0 };
+    n * (squared_error(curve, points, weights) / n + MIN_SQUARED_ERROR).ln() + 2.0 * parameters
 }
 
-/// Of sizes and values; none where there are no points or one is not a number.
+/// Fits a growth law to pairs of size and value. Returns `None` if there are no samples or one is negative or not finite.
 pub fn fit(points: &[(f64, f64)]) -> Option<Fit> {
     let mut points = points.to_vec();
-    let usable = |p: &(f64, f64)| p.0.is_finite() && p.0 >= 0.0 && p.1.is_finite() && p.1 >= 0.0;
-    if points.is_empty() || !points.iter().all(usable) {
+    let is_usable = |p: &(f64, f64)| p.0.is_finite() && p.0 >= 0.0 && p.1.is_finite() && p.1 >= 0.0;
+    if points.is_empty() || !points.iter().all(is_usable) {
         return None;
     }
     points.sort_by(|x, y| x.0.total_cmp(&y.0));
     let weights = weights(&points);
     let mut distinct: Vec<f64> = points.iter().map(|p| p.0).collect();
     distinct.dedup();
-    // Two sizes can't tell laws apart: what grows is taken to grow as they do.
+    // Two sizes cannot distinguish the laws: linear growth is assumed.
     let laws = match distinct.len() {
         1 => vec![GrowthLaw::Constant],
         2 => vec![GrowthLaw::Linear],
         _ => GROWTH_LAWS.to_vec(),
     };
     let curves: Vec<Curve> = laws.iter().map(|law| fit_law(*law, &points, &weights)).collect();
-    let judged: Vec<f64> = curves.iter().map(|c| aic(c, &points, &weights)).collect();
-    let least = judged.iter().copied().fold(f64::INFINITY, f64::min);
-    let chosen = judged.iter().position(|c| *c <= least + TIE_AIC)?;
-    let others = curves.iter().zip(&judged).enumerate();
-    let rivals =
-        others.filter(|(i, (_, c))| *i != chosen && **c <= least + ALTERNATIVE_AIC).map(|(_, (c, _))| *c);
-    let rivals = rivals.collect();
+    let scores: Vec<f64> = curves.iter().map(|c| aic(c, &points, &weights)).collect();
+    let lower = scores.iter().copied().fold(f64::INFINITY, f64::min);
+    let chosen = scores.iter().position(|c| *c <= lower + TIE_AIC)?;
+    let others = curves.iter().zip(&scores).enumerate();
+    let alternatives =
+        others.filter(|(i, (_, c))| *i != chosen && **c <= lower + ALTERNATIVE_AIC).map(|(_, (c, _))| *c);
+    let alternatives = alternatives.collect();
     let curve = curves[chosen];
     let curve = if curve.b == 0.0 { Curve { law: GrowthLaw::Constant, ..curve } } else { curve };
     let error = (squared_error(&curve, &points, &weights) / points.len() as f64).sqrt();
-    Some(Fit { curve, error, alternatives: rivals, points })
+    Some(Fit { curve, error, alternatives, points })
 }
 
-/// Of one figure of a ladder, where all its points have it.
-pub fn fit_series(ladder: &Series, figure: Statistic) -> Option<Fit> {
-    let points: Option<Vec<_>> = ladder.points.iter().map(|p| Some((p.at, figure.of(p)?))).collect();
+/// Fits one statistic of a series. Returns `None` if a sample lacks the statistic.
+pub fn fit_series(series: &Series, statistic: Statistic) -> Option<Fit> {
+    let points: Option<Vec<_>> = series.points.iter().map(|p| Some((p.at, statistic.of(p)?))).collect();
     fit(&points?)
 }
 
@@ -209,49 +213,49 @@
         self.points.last().map_or(0.0, |p| p.0)
     }
 
-    /// The law in words, with its error.
+    /// Formats the law with its error.
     pub fn describe(&self) -> String {
         let (law, a, b) = (self.curve.law.name(), self.curve.a, self.curve.b);
-        let grows = match (a > 0.0, b > 0.0) {
+        let formula = match (a > 0.0, b > 0.0) {
             (_, false) => format_number(a),
             (false, true) => format!("{} {law}", format_number(b)),
             (true, true) => format!("{} + {} {law}", format_number(a), format_number(b)),
         };
-        format!("{grows} {}", format_error(self.error))
+        format!("{formula} {}", format_error(self.error))
     }
 
     pub fn at(&self, n: f64) -> Estimate {
-        let run: Vec<f64> = self.points.iter().filter(|p| p.0 == n).map(|p| p.1).collect();
-        let surely = |value: f64, basis: Basis| Estimate { value, lower: value, upper: value, basis };
-        if !run.is_empty() {
-            return surely(mean(&run), Basis::Sampled);
+        let measured: Vec<f64> = self.points.iter().filter(|p| p.0 == n).map(|p| p.1).collect();
+        let exact = |value: f64, basis: Basis| Estimate { value, lower: value, upper: value, basis };
+        if !measured.is_empty() {
+            return exact(mean(&measured), Basis::Sampled);
         }
-        let above = self.points.partition_point(|p| p.0 < n);
-        if above > 0 && above < self.points.len() {
-            let (low, high) = (self.points[above - 1], self.points[above]);
+        let next = self.points.partition_point(|p| p.0 < n);
+        if next > 0 && next < self.points.len() {
+            let (low, high) = (self.points[next - 1], self.points[next]);
             let part = (n - low.0) / (high.0 - low.0);
-            return surely(low.1 + part * (high.1 - low.1), Basis::Interpolated);
+            return exact(low.1 + part * (high.1 - low.1), Basis::Interpolated);
         }
         let value = self.curve.at(n);
         let all = || self.alternatives.iter().map(|c| c.at(n));
-        let (least, most) = (all().fold(value, f64::min), all().fold(value, f64::max));
-        let basis = if above == 0 { Basis::BelowRange } else { Basis::Extrapolated(n / self.largest()) };
+        let (lower, most) = (all().fold(value, f64::min), all().fold(value, f64::max));
+        let basis = if next == 0 { Basis::BelowRange } else { Basis::Extrapolated(n / self.largest()) };
         Estimate {
             value,
-            lower: least * (1.0 - self.error).max(0.0),
+            lower: lower * (1.0 - self.error).max(0.0),
             upper: most * (1.0 + self.error),
             basis,
         }
     }
 }
 
-/// A relative error in per cent; below a hundredth of one it is none.
+/// Formats a relative error as a percentage; less than 0.01 % is shown as 0.
 pub fn format_error(error: f64) -> String {
     let percent = error * 100.0;
     format!("±{}%", if percent < 0.01 { "0".to_owned() } else { format_number(percent) })
 }
 
-/// Three digits that count, thousands set apart.
+/// Formats a number with three significant digits and thousands separators.
 pub fn format_number(value: f64) -> String {
     let size = value.abs();
     if size >= 1e9 {
--- a/scale/src/lib.rs
+++ b/scale/src/lib.rs
@@ -1,6 +1,8 @@
-//! How costs grow with the size of an installation: hosts that run the real cores many at a time, ladders of sizes, the
-//! laws that fit them, and what a target size then asks of each role. Must never run on the platform, nor hold a figure
-//! that a run did not give.
+//! Scalability benchmarks and capacity planning: runs the real protocol cores by the thousand in simulated networks,
+//! measures benchmark series over growing sizes, fits growth laws to them and compares the load predicted for a target
+//! installation with the budgets of each role.
+//!
+//! Invariants: this crate is a development tool and is never deployed; every number it reports comes from a run.
 
 pub mod benchmarks;
 pub mod capacity;
--- a/scale/src/main.rs
+++ b/scale/src/main.rs
@@ -1,5 +1,5 @@
-//! `kelpcart-scale`: measures slopes, and says what a target size asks of each role. Exits with 1 where a budget is
-//! exceeded or a row is not measured, with 2 where a file can't be used.
+//! `kelpcart-scale`: runs the scalability benchmarks and evaluates the capacity of each role at a target size. Exits with 1
+//! if a budget may be exceeded or a row is not measured, and with 2 on an error, such as an invalid file.
 
 use clap::{Parser, Subcommand};
 use kelpcart_scale::benchmarks;
@@ -14,7 +14,9 @@
 use std::process::ExitCode;
 
 #[derive(Parser)]
-#[command(about = "How costs grow with an installation's size, and what a target size asks of each role.")]
+#[command(
+    about = "Scalability benchmarks and capacity planning: how costs grow with an installation's size."
+)]
 struct Cli {
     #[command(subcommand)]
     what: Command,
@@ -22,11 +24,11 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays the ladders and writes the file of slopes.
+    /// Runs the benchmark series and writes the slopes file.
     Measure(Measure),
-    /// Role by role: what the target asks, what the slopes give, the share of the budget.
+    /// Compares the load of each role predicted at the target with its budgets.
     Capacity(Capacity),
-    /// Serves hollow gateways on loopback until standard input ends.
+    /// Runs hollow gateways on loopback until standard input is closed.
     Hollow(Hollow),
 }
 
@@ -34,16 +36,16 @@
 struct Measure {
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// The file of slopes that is written.
+    /// Slopes file to write.
     #[arg(long)]
     json: PathBuf,
-    /// Short ladders, as CI plays them.
+    /// Run short series, as in CI.
     #[arg(long)]
     quick: bool,
-    /// Only modules of ladders whose name begins so.
+    /// Run only benchmark modules whose name starts with this prefix.
     #[arg(long)]
     only: Option<String>,
-    /// Ladders of this file that are not measured anew are taken over.
+    /// Keep the series of this slopes file that are not measured in this run.
     #[arg(long)]
     merge: Option<PathBuf>,
 }
@@ -54,23 +56,23 @@
     slopes: PathBuf,
     #[arg(long)]
     target: PathBuf,
-    /// A picture of each ladder is written there.
+    /// Directory to which a chart of each series is written.
     #[arg(long)]
     plot: Option<PathBuf>,
-    /// The rows are written there as JSON.
+    /// File to which the rows are written as JSON.
     #[arg(long)]
     json: Option<PathBuf>,
-    /// The tables as they stand in docs/CAPACITY.md.
+    /// Print the tables as Markdown, as in docs/CAPACITY.md.
     #[arg(long)]
     markdown: bool,
-    /// Writes the tables into this page, between its markers.
+    /// Update the tables of this page between its markers.
     #[arg(long)]
     page: Option<PathBuf>,
 }
 
 #[derive(clap::Args)]
 struct Hollow {
-    /// A list of fleet files, each with a feed.
+    /// JSON file with a list of fleet settings, each with a `feed`.
     #[arg(long)]
     files: PathBuf,
 }
@@ -105,13 +107,13 @@
     Slopes::read(&read_file(path)?).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-fn describe_law(ladder: &Series, figure: Statistic) -> String {
-    fit::fit_series(ladder, figure).map_or("-".to_owned(), |f| f.describe())
+fn describe_law(series: &Series, statistic: Statistic) -> String {
+    fit::fit_series(series, statistic).map_or("-".to_owned(), |f| f.describe())
 }
 
-fn print_series(ladder: &Series) {
-    println!("{}  [{}, over {}]", ladder.id, ladder.unit, ladder.over);
-    for p in &ladder.points {
+fn print_series(series: &Series) {
+    println!("{}  [{}, over {}]", series.id, series.unit, series.over);
+    for p in &series.points {
         let p99 = p.p99.map_or(String::new(), |p| format!("  p99 {}", format_number(p)));
         println!(
             "  {:>10}  mean {:>10}  worst {:>10}{p99}",
@@ -122,25 +124,25 @@
     }
     println!(
         "  mean: {}; worst: {}",
-        describe_law(ladder, Statistic::Mean),
-        describe_law(ladder, Statistic::Worst)
+        describe_law(series, Statistic::Mean),
+        describe_law(series, Statistic::Worst)
     );
 }
 
 fn measure(options: &Measure) -> Outcome {
     let old = options.merge.as_deref().map(slopes).transpose()?;
-    let wanted = |name: &str| options.only.as_deref().is_none_or(|only| name.starts_with(only));
-    let chosen: Vec<_> = benchmarks::MODULES.iter().filter(|(name, _)| wanted(name)).collect();
+    let selected = |name: &str| options.only.as_deref().is_none_or(|only| name.starts_with(only));
+    let chosen: Vec<_> = benchmarks::MODULES.iter().filter(|(name, _)| selected(name)).collect();
     if chosen.is_empty() {
         let names: Vec<&str> = benchmarks::MODULES.iter().map(|(name, _)| *name).collect();
-        return Err(format!("--only: there are {}", names.join(", ")).into());
+        return Err(format!("--only: no such module; available modules: {}", names.join(", ")).into());
     }
     let mut all = Vec::new();
     for (name, measure) in chosen {
         println!("{name}");
-        let given = measure(options.seed, options.quick);
-        given.iter().for_each(print_series);
-        all.extend(given);
+        let measured = measure(options.seed, options.quick);
+        measured.iter().for_each(print_series);
+        all.extend(measured);
     }
     let mut new =
         Slopes { seed: options.seed, quick: options.quick, peak_memory: memory::peak(), ladders: all };
@@ -181,9 +183,9 @@
     }
     if let Some(folder) = &options.plot {
         std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-        for ladder in &slopes.ladders {
-            let (budgets, size) = capacity::chart_marks(&ladder.id, &verdicts);
-            plot::draw(ladder, &budgets, size, folder)?;
+        for series in &slopes.ladders {
+            let (budgets, size) = capacity::chart_marks(&series.id, &verdicts);
+            plot::draw(series, &budgets, size, folder)?;
         }
     }
     if let Some(path) = &options.json {
--- a/scale/src/slopes.rs
+++ b/scale/src/slopes.rs
@@ -1,5 +1,6 @@
-//! The file of slopes: what a run measured, on which ladder of sizes, and the law that fits it. Owns its form; must never
-//! change a figure that a run gave.
+//! The slopes file: the benchmark series measured by a run. Defines its format and validates it.
+//!
+//! Invariant: measured values are never modified after the run.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,32 +9,32 @@
 #[serde(deny_unknown_fields)]
 pub struct Slopes {
     pub seed: u64,
-    /// Short ladders, as CI plays them.
+    /// The series are short ones, as run in CI.
     pub quick: bool,
-    /// The most memory that the run held, in bytes.
+    /// Peak memory of the run, in bytes.
     pub peak_memory: u64,
     pub ladders: Vec<Series>,
 }
 
-/// One quantity at growing sizes of one thing, all else fixed.
+/// A benchmark series: one quantity measured at growing sizes of one dimension, with all other dimensions fixed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Series {
-    /// Unique: what is measured, of whom, and over what, such as `feed.bytes-out.by-gateways`.
+    /// Unique id made of role, quantity and dimension, such as `feed.bytes-out.by-gateways`.
     pub id: String,
-    /// What grows: `gateways`, `caches`, `sites`, `purges_per_s`, `changes_per_s`, `restarts_per_h`, `lost_part`.
+    /// The dimension that grows: `gateways`, `caches`, `sites`, `purges_per_s`, `changes_per_s`, `restarts_per_h`, `lost_part`.
     pub over: String,
-    /// What stood still, by the same names.
+    /// Values of the dimensions that are fixed, by the same names.
     pub fixed: BTreeMap<String, f64>,
     /// `B/s`, `datagrams/s`, `us`, `us/s`, `ms`, `B`, `count`, `txns/s`, `MB/s`, `objects`.
     pub unit: String,
-    /// What it ran on: `simulated`, `loopback` or `core`.
+    /// The environment of the run: `simulated`, `loopback` or `core`.
     pub host: Host,
-    /// The file in the repository that carries the mechanism.
+    /// The source file in the repository that implements the measured mechanism.
     pub mechanism: String,
-    /// The command line that gives it again, from the root.
+    /// The command that reproduces the series, run from the repository's root.
     pub command: String,
-    /// Depends on the machine's speed: CI does not compare it.
+    /// The values depend on the machine's speed, so CI does not compare them.
     pub timed: bool,
     pub points: Vec<Sample>,
 }
@@ -61,9 +62,9 @@
 pub struct Sample {
     /// The size.
     pub at: f64,
-    /// Over all members of the role.
+    /// Mean over all members of the role.
     pub mean: f64,
-    /// Of the member that has most; of a delay, the longest.
+    /// Value of the member with the highest one; for a delay, the longest.
     pub worst: f64,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub p50: Option<f64>,
@@ -83,7 +84,7 @@
     Form(#[from] serde_json::Error),
     #[error("ladder {0}: {1}")]
     Ladder(String, &'static str),
-    #[error("quick ladders and full ones don't go into one file")]
+    #[error("short and full series can't be merged into one file")]
     Quick,
 }
 
@@ -96,21 +97,25 @@
 
     pub fn check(&self) -> Result<(), InvalidSlopes> {
         let mut seen = BTreeSet::new();
-        for ladder in &self.ladders {
-            let need = |is: bool, what: &'static str| {
-                if is { Ok(()) } else { Err(InvalidSlopes::Ladder(ladder.id.clone(), what)) }
+        for series in &self.ladders {
+            let require = |ok: bool, what: &'static str| {
+                if ok { Ok(()) } else { Err(InvalidSlopes::Ladder(series.id.clone(), what)) }
             };
-            need(seen.insert(&ladder.id), "stands twice")?;
-            need(!ladder.points.is_empty(), "no points")?;
-            let figures = |p: &Sample| [Some(p.at), Some(p.mean), Some(p.worst), p.p50, p.p99];
-            let mut all = ladder.points.iter().flat_map(figures).flatten();
-            need(all.all(|f| f.is_finite() && f >= 0.0), "a figure is below zero or none")?;
-            need(ladder.points.windows(2).all(|w| w[0].at < w[1].at), "sizes don't rise")?;
+            require(seen.insert(&series.id), "duplicate id")?;
+            require(!series.points.is_empty(), "no samples")?;
+            let values = |p: &Sample| [Some(p.at), Some(p.mean), Some(p.worst), p.p50, p.p99];
+            let mut all = series.points.iter().flat_map(values).flatten();
+            require(all.all(|f| f.is_finite() && f >= 0.0), "a value is negative or not finite")?;
+            require(
+                series.points.windows(2).all(|w| w[0].at < w[1].at),
+                "sizes are not strictly increasing",
+            )?;
         }
         Ok(())
     }
 
-    /// These, and those of an older file that were not measured anew, by id.
+    /// Merges these series with an older file: series of the old file are kept unless they were measured again. The result
+    /// is sorted by id.
     pub fn merged_with(mut self, old: Slopes) -> Result<Slopes, InvalidSlopes> {
         if self.quick != old.quick {
             return Err(InvalidSlopes::Quick);
--- a/scale/src/target.rs
+++ b/scale/src/target.rs
@@ -1,20 +1,22 @@
-//! Owns the size that operators ask for, and its checks: a file that contradicts itself is told by the path of the field
-//! and what is wrong with it. Must never hold what was measured.
+//! The target file: the installation size and budgets that operators require. An inconsistent file is rejected with the
+//! path of the offending field and the reason.
+//!
+//! Invariant: the target holds requirements and assumptions only, never measured values.
 
 use schemars::JsonSchema;
 use serde::Deserialize;
 
-/// An installation as operators want to run it.
+/// The installation that operators want to run.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
     pub gateways: u32,
-    /// Places where gateways stand, some at each.
+    /// Locations with one or more gateways each.
     pub sites: u32,
     pub regions: u32,
-    /// Of all regions together.
+    /// Number of zones in all regions.
     pub zones: u32,
-    /// Caches that the list names.
+    /// Number of caches in the cache list.
     pub caches: u32,
     pub traffic: Traffic,
     pub purges: Purges,
@@ -24,13 +26,13 @@
     pub assumed: Assumed,
 }
 
-/// Of all gateways together, at the peak.
+/// Peak traffic of all gateways together.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Traffic {
     pub requests_per_s: f64,
     pub bits_per_s: f64,
-    /// Objects that there are.
+    /// Number of distinct objects.
     pub objects: u64,
 }
 
@@ -38,62 +40,62 @@
 #[serde(deny_unknown_fields)]
 pub struct Purges {
     pub per_s: f64,
-    /// Done at every gateway, and known to be done, after so long.
+    /// Time limit for a purge to be applied at every gateway and confirmed.
     pub within_ms: u64,
 }
 
-/// Of the configuration.
+/// Configuration changes.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Changes {
     pub per_day: f64,
-    /// In force at every gateway after so long.
+    /// Time limit for a change to take effect at every gateway.
     pub within_ms: u64,
 }
 
-/// What may be spent beside the txns.
+/// Budgets for control traffic and processing, in addition to the txns.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Control {
-    /// Of one core, at each gateway.
+    /// Fraction of one core at each gateway.
     pub core_part: f64,
-    /// At each gateway, in bytes.
+    /// Memory at each gateway, in bytes.
     pub memory: u64,
-    /// Bytes a second that a gateway takes in.
+    /// Bytes per second that a gateway receives.
     pub bytes_in_per_s: f64,
-    /// Bytes a second that a gateway sends.
+    /// Bytes per second that a gateway sends.
     pub bytes_out_per_s: f64,
-    /// Machines set aside for it.
+    /// Number of machines dedicated to control.
     pub machines: u32,
 }
 
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Faults {
-    /// Machines that fail on an ordinary day.
+    /// Machines that fail per day.
     pub failures_per_day: f64,
-    /// Machines that are restarted or replaced on an ordinary day.
+    /// Machines that are restarted or replaced per day, excluding failures.
     pub restarts_per_day: f64,
-    /// Racks or switches lost a year.
+    /// Racks or switches that fail per year.
     pub racks_per_year: f64,
     pub zones_per_year: f64,
-    /// Regions lose each other for so long.
+    /// Duration of a network partition between regions, in seconds.
     pub region_away_s: f64,
 }
 
-/// What operators did not say and a row needs; theirs stand in its place when they do.
+/// Assumed values that some rows need and operators did not specify. Specified values replace them.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Assumed {
-    /// Changes are gathered for so long before they are told; the file of the feed says the same.
+    /// Interval over which the feed batches changes before it publishes them; must match the feed's settings.
     pub feed_period_ms: u64,
     pub largest_site_gateways: u32,
     pub gateways_per_rack: u32,
-    /// A release restarts all gateways in so long.
+    /// Time in which a release restarts all gateways, in seconds.
     pub release_s: f64,
-    /// Cores of a gateway that txns may take.
+    /// Cores of a gateway available to txns.
     pub data_path_cores: f64,
-    /// Cores of a machine set aside for control.
+    /// Cores of a machine dedicated to control.
     pub machine_cores: f64,
 }
 
@@ -112,80 +114,84 @@
         Ok(target)
     }
 
-    /// The schema of the file (JSON Schema 2020-12).
+    /// Returns the JSON Schema (2020-12) of the file.
     pub fn schema() -> String {
         serde_json::to_string_pretty(&schemars::schema_for!(Target)).unwrap_or_default()
     }
 
     fn check(&self) -> Result<(), InvalidTarget> {
-        let need = |is: bool, field: &'static str, what: &'static str| {
+        let require = |is: bool, field: &'static str, what: &'static str| {
             if is { Ok(()) } else { Err(InvalidTarget::Field(field, what)) }
         };
-        let some = |x: f64| x.is_finite() && x > 0.0;
-        let any = |x: f64| x.is_finite() && x >= 0.0;
-        need(self.gateways > 0, "gateways", "1 at the least")?;
-        need(self.caches > 0, "caches", "1 at the least")?;
-        need(self.regions > 0, "regions", "1 at the least")?;
-        need(self.sites >= self.regions, "sites", "fewer than regions")?;
-        need(self.sites <= self.gateways, "sites", "more than gateways")?;
-        need(self.zones >= self.regions, "zones", "fewer than regions")?;
-        need(self.zones <= self.caches, "zones", "more than caches")?;
+        let is_positive = |x: f64| x.is_finite() && x > 0.0;
+        let is_non_negative = |x: f64| x.is_finite() && x >= 0.0;
+        require(self.gateways > 0, "gateways", "1 at the least")?;
+        require(self.caches > 0, "caches", "1 at the least")?;
+        require(self.regions > 0, "regions", "1 at the least")?;
+        require(self.sites >= self.regions, "sites", "fewer than regions")?;
+        require(self.sites <= self.gateways, "sites", "more than gateways")?;
+        require(self.zones >= self.regions, "zones", "fewer than regions")?;
+        require(self.zones <= self.caches, "zones", "more than caches")?;
         let t = &self.traffic;
-        need(some(t.requests_per_s), "traffic.requests_per_s", "above 0")?;
-        need(some(t.bits_per_s), "traffic.bits_per_s", "above 0")?;
-        need(t.bits_per_s >= t.requests_per_s, "traffic.bits_per_s", "less than a bit a request")?;
-        need(t.objects > 0, "traffic.objects", "1 at the least")?;
+        require(is_positive(t.requests_per_s), "traffic.requests_per_s", "above 0")?;
+        require(is_positive(t.bits_per_s), "traffic.bits_per_s", "above 0")?;
+        require(t.bits_per_s >= t.requests_per_s, "traffic.bits_per_s", "less than a bit a request")?;
+        require(t.objects > 0, "traffic.objects", "1 at the least")?;
         let (p, c, a) = (&self.purges, &self.changes, &self.assumed);
-        need(any(p.per_s), "purges.per_s", "0 at the least")?;
-        need(a.feed_period_ms > 0, "assumed.feed_period_ms", "1 at the least")?;
-        need(p.within_ms > a.feed_period_ms, "purges.within_ms", "not above assumed.feed_period_ms")?;
-        need(any(c.per_day), "changes.per_day", "0 at the least")?;
-        need(c.within_ms > a.feed_period_ms, "changes.within_ms", "not above assumed.feed_period_ms")?;
+        require(is_non_negative(p.per_s), "purges.per_s", "0 at the least")?;
+        require(a.feed_period_ms > 0, "assumed.feed_period_ms", "1 at the least")?;
+        require(p.within_ms > a.feed_period_ms, "purges.within_ms", "not above assumed.feed_period_ms")?;
+        require(is_non_negative(c.per_day), "changes.per_day", "0 at the least")?;
+        require(c.within_ms > a.feed_period_ms, "changes.within_ms", "not above assumed.feed_period_ms")?;
         let k = &self.control;
-        need(some(k.core_part) && k.core_part <= 1.0, "control.core_part", "above 0, 1 at the most")?;
-        need(k.memory > 0, "control.memory", "1 at the least")?;
-        need(some(k.bytes_in_per_s), "control.bytes_in_per_s", "above 0")?;
-        need(some(k.bytes_out_per_s), "control.bytes_out_per_s", "above 0")?;
-        need(k.machines > 0, "control.machines", "1 at the least")?;
+        require(
+            is_positive(k.core_part) && k.core_part <= 1.0,
+            "control.core_part",
+            "above 0, 1 at the most",
+        )?;
+        require(k.memory > 0, "control.memory", "1 at the least")?;
+        require(is_positive(k.bytes_in_per_s), "control.bytes_in_per_s", "above 0")?;
+        require(is_positive(k.bytes_out_per_s), "control.bytes_out_per_s", "above 0")?;
+        require(k.machines > 0, "control.machines", "1 at the least")?;
         let f = &self.faults;
-        need(any(f.failures_per_day), "faults.failures_per_day", "0 at the least")?;
-        need(any(f.restarts_per_day), "faults.restarts_per_day", "0 at the least")?;
-        need(any(f.racks_per_year), "faults.racks_per_year", "0 at the least")?;
-        need(any(f.zones_per_year), "faults.zones_per_year", "0 at the least")?;
-        need(any(f.region_away_s), "faults.region_away_s", "0 at the least")?;
+        require(is_non_negative(f.failures_per_day), "faults.failures_per_day", "0 at the least")?;
+        require(is_non_negative(f.restarts_per_day), "faults.restarts_per_day", "0 at the least")?;
+        require(is_non_negative(f.racks_per_year), "faults.racks_per_year", "0 at the least")?;
+        require(is_non_negative(f.zones_per_year), "faults.zones_per_year", "0 at the least")?;
+        require(is_non_negative(f.region_away_s), "faults.region_away_s", "0 at the least")?;
         let largest = a.largest_site_gateways;
-        need(
+        require(
             u64::from(largest) * u64::from(self.sites) >= u64::from(self.gateways),
             "assumed.largest_site_gateways",
             "below gateways / sites",
         )?;
-        // Each of the others has one at the least.
-        need(
+        // Every other site has at least one gateway.
+        require(
             largest <= self.gateways - (self.sites - 1),
             "assumed.largest_site_gateways",
             "leaves none for the other sites",
         )?;
-        need(
+        require(
             (1..=self.gateways).contains(&a.gateways_per_rack),
             "assumed.gateways_per_rack",
             "1 to gateways",
         )?;
-        need(some(a.release_s), "assumed.release_s", "above 0")?;
-        need(some(a.data_path_cores), "assumed.data_path_cores", "above 0")?;
-        need(some(a.machine_cores), "assumed.machine_cores", "above 0")
+        require(is_positive(a.release_s), "assumed.release_s", "above 0")?;
+        require(is_positive(a.data_path_cores), "assumed.data_path_cores", "above 0")?;
+        require(is_positive(a.machine_cores), "assumed.machine_cores", "above 0")
     }
 
-    /// At the mean.
+    /// Mean number of gateways per site.
     pub fn gateways_per_site(&self) -> f64 {
         f64::from(self.gateways) / f64::from(self.sites)
     }
 
-    /// At the peak, of a gateway at the mean.
+    /// Txns per second at a mean gateway at peak traffic.
     pub fn txns_per_s(&self) -> f64 {
         self.traffic.requests_per_s / f64::from(self.gateways)
     }
 
-    /// MB a second at the peak, of a gateway at the mean.
+    /// Payload at a mean gateway at peak traffic, in MB/s.
     pub fn megabytes_per_s(&self) -> f64 {
         self.traffic.bits_per_s / 8e6 / f64::from(self.gateways)
     }
@@ -198,12 +204,12 @@
         self.changes.per_day / 86_400.0
     }
 
-    /// On an ordinary day, failures counted in.
+    /// Restarts per hour on an ordinary day, including failures.
     pub fn restarts_per_h(&self) -> f64 {
         (self.faults.failures_per_day + self.faults.restarts_per_day) / 24.0
     }
 
-    /// Purges that one region tells while another does not hear.
+    /// Purges published while a region is partitioned from the others.
     pub fn purges_missed(&self) -> f64 {
         self.purges.per_s * self.faults.region_away_s
     }
--- a/scale/tests/fleet.rs
+++ b/scale/tests/fleet.rs
@@ -64,7 +64,7 @@
     net.purges_per_s = 0.0;
     net.run_for(ms(3_000));
     net.check_delivered().unwrap();
-    assert!(net.all_confirmed() && net.delays.len() > 100, "{}", net.delays.len());
+    assert!(net.all_confirmed() && net.purge_delays.len() > 100, "{}", net.purge_delays.len());
     // One hears nothing for the time of some purges.
     let one = net.gateways().last().unwrap();
     (0..one).for_each(|i| _ = net.sim.down_links.insert((i, one)));
