--- a/scale/src/fleet_net.rs
+++ b/scale/src/fleet_net.rs
@@ -1,6 +1,8 @@
-//! A network of the fleet's nodes in simulated time: a bulletin that can fail, members that are stopped, killed and
-//! started again, and what their hosts heard. One place for the fleet's tests and for its ladders; must never look at
-//! all nodes for one event, nor let a rule that broke go unseen (all steps are checked in small networks).
+//! Simulated network of fleet nodes with a discovery service that can fail. Members can be paused, killed and restarted, and
+//! the events delivered to their hosts are recorded. Used by the fleet's tests and benchmarks.
+//!
+//! Invariants: no event iterates over all nodes; a violated invariant of a node is always reported (in small networks every
+//! step is checked).
 
 use crate::sim::{Actor, Sim};
 use hdrhistogram::Histogram;
@@ -21,7 +23,7 @@
     SocketAddr::from(([127, 1, (i / 250) as u8, (i % 250) as u8 + 1], 7_600))
 }
 
-/// The file of one member, with what `change` makes of it.
+/// Returns the settings of one member, modified by `change`.
 pub fn member_config(i: usize, change: impl Fn(&mut Value)) -> Fleet {
     let mut all = json!({
         "fleet": "east", "gateway": format!("g{i}"), "listen": address(i).to_string(),
@@ -29,10 +31,10 @@
         "keys": [{"id": 1, "secret": "17".repeat(32)}],
     });
     change(&mut all);
-    Fleet::read(&all.to_string()).expect("a file that can be used")
+    Fleet::read(&all.to_string()).expect("valid settings")
 }
 
-/// A member: its node, and what it wants done beside datagrams.
+/// A simulated fleet member: its node and the node's pending outputs.
 pub struct Member {
     pub node: Node,
     datagrams: VecDeque<(SocketAddr, Vec<u8>)>,
@@ -75,52 +77,53 @@
     }
 }
 
-/// What outlives a member's node.
+/// State of a member that survives restarts of its node.
 #[derive(Default)]
 struct HostState {
     config: Option<Fleet>,
-    /// A connection to the bulletin: when it stands, how far it was told, and when it is told the last number.
+    /// Connection to the discovery service: when it is established, the last event delivered, and when the latest version is
+    /// announced next.
     discovery_conn: Option<(Time, u64, Time)>,
     received: Vec<(u64, bool, Time)>,
     decisions: BTreeMap<u64, (Time, Decision)>,
-    /// The last number that was counted into the delays.
+    /// The last event included in the delay histogram.
     delivered: u64,
 }
 
 pub struct Net {
     pub sim: Sim<Member>,
     hosts: Vec<HostState>,
-    /// Those that ask the bulletin or are connected to it.
+    /// Members that want a connection to the discovery service or have one.
     discovery_active: BTreeSet<usize>,
     pub cut_from_discovery: BTreeSet<usize>,
-    /// The bulletin's events, as it writes them, and when each one came.
+    /// The discovery service's events as serialized, with the time at which each was published.
     pub events: Vec<(String, Time)>,
     pub discovery_up: bool,
-    /// There is a bulletin; without it nobody is connected nor told that it failed.
+    /// Whether there is a discovery service. Without one, members neither connect nor see connection failures.
     pub has_discovery: bool,
     pub connections: u64,
     pub attempts: u64,
     pub max_connections: usize,
-    /// Rules are checked after every so many steps; each step in tests.
+    /// Node invariants are checked every this many steps (every step in tests).
     pub check_every: u64,
-    /// Keeps what each host heard, and its verdicts; else only how long each event took to each member.
+    /// Whether to record the events delivered to each host and its lease decisions. Otherwise only delays are recorded.
     pub keep_log: bool,
-    /// How long an event took to each member that was there when it came, in us.
+    /// Propagation delay of events to each member that was running when they were published, in us.
     pub delays: Histogram<u64>,
     next_discovery_poll: Time,
 }
 
-/// An empty table of delays in us, up to an hour, to three digits.
+/// Returns an empty histogram of delays in us, up to one hour, with three significant digits.
 pub fn delay_histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, 3_600_000_000, 3).expect("bounds that can be used")
+    Histogram::new_with_bounds(1, 3_600_000_000, 3).expect("valid bounds")
 }
 
-fn roster_event(no: u64, whole: bool, names: &[(String, &str)]) -> String {
+fn roster_event(no: u64, snapshot: bool, names: &[(String, &str)]) -> String {
     let all: Vec<Value> = names
         .iter()
         .map(|(n, status)| json!({"name": n, "address": "127.0.0.1:1", "zone": "hub", "type": "box", "status": status}))
         .collect();
-    json!({"no": no, "roster": {"index": 0, "snapshot": whole, "endpoints": all}}).to_string()
+    json!({"no": no, "roster": {"index": 0, "snapshot": snapshot, "endpoints": all}}).to_string()
 }
 
 impl Net {
@@ -158,8 +161,8 @@
         let place = &mut self.hosts[i];
         place.received.clear();
         (place.discovery_conn, place.delivered) = (None, last);
-        let file = place.config.as_ref().expect("a file");
-        let node = Node::new(file, run, seed, now, 0, &[]).expect("a node");
+        let file = place.config.as_ref().expect("settings");
+        let node = Node::new(file, run, seed, now, 0, &[]).expect("valid node");
         self.sim.set_actor(i, Some(Member::new(node)));
         self.after_step(i);
     }
@@ -185,7 +188,7 @@
         &self.sim.actor(i).expect("one that runs").node
     }
 
-    /// What its host has heard since its start: the number of each line, whether it is a whole list, and when.
+    /// Events delivered to a member's host since its start: sequence number, whether it is a snapshot, and time.
     pub fn received(&self, i: usize) -> &[(u64, bool, Time)] {
         &self.hosts[i].received
     }
@@ -195,9 +198,9 @@
     }
 
     pub fn with_node<T>(&mut self, i: usize, act: impl FnOnce(&mut Node, Time) -> T) -> T {
-        let given = self.sim.with_actor(i, |member, now| act(&mut member.node, now)).expect("one that runs");
+        let result = self.sim.with_actor(i, |member, now| act(&mut member.node, now)).expect("one that runs");
         self.after_step(i);
-        given
+        result
     }
 
     pub fn request(&mut self, i: usize, key: BudgetKey, ticket: u64, until: Time) {
@@ -222,13 +225,13 @@
         self.publish(roster_event(no, false, &[(name.to_owned(), status)]))
     }
 
-    /// One has done something: what its host heard is noted, and the rules hold.
+    /// Records the outputs of a member after a step and checks its invariants.
     fn after_step(&mut self, i: usize) {
         let now = self.sim.now;
         let own = self.sim.local_time(i);
         let checks = self.sim.steps.is_multiple_of(self.check_every);
         let Some(member) = self.sim.slots[i].actor.as_mut() else { return };
-        let (lines, verdicts) = (std::mem::take(&mut member.events), std::mem::take(&mut member.decisions));
+        let (events, verdicts) = (std::mem::take(&mut member.events), std::mem::take(&mut member.decisions));
         let node = &member.node;
         if checks {
             node.check_invariants(own).unwrap_or_else(|why| panic!("g{i}: {why}"));
@@ -237,7 +240,7 @@
         if self.has_discovery && (node.wants_discovery() || place.discovery_conn.is_some()) {
             self.discovery_active.insert(i);
         }
-        // What a member made up is no event.
+        // A version beyond the published events does not correspond to any event.
         let no = node.relay.list.version().min(self.events.len() as u64);
         while place.delivered < no {
             let took = now - self.events[place.delivered as usize].1;
@@ -247,58 +250,59 @@
         if !self.keep_log {
             return;
         }
-        for line in lines {
-            let value: Value = serde_json::from_slice(&line).expect("a line of JSON");
-            let whole = value.pointer("/roster/snapshot") == Some(&Value::Bool(true));
-            let no = value["no"].as_u64().expect("a number");
-            place.received.push((no, whole, now));
+        for line in events {
+            let value: Value = serde_json::from_slice(&line).expect("valid JSON");
+            let snapshot = value.pointer("/roster/snapshot") == Some(&Value::Bool(true));
+            let no = value["no"].as_u64().expect("sequence number");
+            place.received.push((no, snapshot, now));
         }
         for (ticket, verdict) in verdicts {
             let before = place.decisions.insert(ticket, (now, verdict));
-            assert!(before.is_none(), "two verdicts for ticket {ticket}");
+            assert!(before.is_none(), "two decisions for ticket {ticket}");
         }
     }
 
-    /// What stands at the bulletin is told to those who are connected.
+    /// Delivers pending discovery events to all connected members.
     fn deliver_events(&mut self) {
         for i in self.discovery_active.clone() {
             let now = self.sim.now;
-            let Some((since, told, pulse)) = self.hosts[i].discovery_conn else { continue };
+            let Some((since, sent, next_announcement)) = self.hosts[i].discovery_conn else { continue };
             if since > now || self.is_stopped(i) || !self.is_running(i) {
                 continue;
             }
             let last = self.events.len() as u64;
-            let events = &self.events[told as usize..];
+            let events = &self.events[sent as usize..];
             self.sim.with_actor(i, |member, own| {
                 for (line, _) in events {
-                    member.node.discovery_event(own, line.as_bytes()).expect("a line that fits");
+                    member.node.discovery_event(own, line.as_bytes()).expect("valid event");
                 }
-                if now >= pulse {
+                if now >= next_announcement {
                     assert!(member.node.discovery_version(own, last));
                 }
             });
-            let pulse = if now >= pulse { now + ms(1_000) } else { pulse };
-            self.hosts[i].discovery_conn = Some((since, last, pulse));
+            let next_announcement =
+                if now >= next_announcement { now + ms(1_000) } else { next_announcement };
+            self.hosts[i].discovery_conn = Some((since, last, next_announcement));
             self.after_step(i);
         }
     }
 
     fn update_connections(&mut self) {
-        let mut open = 0;
+        let mut open_connections = 0;
         for i in self.discovery_active.clone() {
-            let reach = self.discovery_up && !self.cut_from_discovery.contains(&i);
+            let reachable = self.discovery_up && !self.cut_from_discovery.contains(&i);
             let (now, own) = (self.sim.now, self.sim.local_time(i));
             let place = &mut self.hosts[i];
-            // A stopped one's connection ends all the same.
+            // The connection of a paused member is closed, too.
             let Some(node) = self.sim.slots[i].actor.as_mut().map(|m| &mut m.node) else {
                 self.discovery_active.remove(&i);
                 continue;
             };
-            let asks = node.wants_discovery();
+            let wants = node.wants_discovery();
             match place.discovery_conn {
-                None if asks => {
+                None if wants => {
                     self.attempts += 1;
-                    if reach {
+                    if reachable {
                         self.connections += 1;
                         let at = now + ms(2);
                         place.discovery_conn = Some((at, node.relay.list.version(), at));
@@ -306,24 +310,24 @@
                         node.discovery_closed(own);
                     }
                 }
-                Some(_) if !asks || !reach => {
+                Some(_) if !wants || !reachable => {
                     place.discovery_conn = None;
-                    if asks {
+                    if wants {
                         node.discovery_closed(own);
                     }
                 }
                 _ => {}
             }
-            open += usize::from(place.discovery_conn.is_some());
-            if !asks && place.discovery_conn.is_none() {
+            open_connections += usize::from(place.discovery_conn.is_some());
+            if !wants && place.discovery_conn.is_none() {
                 self.discovery_active.remove(&i);
             }
         }
-        self.max_connections = self.max_connections.max(open);
+        self.max_connections = self.max_connections.max(open_connections);
         self.deliver_events();
     }
 
-    /// Goes on for so long.
+    /// Runs the simulation for `span`.
     pub fn run_for(&mut self, span: Span) {
         let end = self.sim.now + span;
         loop {
@@ -345,7 +349,7 @@
         self.sim.live().map(|(i, _)| i).collect()
     }
 
-    /// Every live one knows the bulletin's list, whole and in order.
+    /// Checks that every live member has received all discovery events.
     pub fn check_delivered(&self) -> Result<(), String> {
         let last = self.events.len() as u64;
         for (i, member) in self.sim.live() {
@@ -357,14 +361,14 @@
         Ok(())
     }
 
-    /// Each line once, none after a gap; a whole list may stand for those before it.
+    /// Checks that every host received the events in order without gaps; a snapshot replaces all earlier events.
     pub fn check_order(&self) -> Result<(), String> {
         for (i, place) in self.hosts.iter().enumerate() {
             let mut at = 0;
-            for &(no, whole, _) in &place.received {
-                let fits = if whole { no >= at } else { no == at + 1 || no <= at };
+            for &(no, snapshot, _) in &place.received {
+                let fits = if snapshot { no >= at } else { no == at + 1 || no <= at };
                 if !fits {
-                    return Err(format!("g{i} heard {no} after {at}"));
+                    return Err(format!("g{i} received {no} after {at}"));
                 }
                 at = at.max(no);
             }
@@ -372,7 +376,7 @@
         Ok(())
     }
 
-    /// How many others each live one holds to be live, least and most.
+    /// Returns the smallest and largest number of members that a live member considers live.
     pub fn live_view_range(&self) -> (usize, usize) {
         let all = self.sim.live().map(|(_, m)| m.node.members.live());
         all.fold((usize::MAX, 0), |(a, b), n| (a.min(n), b.max(n)))
--- a/scale/src/sim.rs
+++ b/scale/src/sim.rs
@@ -1,6 +1,8 @@
-//! A network in simulated time for any core without I/O: an ordered queue of datagrams and wake times, so that a step
-//! costs the logarithm of what waits, however many actors there are. Chance comes from one seed. Must never look at all
-//! actors for one event; the processor time that it notes is that of the cores alone.
+//! Discrete-event simulation of a datagram network for sans-I/O cores. Events are kept in a priority queue, so a step costs
+//! O(log n) in the number of queued events, independent of the number of actors.
+//!
+//! Invariants: a run is determined by its seed; no event iterates over all actors; the recorded processor time covers the
+//! cores only, not the simulation.
 
 use cpu_time::ThreadTime;
 use kelpcart::{Span, Time};
@@ -12,12 +14,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A core that a network hosts. What it wants done beside datagrams it keeps for its owner.
+/// A sans-I/O core hosted by the simulated network. Outputs other than datagrams are kept for the actor's owner.
 pub trait Actor {
     fn handle_datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]);
     fn tick(&mut self, now: Time);
     fn next_wake(&self, now: Time) -> Time;
-    /// The next datagram that it sends.
+    /// Returns the next datagram to send.
     fn poll_datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)>;
 }
 
@@ -47,29 +49,29 @@
 }
 
 impl Ord for QueuedEvent {
-    /// The earliest is the greatest; what is due at once goes by its number.
+    /// The earliest event is the greatest, as `BinaryHeap` pops the maximum. Ties are broken by sequence number.
     fn cmp(&self, other: &QueuedEvent) -> Ordering {
         (other.at, other.seq).cmp(&(self.at, self.seq))
     }
 }
 
-/// What one actor has sent and taken since it was last reset, in payload bytes.
+/// Traffic in payload bytes and processor time of one actor since the last reset.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
     pub bytes_in: u64,
     pub bytes_out: u64,
     pub datagrams_in: u64,
     pub datagrams_out: u64,
-    /// Of its core alone, where the network measures it.
+    /// Processor time of the actor's core, if `measure_cpu` is set.
     pub cpu_time: Duration,
 }
 
 pub struct Slot<A> {
     pub actor: Option<A>,
     pub address: SocketAddr,
-    /// It is given nothing; what comes meanwhile is lost.
+    /// The actor is paused: it gets no events, and datagrams to it are lost.
     pub stopped: bool,
-    /// Its clock is that much ahead.
+    /// Offset of the actor's clock from simulated time.
     pub clock_offset: Span,
     pub usage: Usage,
     wake: Option<Time>,
@@ -81,19 +83,20 @@
     pub now: Time,
     pub slots: Vec<Slot<A>>,
     pub rng: Pcg64Mcg,
-    /// The part of datagrams that is lost, and that comes twice.
+    /// Probability that a datagram is lost.
     pub loss: f64,
+    /// Probability that a datagram is duplicated.
     pub duplication: f64,
-    /// One way, at the mean; a datagram takes half of it to once and a half of it.
+    /// Mean one-way delay from the first actor to the second; a datagram takes 0.5 to 1.5 times as long.
     pub delay: LinkFn<Span>,
-    /// Nothing goes from the first to the second.
+    /// Whether datagrams from the first actor to the second are dropped.
     pub link_down: LinkFn<bool>,
-    /// Nothing goes from the first to the second, either.
+    /// Further links, from the first actor to the second, that drop all datagrams.
     pub down_links: BTreeSet<(usize, usize)>,
-    /// Datagrams that are kept to be sent again, at the most.
+    /// Maximum number of datagrams captured for replay.
     pub capture_limit: usize,
     pub captured: Vec<(usize, usize, Vec<u8>)>,
-    /// Notes the processor time of the cores.
+    /// Whether the processor time of the cores is recorded.
     pub measure_cpu: bool,
     pub steps: u64,
     queue: BinaryHeap<QueuedEvent>,
@@ -105,7 +108,7 @@
 impl<A: Actor> Sim<A> {
     pub fn new(seed: u64) -> Sim<A> {
         Sim {
-            // Far from zero, so that what lies before the start can be named.
+            // Far from zero, so that times before the start can be represented.
             now: Time::from_micros(1_000_000_000),
             slots: Vec::new(),
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -125,7 +128,7 @@
         }
     }
 
-    /// A place for an actor, which may come later.
+    /// Adds a slot for an actor and returns its index. The actor may be set later.
     pub fn add(&mut self, address: SocketAddr, actor: Option<A>) -> usize {
         let i = self.slots.len();
         let (stopped, ahead, spent) = (false, Span::ZERO, Usage::default());
@@ -142,7 +145,7 @@
         i
     }
 
-    /// Starts one anew, or ends it.
+    /// Replaces the actor of a slot, which restarts it, or removes it.
     pub fn set_actor(&mut self, i: usize, actor: Option<A>) {
         let slot = &mut self.slots[i];
         (slot.actor, slot.stopped, slot.wake) = (actor, false, None);
@@ -161,27 +164,27 @@
         self.slots[i].actor.as_ref()
     }
 
-    /// Those that run.
+    /// Returns all actors that exist and are not stopped.
     pub fn live(&self) -> impl Iterator<Item = (usize, &A)> {
         let live = self.slots.iter().enumerate().filter(|(_, s)| !s.stopped);
         live.filter_map(|(i, s)| Some((i, s.actor.as_ref()?)))
     }
 
-    /// The time by the clock of one.
+    /// Returns the time by the local clock of an actor.
     pub fn local_time(&self, i: usize) -> Time {
         self.now + self.slots[i].clock_offset
     }
 
-    /// Has one do something by its own clock; what it sends goes out.
+    /// Calls `act` on a running actor with its local time and sends the resulting datagrams.
     pub fn with_actor<T>(&mut self, i: usize, act: impl FnOnce(&mut A, Time) -> T) -> Option<T> {
         let (now, measures) = (self.local_time(i), self.measure_cpu);
         let slot = &mut self.slots[i];
         let actor = slot.actor.as_mut().filter(|_| !slot.stopped)?;
-        let begun = measures.then(ThreadTime::now);
-        let given = act(actor, now);
-        slot.usage.cpu_time += begun.map_or(Duration::ZERO, |b| b.elapsed());
+        let started = measures.then(ThreadTime::now);
+        let result = act(actor, now);
+        slot.usage.cpu_time += started.map_or(Duration::ZERO, |b| b.elapsed());
         self.drain_output(i);
-        Some(given)
+        Some(result)
     }
 
     fn push(&mut self, at: Time, due: EventKind) {
@@ -189,7 +192,7 @@
         self.queue.push(QueuedEvent { at, seq: self.seq, kind: due });
     }
 
-    /// A datagram from one to another, as if the first had sent it.
+    /// Sends a datagram between two actors, subject to loss, duplication and delay.
     pub fn send(&mut self, from: usize, to: usize, bytes: &[u8]) {
         if (self.link_down)(from, to)
             || self.down_links.contains(&(from, to))
@@ -200,8 +203,8 @@
         let copies = 1 + u32::from(self.rng.random_bool(self.duplication));
         let shared: Rc<[u8]> = Rc::from(bytes);
         for _ in 0..copies {
-            let takes = (self.delay)(from, to) * self.rng.random_range(0.5..1.5);
-            self.push(self.now + takes, EventKind::Datagram { from, to, bytes: Rc::clone(&shared) });
+            let delay = (self.delay)(from, to) * self.rng.random_range(0.5..1.5);
+            self.push(self.now + delay, EventKind::Datagram { from, to, bytes: Rc::clone(&shared) });
         }
     }
 
@@ -216,52 +219,52 @@
                 self.send(i, to, &bytes);
             }
         }
-        let own = self.local_time(i);
+        let local = self.local_time(i);
         let slot = &mut self.slots[i];
         let Some(actor) = slot.actor.as_ref().filter(|_| !slot.stopped) else { return };
-        let at = self.now + (actor.next_wake(own) - own);
+        let at = self.now + (actor.next_wake(local) - local);
         if slot.wake != Some(at) {
             slot.wake = Some(at);
             self.push(at, EventKind::Wake(i));
         }
     }
 
-    /// The next thing that happens, but not beyond `until`; who it happened to.
+    /// Processes the next event that is due by `until` and returns the index of the actor that handled it.
     pub fn step(&mut self, until: Time) -> Option<usize> {
         while self.queue.peek().is_some_and(|q| q.at <= until) {
             let Some(next) = self.queue.pop() else { break };
             let at = next.at.max(self.now);
             self.same_time_steps =
                 if self.same_time_steps.0 == at { (at, self.same_time_steps.1 + 1) } else { (at, 0) };
-            let most = 100 * self.slots.len().max(200) as u32;
-            assert!(self.same_time_steps.1 < most, "time stands still");
+            let max_steps = 100 * self.slots.len().max(200) as u32;
+            assert!(self.same_time_steps.1 < max_steps, "livelock: simulated time does not advance");
             self.now = at;
             let measures = self.measure_cpu;
-            let (i, given) = match next.kind {
+            let (i, result) = match next.kind {
                 EventKind::Wake(i) => {
-                    let own = self.local_time(i);
+                    let local = self.local_time(i);
                     let slot = &mut self.slots[i];
                     if slot.wake != Some(next.at) || slot.stopped {
                         continue;
                     }
                     slot.wake = None;
                     let Some(actor) = slot.actor.as_mut() else { continue };
-                    let begun = measures.then(ThreadTime::now);
-                    actor.tick(own);
-                    (i, begun.map(|b| b.elapsed()))
+                    let started = measures.then(ThreadTime::now);
+                    actor.tick(local);
+                    (i, started.map(|b| b.elapsed()))
                 }
                 EventKind::Datagram { from, to, bytes } => {
-                    let (own, sender) = (self.local_time(to), self.slots[from].address);
+                    let (local, sender) = (self.local_time(to), self.slots[from].address);
                     let slot = &mut self.slots[to];
                     let Some(actor) = slot.actor.as_mut().filter(|_| !slot.stopped) else { continue };
                     slot.usage.datagrams_in += 1;
                     slot.usage.bytes_in += bytes.len() as u64;
-                    let begun = measures.then(ThreadTime::now);
-                    actor.handle_datagram(own, sender, &bytes);
-                    (to, begun.map(|b| b.elapsed()))
+                    let started = measures.then(ThreadTime::now);
+                    actor.handle_datagram(local, sender, &bytes);
+                    (to, started.map(|b| b.elapsed()))
                 }
             };
-            self.slots[i].usage.cpu_time += given.unwrap_or_default();
+            self.slots[i].usage.cpu_time += result.unwrap_or_default();
             self.steps += 1;
             self.drain_output(i);
             return Some(i);
--- a/scale/src/slopes.rs
+++ b/scale/src/slopes.rs
@@ -81,11 +81,11 @@
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidSlopes {
     #[error("{0}")]
-    Form(#[from] serde_json::Error),
-    #[error("ladder {0}: {1}")]
-    Ladder(String, &'static str),
+    Json(#[from] serde_json::Error),
+    #[error("series {0}: {1}")]
+    Series(String, &'static str),
     #[error("short and full series can't be merged into one file")]
-    Quick,
+    MixedLengths,
 }
 
 impl Slopes {
@@ -99,7 +99,7 @@
         let mut seen = BTreeSet::new();
         for series in &self.ladders {
             let require = |ok: bool, what: &'static str| {
-                if ok { Ok(()) } else { Err(InvalidSlopes::Ladder(series.id.clone(), what)) }
+                if ok { Ok(()) } else { Err(InvalidSlopes::Series(series.id.clone(), what)) }
             };
             require(seen.insert(&series.id), "duplicate id")?;
             require(!series.points.is_empty(), "no samples")?;
@@ -118,7 +118,7 @@
     /// is sorted by id.
     pub fn merged_with(mut self, old: Slopes) -> Result<Slopes, InvalidSlopes> {
         if self.quick != old.quick {
-            return Err(InvalidSlopes::Quick);
+            return Err(InvalidSlopes::MixedLengths);
         }
         self.peak_memory = self.peak_memory.max(old.peak_memory);
         let kept: Vec<Series> = old.ladders.into_iter().filter(|l| self.get(&l.id).is_none()).collect();
--- a/scale/src/target.rs
+++ b/scale/src/target.rs
@@ -102,7 +102,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidTarget {
     #[error("{0}")]
-    Form(#[from] serde_json::Error),
+    Json(#[from] serde_json::Error),
     #[error("{0}: {1}")]
     Field(&'static str, &'static str),
 }
