--- a/scale/src/feed_net.rs
+++ b/scale/src/feed_net.rs
@@ -1,5 +1,7 @@
-//! An installation in simulated time: list services, hubs, sites of hollow gateways, the ways between them and what goes
-//! wrong on these. Notes when each gateway acted on what was told; must never let a change that one missed go unseen.
+//! Simulated installation: discovery services, hubs, sites of hollow gateways, and the network between them with injected
+//! faults. Records when each gateway applies each change.
+//!
+//! Invariant: a change that a live gateway missed is always reported.
 
 use crate::fleet_net::delay_histogram;
 use crate::hollow::{Delivery, HollowGateway};
@@ -20,20 +22,23 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Unix ms at the simulation's zero.
+/// Unix time in ms at simulated time zero.
 const EPOCH_MS: u64 = 1_700_000_000_000;
-/// What list services have to tell is looked at this often.
+/// Interval at which connections to discovery services are processed.
 const DISCOVERY_POLL_INTERVAL: Span = Span::from_millis(10);
-/// A host's pause before it connects to a list service again.
+/// Delay before a host reconnects to a discovery service.
 const RECONNECT_DELAY: Span = Span::from_millis(200);
+/// Interval at which a discovery service announces its latest sequence number on each connection.
 const KEEPALIVE_INTERVAL: Span = Span::from_millis(1_000);
-/// So many purges a second are followed to each gateway by their names; positions follow all.
+/// Approximate number of purges per second whose application is tracked at each gateway by their hash. Stream positions
+/// cover all purges.
 const TRACKED_PURGES_PER_S: f64 = 8.0;
 pub const REGIONS: usize = 11;
 pub const HUBS: usize = 5;
-/// Gateways of a site.
 pub const GATEWAYS_PER_SITE: usize = 24;
+/// One-way delay within a site, and from a discovery service to hosts of its region.
 const LOCAL_DELAY: Span = Span::from_millis(1);
+/// One-way delay between sites, and from a discovery service to other regions.
 const REMOTE_DELAY: Span = Span::from_millis(50);
 
 #[derive(Clone, Copy, Debug)]
@@ -59,7 +64,7 @@
     events: Vec<Event>,
 }
 
-/// A purge that is followed by its name.
+/// A purge whose application is tracked at each gateway by its hash.
 struct TrackedPurge {
     at: Time,
     hash: u64,
@@ -74,23 +79,24 @@
 
 struct HostState {
     region: usize,
-    /// `None`: a hub.
+    /// `None` for a hub.
     site: Option<usize>,
     name: String,
     connections: Vec<Option<Connection>>,
     reconnect_at: Vec<Time>,
-    /// Followed purges from here on are not all done; those behind it that are.
+    /// Index of the first tracked purge that has not been applied.
     first_pending: usize,
+    /// Later tracked purges that have been applied.
     done: BTreeSet<usize>,
-    /// Lines told to it, by stream; at a hub, what it holds to be done everywhere.
+    /// Per stream, the last change delivered to the gateway; at a hub, the watermark of changes applied everywhere.
     reported: Vec<u64>,
-    /// It has run without a break since this was measured.
+    /// The host has run without interruption since the measurement started.
     steady: bool,
 }
 
 #[derive(Default)]
 pub struct Partitions {
-    /// From and to everything outside.
+    /// Regions that are cut off from all others.
     pub regions: BTreeSet<usize>,
 }
 
@@ -100,11 +106,11 @@
     pub partitions: Rc<RefCell<Partitions>>,
     pub purges_per_s: f64,
     pub changes_per_s: f64,
-    /// From a purge's line to its being acted on, at each gateway, in us.
+    /// Time from the publication of a purge to its application, at each gateway, in us.
     pub purge_delays: Histogram<u64>,
-    /// The same of other changes.
+    /// The same for other changes.
     pub change_delays: Histogram<u64>,
-    /// From a line to a hub's knowing that it is done everywhere.
+    /// Time from the publication of a change to a hub's confirmation that it is applied everywhere, in us.
     pub confirmation_delays: Histogram<u64>,
     pub connections: u64,
     pub attempts: u64,
@@ -137,7 +143,7 @@
         let Shape { gateways, sites } = shape;
         let mut sim: Sim<HollowGateway> = Sim::new(seed);
         let site_of = |i: usize| i.checked_sub(HUBS).map(|g| g * sites / gateways);
-        let places: Vec<HostState> = (0..HUBS + gateways)
+        let hosts: Vec<HostState> = (0..HUBS + gateways)
             .map(|i| {
                 sim.add(address(i), None);
                 let site = site_of(i);
@@ -154,9 +160,9 @@
                 }
             })
             .collect();
-        let cuts: Rc<RefCell<Partitions>> = Rc::default();
-        let zones: Rc<[(usize, Option<usize>)]> = places.iter().map(|p| (p.region, p.site)).collect();
-        let (c, z) = (Rc::clone(&cuts), Rc::clone(&zones));
+        let partitions: Rc<RefCell<Partitions>> = Rc::default();
+        let zones: Rc<[(usize, Option<usize>)]> = hosts.iter().map(|p| (p.region, p.site)).collect();
+        let (c, z) = (Rc::clone(&partitions), Rc::clone(&zones));
         sim.link_down = Box::new(move |a, b| {
             let (a, b, c) = (z[a].0, z[b].0, c.borrow());
             a != b && (c.regions.contains(&a) || c.regions.contains(&b))
@@ -164,7 +170,7 @@
         sim.delay = Box::new(move |a, b| if zones[a] == zones[b] { LOCAL_DELAY } else { REMOTE_DELAY });
         let hubs: Vec<Value> = (0..HUBS)
             .map(|h| {
-                let pair = Ed25519KeyPair::from_seed_unchecked(&hub_seed(h)).expect("a seed");
+                let pair = Ed25519KeyPair::from_seed_unchecked(&hub_seed(h)).expect("valid seed");
                 let public = hex(pair.public_key().as_ref());
                 json!({"name": format!("hub{h}"), "address": address(h).to_string(), "public": public})
             })
@@ -174,7 +180,7 @@
             .collect();
         let now = sim.now;
         let mut net = Net {
-            partitions: cuts,
+            partitions,
             shape,
             purges_per_s: 0.0,
             changes_per_s: 0.0,
@@ -185,7 +191,7 @@
             attempts: 0,
             check_every: 4_001,
             services: (0..REGIONS).map(|_| DiscoveryService::default()).collect(),
-            hosts: places,
+            hosts,
             tracked: Vec::new(),
             active: BTreeSet::new(),
             next_event: now,
@@ -195,7 +201,7 @@
             measure_cpu: false,
             sim,
         };
-        // What was before: a number of 0 says that nothing is known.
+        // Initial events: a sequence number of 0 would mean that the state is unknown.
         (0..3 * REGIONS).for_each(|n| net.publish(n % REGIONS, true));
         net
     }
@@ -213,8 +219,8 @@
     }
 
     fn node(&self, i: usize, seeds: [u64; 2]) -> Option<Node> {
-        let place = &self.hosts[i];
-        let site = place.site?;
+        let host = &self.hosts[i];
+        let site = host.site?;
         let first = self.hosts.partition_point(|p| p.site < Some(site));
         let seeds_of: Vec<String> = (first..self.hosts.len())
             .take_while(|&j| self.hosts[j].site == Some(site))
@@ -222,37 +228,37 @@
             .map(|j| address(j).to_string())
             .collect();
         let file = json!({
-            "fleet": format!("site{site}"), "gateway": place.name, "listen": address(i).to_string(),
+            "fleet": format!("site{site}"), "gateway": host.name, "listen": address(i).to_string(),
             "seeds": seeds_of, "keys": [{"id": 1, "secret": "17".repeat(32)}], "relays": {"on": false},
             "members": {"expected": self.shape.gateways.div_ceil(self.shape.sites)},
         });
-        let file = Fleet::read(&file.to_string()).expect("a file that can be used");
-        Some(Node::new(&file, seeds[0], seeds[1], self.sim.local_time(i), 0, &[]).expect("a node"))
+        let file = Fleet::read(&file.to_string()).expect("valid settings");
+        Some(Node::new(&file, seeds[0], seeds[1], self.sim.local_time(i), 0, &[]).expect("valid node"))
     }
 
-    /// Starts one; its configuration knows of nothing.
+    /// Starts a host with an initial state that knows no events.
     pub fn start(&mut self, i: usize) {
         let seeds = [self.rng.random(), self.rng.random()];
-        let place = &self.hosts[i];
+        let host = &self.hosts[i];
         let mut file = self.feed_config.clone();
-        file["site"] = json!(place.site.map_or("control".to_owned(), |s| format!("site{s}")));
-        if place.site.is_none() {
+        file["site"] = json!(host.site.map_or("control".to_owned(), |s| format!("site{s}")));
+        if host.site.is_none() {
             let sites: Vec<String> = (0..self.shape.sites).map(|s| format!("site{s}")).collect();
-            file["control"] = json!({"name": place.name, "secret": hex(&hub_seed(i)), "sites": sites});
+            file["control"] = json!({"name": host.name, "secret": hex(&hub_seed(i)), "sites": sites});
         }
-        let file: kelpcart_feed::settings::Feed = serde_json::from_value(file).expect("a file of the feed");
+        let file: kelpcart_feed::settings::Feed = serde_json::from_value(file).expect("valid feed settings");
         let keys = [Key { id: 1, secret: "17".repeat(32) }];
         let now = self.sim.local_time(i);
-        let feed = Feed::new(&file, &keys, &place.name, seeds[0], seeds[1], now).expect("a feed");
+        let feed = Feed::new(&file, &keys, &host.name, seeds[0], seeds[1], now).expect("valid feed");
         let mut hollow = HollowGateway::new(now, self.node(i, seeds), feed);
         hollow.measure_cpu = self.measure_cpu;
         let lasts: Vec<u64> = self.services.iter().map(|s| s.events.len() as u64).collect();
-        let followed = self.tracked.len();
-        let place = &mut self.hosts[i];
-        place.connections.fill(None);
-        place.reconnect_at.fill(self.sim.now);
-        (place.first_pending, place.reported, place.steady) = (followed, lasts, false);
-        place.done.clear();
+        let tracked = self.tracked.len();
+        let host = &mut self.hosts[i];
+        host.connections.fill(None);
+        host.reconnect_at.fill(self.sim.now);
+        (host.first_pending, host.reported, host.steady) = (tracked, lasts, false);
+        host.done.clear();
         self.sim.set_actor(i, Some(hollow));
         self.after_step(i);
     }
@@ -266,7 +272,7 @@
         self.hosts[i].connections.fill(None);
     }
 
-    /// What was spent so far does not count; processor time is noted from now on.
+    /// Starts a measurement: resets usage and delays, and records processor time from now on.
     pub fn start_measurement(&mut self) {
         self.sim.reset_usage();
         self.sim.measure_cpu = true;
@@ -284,7 +290,7 @@
         (self.attempts, self.connections) = (0, 0);
     }
 
-    /// Whether one has run since the beginning.
+    /// Whether a host has run without interruption since the measurement started.
     pub fn steady(&self, i: usize) -> bool {
         self.hosts[i].steady && self.sim.actor(i).is_some()
     }
@@ -313,59 +319,56 @@
         self.services[stream].events.push(event);
     }
 
-    /// One has done something: what its host was told is noted, and the rules hold.
+    /// Records what was delivered to a host in a step and checks its invariants.
     fn after_step(&mut self, i: usize) {
         let now = self.sim.now;
         let checks = self.sim.steps.is_multiple_of(self.check_every);
         let Some(hollow) = self.sim.slots[i].actor.as_mut() else { return };
-        let place = &mut self.hosts[i];
+        let host = &mut self.hosts[i];
         if checks {
-            let sound = hollow.feed.check_invariants();
-            sound.unwrap_or_else(|why| panic!("{}: {why}", place.name));
+            let result = hollow.feed.check_invariants();
+            result.unwrap_or_else(|why| panic!("{}: {why}", host.name));
         }
-        if (0..REGIONS).any(|s| hollow.feed.wants_connection(s) || place.connections[s].is_some()) {
+        if (0..REGIONS).any(|s| hollow.feed.wants_connection(s) || host.connections[s].is_some()) {
             self.active.insert(i);
         }
-        for told in hollow.deliveries.drain(..) {
-            match told {
+        for delivery in hollow.deliveries.drain(..) {
+            match delivery {
                 Delivery::Purge { names, issued_ms } => {
-                    for n in place.first_pending..self.tracked.len() {
-                        let follow = &self.tracked[n];
-                        if issued_ms >= follow.issued_ms
-                            && names.contains(follow.hash)
-                            && place.done.insert(n)
-                        {
-                            self.purge_delays.saturating_record((now - follow.at).as_micros());
+                    for n in host.first_pending..self.tracked.len() {
+                        let purge = &self.tracked[n];
+                        if issued_ms >= purge.issued_ms && names.contains(purge.hash) && host.done.insert(n) {
+                            self.purge_delays.saturating_record((now - purge.at).as_micros());
                         }
                     }
-                    while place.done.remove(&place.first_pending) {
-                        place.first_pending += 1;
+                    while host.done.remove(&host.first_pending) {
+                        host.first_pending += 1;
                     }
                 }
                 Delivery::Line { stream, no } => {
                     let event = &self.services[stream].events[no as usize - 1];
-                    assert!(!event.is_purge, "{} was told a purge as a line", place.name);
-                    // One that has just started is told of what was before, too.
-                    if no > place.reported[stream] {
+                    assert!(!event.is_purge, "{} received a purge as a line", host.name);
+                    // A host that has just started also receives earlier changes, which are not counted.
+                    if no > host.reported[stream] {
                         self.change_delays.saturating_record((now - event.at).as_micros());
-                        place.reported[stream] = no;
+                        host.reported[stream] = no;
                     }
                 }
             }
         }
-        if place.site.is_none() {
+        if host.site.is_none() {
             for stream in 0..REGIONS {
                 let done = hollow.feed.watermarks(stream).everywhere;
-                for no in place.reported[stream]..done {
+                for no in host.reported[stream]..done {
                     let at = self.services[stream].events[no as usize].at;
                     self.confirmation_delays.saturating_record((now - at).as_micros());
                 }
-                place.reported[stream] = place.reported[stream].max(done);
+                host.reported[stream] = host.reported[stream].max(done);
             }
         }
     }
 
-    /// What list services tell those who are connected, and who connects.
+    /// Opens and closes connections to discovery services and delivers events on them.
     fn update_connections(&mut self) {
         for i in self.active.clone() {
             let Some(hollow) = self.sim.actor(i) else {
@@ -375,13 +378,13 @@
             if self.sim.slots[i].stopped {
                 continue;
             }
-            let asked: Vec<bool> = (0..REGIONS).map(|s| hollow.feed.wants_connection(s)).collect();
-            if !asked.contains(&true) && self.hosts[i].connections.iter().all(Option::is_none) {
+            let wanted: Vec<bool> = (0..REGIONS).map(|s| hollow.feed.wants_connection(s)).collect();
+            if !wanted.contains(&true) && self.hosts[i].connections.iter().all(Option::is_none) {
                 self.active.remove(&i);
                 continue;
             }
-            for (stream, asks) in asked.into_iter().enumerate() {
-                self.update_connection(i, stream, asks);
+            for (stream, wants) in wanted.into_iter().enumerate() {
+                self.update_connection(i, stream, wants);
                 self.deliver_events(i, stream);
             }
             self.after_step(i);
@@ -389,33 +392,33 @@
     }
 
     fn can_reach(&self, i: usize, stream: usize) -> bool {
-        let (own, cuts) = (self.hosts[i].region, self.partitions.borrow());
-        own == stream || !(cuts.regions.contains(&own) || cuts.regions.contains(&stream))
+        let (own, partitions) = (self.hosts[i].region, self.partitions.borrow());
+        own == stream || !(partitions.regions.contains(&own) || partitions.regions.contains(&stream))
     }
 
-    fn update_connection(&mut self, i: usize, stream: usize, asks: bool) {
-        let (now, reach) = (self.sim.now, self.can_reach(i, stream));
-        let place = &mut self.hosts[i];
-        let mut ended = false;
-        match place.connections[stream] {
-            None if asks && place.reconnect_at[stream] <= now => {
+    fn update_connection(&mut self, i: usize, stream: usize, wants: bool) {
+        let (now, reachable) = (self.sim.now, self.can_reach(i, stream));
+        let host = &mut self.hosts[i];
+        let mut closed = false;
+        match host.connections[stream] {
+            None if wants && host.reconnect_at[stream] <= now => {
                 self.attempts += 1;
-                place.reconnect_at[stream] = now + RECONNECT_DELAY;
-                if reach {
+                host.reconnect_at[stream] = now + RECONNECT_DELAY;
+                if reachable {
                     self.connections += 1;
-                    let told = self.sim.actor(i).map_or(0, |h| h.feed.resume_after(stream)) as usize;
-                    place.connections[stream] = Some(Connection { sent: told, next_keepalive: now });
+                    let sent = self.sim.actor(i).map_or(0, |h| h.feed.resume_after(stream)) as usize;
+                    host.connections[stream] = Some(Connection { sent, next_keepalive: now });
                 } else {
-                    ended = true;
+                    closed = true;
                 }
             }
-            Some(_) if !asks || !reach => {
-                place.connections[stream] = None;
-                ended = true;
+            Some(_) if !wants || !reachable => {
+                host.connections[stream] = None;
+                closed = true;
             }
             _ => {}
         }
-        if ended {
+        if closed {
             self.sim.with_actor(i, |hollow, now| {
                 hollow.with_feed(now, |feed| feed.handle_disconnect(now, stream))
             });
@@ -423,28 +426,33 @@
     }
 
     fn deliver_events(&mut self, i: usize, stream: usize) {
-        let Some(Connection { sent: told, next_keepalive: pulse }) = self.hosts[i].connections[stream] else {
+        let Some(Connection { sent, next_keepalive }) = self.hosts[i].connections[stream] else {
             return;
         };
         let now = self.sim.now;
-        let way = if self.hosts[i].region == stream { LOCAL_DELAY } else { REMOTE_DELAY };
+        let delay = if self.hosts[i].region == stream { LOCAL_DELAY } else { REMOTE_DELAY };
         let events = &self.services[stream].events;
-        let come = told + events[told..].iter().take_while(|e| e.at + way <= now).count();
-        if come == told && now < pulse {
+        let deliverable = sent + events[sent..].iter().take_while(|e| e.at + delay <= now).count();
+        if deliverable == sent && now < next_keepalive {
             return;
         }
-        let lines = &events[told..come];
-        let whole = self.sim.with_actor(i, |hollow, own| {
+        let lines = &events[sent..deliverable];
+        let accepted = self.sim.with_actor(i, |hollow, own| {
             hollow.with_feed(own, |feed| {
                 for event in lines {
-                    feed.handle_line(own, stream, &event.line).expect("a line that fits");
+                    feed.handle_line(own, stream, &event.line).expect("valid line");
                 }
-                now < pulse || feed.handle_last(own, stream, come as u64)
+                now < next_keepalive || feed.handle_last(own, stream, deliverable as u64)
             })
         });
-        assert_eq!(whole, Some(true), "{} was told all of {stream}", self.hosts[i].name);
-        let pulse = if now >= pulse { now + KEEPALIVE_INTERVAL } else { pulse };
-        self.hosts[i].connections[stream] = Some(Connection { sent: come, next_keepalive: pulse });
+        assert_eq!(
+            accepted,
+            Some(true),
+            "{} rejected the last sequence number of stream {stream}",
+            self.hosts[i].name
+        );
+        let next_keepalive = if now >= next_keepalive { now + KEEPALIVE_INTERVAL } else { next_keepalive };
+        self.hosts[i].connections[stream] = Some(Connection { sent: deliverable, next_keepalive });
     }
 
     pub fn run_for(&mut self, span: Span) {
@@ -461,7 +469,7 @@
                 self.update_connections();
             }
             if all > 0.0 && self.sim.now >= self.next_event {
-                // Between two events of a Poisson stream.
+                // Exponentially distributed interval of a Poisson process.
                 let gap = -self.rng.random_range(f64::MIN_POSITIVE..1.0f64).ln() / all;
                 self.next_event = self.next_event.max(self.sim.now) + Span::from_secs_f64(gap);
                 let stream = self.rng.random_range(0..REGIONS);
@@ -474,29 +482,30 @@
         }
     }
 
-    /// Each live gateway knows all numbers of all streams, and has done each followed purge and each other change.
+    /// Checks that every live gateway is at the last position of every stream and has applied all tracked purges and all
+    /// other changes.
     pub fn check_delivered(&self) -> Result<(), String> {
         let lasts: Vec<u64> = self.services.iter().map(|s| s.events.len() as u64).collect();
         for (i, hollow) in self.sim.live() {
-            let place = &self.hosts[i];
+            let host = &self.hosts[i];
             for (stream, last) in lasts.iter().enumerate() {
                 let at = hollow.feed.position(stream);
                 if at != *last {
-                    return Err(format!("{} is at {at} of {last} in stream {stream}", place.name));
+                    return Err(format!("{} is at {at} of {last} in stream {stream}", host.name));
                 }
                 let change = self.services[stream].events.iter().rposition(|e| !e.is_purge);
-                if place.site.is_some() && change.is_some_and(|n| place.reported[stream] < n as u64 + 1) {
-                    return Err(format!("{} was not told the last change of stream {stream}", place.name));
+                if host.site.is_some() && change.is_some_and(|n| host.reported[stream] < n as u64 + 1) {
+                    return Err(format!("{} has not received the last change of stream {stream}", host.name));
                 }
             }
-            if place.site.is_some() && place.first_pending != self.tracked.len() {
-                return Err(format!("{} has not done a purge that was followed", place.name));
+            if host.site.is_some() && host.first_pending != self.tracked.len() {
+                return Err(format!("{} has not applied a tracked purge", host.name));
             }
         }
         Ok(())
     }
 
-    /// Whether a hub holds all of it to be done everywhere.
+    /// Whether any hub has confirmed that all changes are applied everywhere.
     pub fn all_confirmed(&self) -> bool {
         let lasts = self.services.iter().map(|s| s.events.len() as u64).enumerate();
         let known = |h: usize| {
--- a/scale/src/hollow.rs
+++ b/scale/src/hollow.rs
@@ -1,5 +1,7 @@
-//! A hollow gateway: the real cores of its site's membership and of the feed without sockets, clock or txns, so that
-//! thousands fit in one process. Must never do in a core's place what the gateway's host would not do.
+//! Hollow gateways: the real membership and feed cores without sockets, clock or txns, so that thousands of them fit into
+//! one process.
+//!
+//! Invariant: a hollow gateway drives the cores exactly as a real gateway's host does.
 
 use crate::sim::{Actor, Usage};
 use cpu_time::ThreadTime;
@@ -11,7 +13,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What the gateway's module is told.
+/// A change that a real gateway would pass on to its routing module.
 #[derive(Clone, Debug)]
 pub enum Delivery {
     Purge { names: PrefixSet, issued_ms: u64 },
@@ -19,12 +21,12 @@
 }
 
 pub struct HollowGateway {
-    /// Its part in its site; none at a hub.
+    /// Membership node of the site; `None` at a hub.
     pub node: Option<Node>,
     pub feed: Feed,
-    /// Of the feed alone; the network notes the sum of both.
+    /// Usage of the feed alone; the network records the sum of feed and membership.
     pub usage: Usage,
-    /// Notes the feed's processor time.
+    /// Whether the feed's processor time is recorded.
     pub measure_cpu: bool,
     pub deliveries: Vec<Delivery>,
     members_version: u64,
@@ -48,16 +50,16 @@
         }
     }
 
-    /// Has the feed do something; its time is noted apart.
+    /// Calls `act` on the feed and records its processor time.
     pub fn with_feed<T>(&mut self, now: Time, act: impl FnOnce(&mut Feed) -> T) -> T {
-        let begun = self.measure_cpu.then(ThreadTime::now);
-        let given = act(&mut self.feed);
+        let started = self.measure_cpu.then(ThreadTime::now);
+        let result = act(&mut self.feed);
         self.feed_wake = self.feed.next_wake(now);
-        self.usage.cpu_time += begun.map_or(Duration::ZERO, |b| b.elapsed());
-        given
+        self.usage.cpu_time += started.map_or(Duration::ZERO, |b| b.elapsed());
+        result
     }
 
-    /// The feed is told who is live whenever that changes.
+    /// Passes the live members to the feed whenever the membership has changed.
     fn update_members(&mut self, now: Time) {
         let Some(node) = &self.node else { return };
         self.node_wake = node.next_wake(now);
@@ -65,11 +67,11 @@
             return;
         }
         self.members_version = node.members.version;
-        let begun = self.measure_cpu.then(ThreadTime::now);
+        let started = self.measure_cpu.then(ThreadTime::now);
         let live = node.members.others().map(|(name, known)| (&**name, known.address));
         self.feed.set_members(now, live);
         self.feed_wake = self.feed.next_wake(now);
-        self.usage.cpu_time += begun.map_or(Duration::ZERO, |b| b.elapsed());
+        self.usage.cpu_time += started.map_or(Duration::ZERO, |b| b.elapsed());
     }
 
     fn drain(&mut self) {
@@ -88,7 +90,7 @@
                 }
             }
         }
-        // Nobody relays a list nor lends budgets here.
+        // Outputs other than datagrams are ignored: relays and budgets are not used here.
         while let Some(out) = self.node.as_mut().and_then(Node::poll) {
             if let Output::Datagram(to, bytes) = out {
                 self.datagrams.push_back((to, bytes));
--- a/scale/src/loopback.rs
+++ b/scale/src/loopback.rs
@@ -1,6 +1,7 @@
-//! Hollow gateways in real time, each with its own UDP socket and thread: what a process of them serves, and an
-//! installation of such processes, real gateways, real hubs and stand-ins of list services on loopback. Must never open
-//! a socket outside of 127.0.0.0/8.
+//! Hollow gateways in real time, each with its own UDP socket and thread: the server process that hosts them, and the load
+//! test that runs several such processes with real gateways, real hubs and mock discovery services on loopback.
+//!
+//! Invariant: no socket is opened outside of 127.0.0.0/8.
 
 use crate::benchmarks::group::{Run, SeriesGroup};
 use crate::fleet_net::delay_histogram;
@@ -35,9 +36,9 @@
 const HUBS: usize = 2;
 const STREAMS: usize = 3;
 const PURGES_PER_S: u64 = 150;
-/// One in so many purges is followed by its name.
+/// One in this many purges is tracked at each hollow gateway by its hash.
 const TRACKED_PURGE_INTERVAL: u64 = 10;
-/// Hollow gateways of one process.
+/// Maximum number of hollow gateways in one process.
 const HOLLOW_PER_PROCESS: usize = 100;
 const MAX_DATAGRAM_BYTES: usize = 2_048;
 const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(60);
@@ -50,7 +51,7 @@
     Json(#[from] serde_json::Error),
     #[error("{0}")]
     Config(String),
-    #[error("{0} is not at a socket of 127.0.0.0/8")]
+    #[error("listen address {0} is not within 127.0.0.0/8")]
     NotLoopback(SocketAddr),
     #[error("{0}")]
     NotConverged(String),
@@ -60,16 +61,16 @@
     SystemTime::UNIX_EPOCH.elapsed().map_or(0, |d| d.as_micros() as u64)
 }
 
-// A process of hollow gateways.
+// Server process of hollow gateways.
 
-/// A purge that is followed: its name, when it was told, and as of when it holds.
+/// A tracked purge: its hash and the time of its publication.
 #[derive(Clone, Copy)]
 struct TrackedPurge {
     hash: u64,
-    told_us: u64,
+    published_us: u64,
 }
 
-/// What one of them has to say in the end.
+/// Final report of one hollow gateway.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct HollowReport {
     pub name: String,
@@ -80,14 +81,14 @@
     pub datagrams_in: u64,
     pub datagrams_out: u64,
     pub processor_us: u64,
-    /// Delays in us, and how many there were of each.
+    /// Histogram of delays: pairs of delay in us and count.
     pub delays: Vec<(u64, u64)>,
 }
 
 #[derive(Default)]
 struct Shared {
     tracked: RwLock<Vec<TrackedPurge>>,
-    /// Counts up at each command; the last one ends them.
+    /// Incremented at each `begin`, which resets the counters; `STOP` or more ends the threads.
     generation: AtomicU32,
     reports: Mutex<Vec<HollowReport>>,
 }
@@ -113,7 +114,10 @@
         let (run, mut rng) = (rand::rng().random(), rand::rng());
         let node =
             Node::new(file, run, rng.random(), now, 0, &[]).map_err(|e| Error::Config(e.to_string()))?;
-        let of = file.feed.as_ref().ok_or_else(|| Error::Config(format!("{}: no feed", file.gateway)))?;
+        let of = file
+            .feed
+            .as_ref()
+            .ok_or_else(|| Error::Config(format!("{}: settings have no feed", file.gateway)))?;
         let feed = Feed::new(of, &file.keys, &file.gateway, run, rng.random(), now)
             .map_err(|e| Error::Config(e.to_string()))?;
         let mut hollow = HollowGateway::new(now, Some(node), feed);
@@ -127,47 +131,47 @@
         while let Some((to, bytes)) = self.hollow.poll_datagram() {
             self.total.datagrams_out += 1;
             self.total.bytes_out += bytes.len() as u64;
-            // What the system doesn't take is lost on the way.
+            // A datagram that the system does not accept counts as lost.
             _ = self.socket.send_to(&bytes, to);
         }
         let at = unix_us();
-        for told in std::mem::take(&mut self.hollow.deliveries) {
-            let Delivery::Purge { names, .. } = told else { continue };
-            let followed = shared.tracked.read().expect("no writer fails");
-            self.done.resize(followed.len(), false);
-            for (follow, done) in followed.iter().zip(&mut self.done).skip(self.first_pending) {
-                if !*done && names.contains(follow.hash) {
+        for delivery in std::mem::take(&mut self.hollow.deliveries) {
+            let Delivery::Purge { names, .. } = delivery else { continue };
+            let tracked = shared.tracked.read().expect("no writer panics");
+            self.done.resize(tracked.len(), false);
+            for (purge, done) in tracked.iter().zip(&mut self.done).skip(self.first_pending) {
+                if !*done && names.contains(purge.hash) {
                     *done = true;
-                    self.delays.saturating_record(at.saturating_sub(follow.told_us));
+                    self.delays.saturating_record(at.saturating_sub(purge.published_us));
                 }
             }
             self.first_pending += self.done[self.first_pending..].iter().take_while(|d| **d).count();
         }
     }
 
-    /// Serves until it is told to end.
+    /// Serves until `generation` reaches `STOP`.
     fn run(mut self, shared: &Shared) -> HollowReport {
-        let mut begun = 0;
+        let mut seen = 0;
         let mut bytes = [0; MAX_DATAGRAM_BYTES];
         loop {
             let command = shared.generation.load(Ordering::Relaxed);
             if command >= STOP {
                 break;
             }
-            if command != begun {
-                begun = command;
+            if command != seen {
+                seen = command;
                 (self.total, self.hollow.usage) = (Usage::default(), Usage::default());
                 self.delays.reset();
             }
             let at = now(self.clock);
-            let wake = self.hollow.next_wake(at);
-            if wake <= at {
+            let next_wake = self.hollow.next_wake(at);
+            if next_wake <= at {
                 self.hollow.tick(at);
                 self.flush(shared);
                 continue;
             }
-            let most = Duration::from_micros((wake - at).as_micros().clamp(1_000, 100_000));
-            _ = self.socket.set_read_timeout(Some(most));
+            let timeout = Duration::from_micros((next_wake - at).as_micros().clamp(1_000, 100_000));
+            _ = self.socket.set_read_timeout(Some(timeout));
             match self.socket.recv_from(&mut bytes) {
                 Ok((n, from)) => {
                     self.total.datagrams_in += 1;
@@ -179,8 +183,8 @@
                 Err(_) => thread::sleep(Duration::from_millis(1)),
             }
         }
-        let followed = shared.tracked.read().map_or(0, |f| f.len());
-        self.done.resize(followed, false);
+        let tracked = shared.tracked.read().map_or(0, |f| f.len());
+        self.done.resize(tracked, false);
         let file = self.hollow.node.as_ref().map_or(String::new(), |n| n.members.name.to_string());
         HollowReport {
             name: file,
@@ -204,24 +208,24 @@
     Time::from_micros(1_000_000_000) + Span::from_micros(clock.elapsed().as_micros() as u64)
 }
 
-/// Serves the gateways of a file (a list of fleet files, each with a `feed`). Commands on standard input: `OBJECT US` a
-/// purge that is followed and when it was told, `begin` to count from now on; its end ends them, and each says what it
-/// has seen on standard output as a list in JSON.
+/// Serves the gateways of a file, which holds a list of fleet settings, each with a `feed`. Commands are read from standard
+/// input: `OBJECT US` tracks a purge that was published at that Unix time, `begin` restarts the measurement. At the end of
+/// input all gateways stop, and their reports are printed to standard output as a JSON list.
 pub fn serve(files: &Path) -> Result<(), Error> {
     let all: Vec<Value> = serde_json::from_str(&std::fs::read_to_string(files)?)?;
     let (clock, shared) = (Instant::now(), Arc::new(Shared::default()));
-    let mut ones = Vec::new();
+    let mut servers = Vec::new();
     for file in all {
         let file = Fleet::read(&file.to_string()).map_err(|e| Error::Config(e.to_string()))?;
-        ones.push(HollowServer::new(&file, clock)?);
+        servers.push(HollowServer::new(&file, clock)?);
     }
     let mut threads = Vec::new();
-    for one in ones {
+    for server in servers {
         let shared = Arc::clone(&shared);
         let builder = thread::Builder::new().stack_size(512 * 1_024);
         threads.push(builder.spawn(move || {
-            let said = one.run(&shared);
-            shared.reports.lock().expect("none fails").push(said);
+            let report = server.run(&shared);
+            shared.reports.lock().expect("no thread panics").push(report);
         })?);
     }
     for line in io::stdin().lock().lines() {
@@ -230,32 +234,32 @@
             shared.generation.fetch_add(1, Ordering::Relaxed);
             continue;
         }
-        let (object, told_us) = line.split_once(' ').unwrap_or_default();
-        if let (Ok(object), Ok(told_us)) = (object.parse(), told_us.parse()) {
-            let follow = TrackedPurge { hash: object_hash(object), told_us };
-            shared.tracked.write().expect("no reader fails").push(follow);
+        let (object, published_us) = line.split_once(' ').unwrap_or_default();
+        if let (Ok(object), Ok(published_us)) = (object.parse(), published_us.parse()) {
+            let purge = TrackedPurge { hash: object_hash(object), published_us };
+            shared.tracked.write().expect("no reader panics").push(purge);
         }
     }
     shared.generation.store(STOP, Ordering::Relaxed);
     for thread in threads {
         _ = thread.join();
     }
-    let mut said = std::mem::take(&mut *shared.reports.lock().expect("none fails"));
-    said.sort_by(|a, b| a.name.cmp(&b.name));
-    println!("{}", serde_json::to_string(&said)?);
+    let mut reports = std::mem::take(&mut *shared.reports.lock().expect("no thread panics"));
+    reports.sort_by(|a, b| a.name.cmp(&b.name));
+    println!("{}", serde_json::to_string(&reports)?);
     Ok(())
 }
 
-// An installation of them.
+// Load test with several server processes.
 
 pub struct Options {
-    /// The program `kelpcart`, and the one that has the command `hollow`.
+    /// The `kelpcart` binary, and the binary with the subcommand `hollow`.
     pub kelpcart: PathBuf,
     pub hollow: PathBuf,
     pub folder: PathBuf,
     pub seed: u64,
     pub sizes: Vec<usize>,
-    /// Gateways of these that are real processes, one a site.
+    /// Maximum number of real gateway processes, one per site.
     pub real: usize,
     pub span: Duration,
 }
@@ -279,7 +283,7 @@
 impl Drop for Installation {
     fn drop(&mut self) {
         for child in &mut self.hollow {
-            // It fails only where it has ended already.
+            // Fails only if the process has already ended.
             _ = child.kill();
             _ = child.wait();
         }
@@ -293,7 +297,7 @@
         let sites = n.div_ceil(GATEWAYS_PER_SITE);
         let hubs: Vec<Value> = (0..HUBS)
             .map(|h| {
-                let pair = Ed25519KeyPair::from_seed_unchecked(&hub_secret(h)).expect("a seed");
+                let pair = Ed25519KeyPair::from_seed_unchecked(&hub_secret(h)).expect("valid seed");
                 let public = hex(pair.public_key().as_ref());
                 json!({"name": format!("h{h}"), "address": place(n + h).to_string(), "public": public})
             })
@@ -316,18 +320,18 @@
         let all: Vec<Value> = (0..n)
             .map(|i| file(i, format!("g{i}"), format!("site{}", site_of(i)), first_of(site_of(i))))
             .collect();
-        let mut made = Installation {
+        let mut installation = Installation {
             discovery: lists,
             hubs: Vec::new(),
             real: Vec::new(),
             hollow: Vec::new(),
             gateways: n,
         };
-        let spawn = |name: &str, file: &Value, made: &Installation| {
+        let spawn = |name: &str, file: &Value, installation: &Installation| {
             let node = fleet::Node {
                 name,
                 zone: "hub",
-                bulletin: made.discovery[0].address,
+                bulletin: installation.discovery[0].address,
                 places: &[],
                 memory_mb: 64,
                 seed: o.seed,
@@ -335,18 +339,18 @@
             Process::spawn(&o.kelpcart, &o.folder, name, &fleet::config(&node), Some(file))
         };
         for h in 0..HUBS {
-            let mut own = file(n + h, format!("h{h}"), "control".to_owned(), 0);
+            let mut settings = file(n + h, format!("h{h}"), "control".to_owned(), 0);
             let named: Vec<String> = (0..sites).map(|s| format!("site{s}")).collect();
-            own["seeds"] = json!([]);
-            own["feed"]["control"] =
+            settings["seeds"] = json!([]);
+            settings["feed"]["control"] =
                 json!({"name": format!("h{h}"), "secret": hex(&hub_secret(h)), "sites": named});
-            made.hubs.push(spawn(&format!("h{h}"), &own, &made)?);
+            installation.hubs.push(spawn(&format!("h{h}"), &settings, &installation)?);
         }
-        // One real gateway a site, the last of it.
+        // The last gateway of each site is a real one.
         let last_of = |site: usize| (0..n).rfind(|&i| site_of(i) == site).unwrap_or(0);
         let real: Vec<usize> = (0..sites.min(o.real)).map(last_of).collect();
         for &i in &real {
-            made.real.push(spawn(&format!("g{i}"), &all[i], &made)?);
+            installation.real.push(spawn(&format!("g{i}"), &all[i], &installation)?);
         }
         let hollow: Vec<&Value> = (0..n).filter(|i| !real.contains(i)).map(|i| &all[i]).collect();
         for (p, files) in hollow.chunks(HOLLOW_PER_PROCESS).enumerate() {
@@ -354,17 +358,17 @@
             std::fs::write(&path, json!(files).to_string())?;
             let mut command = Command::new(&o.hollow);
             command.arg("hollow").arg("--files").arg(&path);
-            made.hollow.push(command.stdin(Stdio::piped()).stdout(Stdio::piped()).spawn()?);
+            installation.hollow.push(command.stdin(Stdio::piped()).stdout(Stdio::piped()).spawn()?);
         }
-        Ok(made)
+        Ok(installation)
     }
 
     fn counters(&self, of: &Process) -> BTreeMap<String, f64> {
         let count = |log: &str| log.lines().filter(|l| l.contains("now: clients")).count();
         let before = count(&of.log());
         _ = fleet::signal("USR1", &[of.id()]);
-        let began = Instant::now();
-        while count(&of.log()) == before && began.elapsed() < Duration::from_secs(5) {
+        let started = Instant::now();
+        while count(&of.log()) == before && started.elapsed() < Duration::from_secs(5) {
             thread::sleep(Duration::from_millis(10));
         }
         of.log().lines().rfind(|l| l.contains("now: clients")).map(fleet::counters).unwrap_or_default()
@@ -379,7 +383,7 @@
         Ok(())
     }
 
-    /// Whether a hub holds all that was told to be done everywhere.
+    /// Whether any hub has confirmed that all published changes are applied everywhere.
     fn is_converged(&self) -> bool {
         let done = |c: &BTreeMap<String, f64>| {
             let mut all = self.discovery.iter().enumerate();
@@ -389,11 +393,11 @@
     }
 
     fn wait_converged(&self, what: &str) -> Result<(), Error> {
-        let began = Instant::now();
+        let started = Instant::now();
         while !self.is_converged() {
-            if began.elapsed() > CONVERGENCE_TIMEOUT {
+            if started.elapsed() > CONVERGENCE_TIMEOUT {
                 return Err(Error::NotConverged(format!(
-                    "{what}: no hub holds all of {} to be done",
+                    "{what}: no hub has confirmed all changes at all {} gateways",
                     self.gateways
                 )));
             }
@@ -403,35 +407,35 @@
     }
 
     fn purge(&mut self, rng: &mut Pcg64Mcg, span: Duration) -> io::Result<()> {
-        let (began, mut no) = (Instant::now(), 0);
-        while began.elapsed() < span {
+        let (started, mut sent) = (Instant::now(), 0);
+        while started.elapsed() < span {
             let object: u64 = rng.random();
-            let told = unix_us();
-            self.discovery[rng.random_range(0..STREAMS)].purge(object, told / 1_000);
-            if no % TRACKED_PURGE_INTERVAL == 0 {
-                self.command(&format!("{object} {told}"))?;
+            let published = unix_us();
+            self.discovery[rng.random_range(0..STREAMS)].purge(object, published / 1_000);
+            if sent % TRACKED_PURGE_INTERVAL == 0 {
+                self.command(&format!("{object} {published}"))?;
             }
-            no += 1;
-            let due = Duration::from_micros(no * 1_000_000 / PURGES_PER_S);
-            thread::sleep(due.saturating_sub(began.elapsed()));
+            sent += 1;
+            let due = Duration::from_micros(sent * 1_000_000 / PURGES_PER_S);
+            thread::sleep(due.saturating_sub(started.elapsed()));
         }
         Ok(())
     }
 }
 
 fn run(o: &Options, n: usize, net: u8) -> Result<Run, Error> {
-    let began = Instant::now();
+    let started = Instant::now();
     let mut all = Installation::start(o, n, net)?;
     let mut rng = Pcg64Mcg::seed_from_u64(o.seed);
     all.purge(&mut rng, Duration::from_millis(500))?;
     all.wait_converged("at the start")?;
-    let start = Span::from_micros(began.elapsed().as_micros() as u64);
+    let start = Span::from_micros(started.elapsed().as_micros() as u64);
     all.purge(&mut rng, Duration::from_secs(2))?;
     let before: Vec<_> = all.real.iter().map(|r| all.counters(r)).collect();
     all.command("begin")?;
     let from = Instant::now();
     all.purge(&mut rng, o.span)?;
-    let over = Span::from_micros(from.elapsed().as_micros() as u64);
+    let duration = Span::from_micros(from.elapsed().as_micros() as u64);
     let after: Vec<_> = all.real.iter().map(|r| all.counters(r)).collect();
     all.wait_converged("at the end")?;
     for r in &all.real {
@@ -441,35 +445,39 @@
         };
         if !all.discovery.iter().enumerate().all(at) {
             return Err(Error::NotConverged(format!(
-                "a real gateway is not at the last numbers: {}",
+                "a real gateway has not reached the last stream positions: {}",
                 r.log()
             )));
         }
     }
-    let mut said: Vec<HollowReport> = Vec::new();
+    let mut reports: Vec<HollowReport> = Vec::new();
     for child in &mut all.hollow {
         drop(child.stdin.take());
         let Some(output) = child.stdout.take() else { continue };
         let mut line = String::new();
         BufReader::new(output).read_line(&mut line)?;
-        said.extend(serde_json::from_str::<Vec<HollowReport>>(&line)?);
+        reports.extend(serde_json::from_str::<Vec<HollowReport>>(&line)?);
     }
     let lasts: Vec<u64> = all.discovery.iter().map(Bulletin::last).collect();
-    let wrong = said.iter().find(|s| s.positions != lasts || s.missing > 0);
-    let told = wrong.map_or(Ok(()), |s| {
-        Err(format!("{} is at {:?} of {lasts:?}, {} purges were not done", s.name, s.positions, s.missing))
+    let lagging = reports.iter().find(|r| r.positions != lasts || r.missing > 0);
+    let converged = lagging.map_or(Ok(()), |s| {
+        Err(format!(
+            "{} is at {:?} of {lasts:?}, {} tracked purges were not applied",
+            s.name, s.positions, s.missing
+        ))
     });
     let mut delays = delay_histogram();
-    said.iter().flat_map(|s| &s.delays).for_each(|(us, n)| _ = delays.record_n(*us, *n));
-    let spent: Vec<Usage> = said.iter().map(Usage::from).collect();
+    reports.iter().flat_map(|s| &s.delays).for_each(|(us, n)| _ = delays.record_n(*us, *n));
+    let usage: Vec<Usage> = reports.iter().map(Usage::from).collect();
     let real = |what: &str| {
         let names = [format!("fleet {what}"), format!("fleet feed {what}")];
         let of = |c: &BTreeMap<String, f64>| names.iter().filter_map(|n| c.get(n)).sum::<f64>();
         let all: f64 = after.iter().zip(&before).map(|(a, b)| of(a) - of(b)).sum();
-        all / after.len().max(1) as f64 / over.as_secs_f64()
+        all / after.len().max(1) as f64 / duration.as_secs_f64()
     };
-    let more = vec![("real-bytes-in", "B/s", real("bytes in")), ("real-bytes-out", "B/s", real("bytes out"))];
-    Ok(Run { usage: spent, duration: over, delays, memory: 0.0, start, converged: told, extra: more })
+    let extra =
+        vec![("real-bytes-in", "B/s", real("bytes in")), ("real-bytes-out", "B/s", real("bytes out"))];
+    Ok(Run { usage, duration, delays, memory: 0.0, start, converged, extra })
 }
 
 impl From<&HollowReport> for Usage {
@@ -484,8 +492,8 @@
     }
 }
 
-/// Hollow gateways beside some real ones, at growing sizes. Counts are of the feed and of membership, of the hollow ones
-/// unless the ladder's name says `real`.
+/// Measures hollow gateways together with some real ones at growing sizes. Traffic covers feed and membership; it is that of
+/// the hollow gateways unless the series' id contains `real`.
 pub fn loopback(o: &Options) -> Result<Vec<Series>, Error> {
     std::fs::create_dir_all(&o.folder)?;
     let mut by = SeriesGroup::new(
