--- a/scale/src/benchmarks/data_path.rs
+++ b/scale/src/benchmarks/data_path.rs
@@ -1,6 +1,7 @@
-//! What one core of the program carries: the real `kelpcart` process on loopback between the rig's stand-ins, at growing
-//! rates and sizes, with the target's list and purges. Owns the process and the clients' pace. Must never take a figure
-//! for the gateway's where the stand-ins were late themselves, nor leave anything running.
+//! Throughput of one core: runs the real `kelpcart` process on loopback between the rig's mock clients and caches at growing
+//! rates and object sizes, with a cache list and purge rate as at the target.
+//!
+//! Invariants: a limit of the load generator is never attributed to the gateway; no process outlives the benchmark.
 
 use crate::benchmarks::module::{SeriesHead, sample};
 use crate::slopes::{Host, Sample, Series};
@@ -23,26 +24,27 @@
 const CACHES: usize = 37;
 const OTHER_ZONE_CACHES: usize = 1_063;
 const PURGES_PER_S: u64 = 150;
-/// Each has a bound on what it may have open.
+/// Client connections; the txns in flight on each are limited.
 const CONNECTIONS: u32 = 48;
 const OBJECTS: u64 = 2_000;
 const OBJECT_KB: u64 = 120;
 const CLIENT_LIMIT_MS: u64 = 3_000;
-/// Answers are still waited for so long after the last request.
+/// Time for which responses are awaited after the last request.
 const DRAIN_TIME: Duration = Duration::from_millis(500);
 const RESPONSE_TIMES: Times =
     Times { hit: Duration::from_millis(2), fill: Duration::from_millis(2), origin: Duration::from_millis(5) };
-/// A rate is carried where nearly all is served, nearly all of that by then.
+/// A rate is sustained if at least this ratio of txns is served.
 const MIN_SERVED_RATIO: f64 = 0.99;
+/// A rate is sustained if the 99th percentile of the delay does not exceed this.
 const MAX_P99_MS: f64 = 100.0;
-/// The stand-ins are late themselves beyond this.
+/// Lateness above which the load generator itself counts as the bottleneck.
 const MAX_GENERATOR_LATE_MS: f64 = 20.0;
 const COMMAND: &str = "cargo build --release -p kelpcart-gateway && \
     cargo run --release -p kelpcart-scale -- measure --only data-path --json FILE";
 
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    #[error("there is no `kelpcart` beside this program: {0}")]
+    #[error("no `kelpcart` binary next to this program: {0}")]
     BinaryNotFound(PathBuf),
     #[error("{0}")]
     Io(#[from] io::Error),
@@ -50,7 +52,7 @@
     Gateway(#[from] fleet::Failed),
 }
 
-/// An object's size stands in its number.
+/// Returns an object id that encodes the object's size.
 fn object(kb: u64, n: u64) -> u64 {
     kb << 32 | n
 }
@@ -59,7 +61,7 @@
     ((object >> 32) as usize * 1_024).min(MOST_BODY)
 }
 
-/// The program beside this one, or one folder up, where tests run.
+/// Finds the `kelpcart` binary next to this one, or one directory up when run from a test.
 fn gateway_binary() -> Result<PathBuf, Error> {
     let own = std::env::current_exe()?;
     let beside = own.with_file_name("kelpcart");
@@ -68,7 +70,7 @@
     found.ok_or(Error::BinaryNotFound(beside))
 }
 
-/// All that stands round one gateway; it ends with the value.
+/// A gateway process with its mock environment. Everything is stopped on drop.
 struct Testbed {
     gateway: Gateway,
     site: Arc<Site>,
@@ -98,7 +100,7 @@
         if let Some(list) =
             config.pointer_mut("/known/items/0/roster/endpoints").and_then(|l| l.as_array_mut())
         {
-            // Listed, and of another zone: nothing is sent there.
+            // Caches of another zone are listed only; no txns are sent to them.
             let of = places[0].address;
             let other = |i: usize| Place { name: format!("other-{i}"), kind: "box", address: of };
             list.extend((0..OTHER_ZONE_CACHES).map(|i| fleet::endpoint(&other(i), "elsewhere", "up")));
@@ -107,18 +109,18 @@
         let folder = std::env::temp_dir().join(format!("kelpcart-scale-{}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         let gateway = Gateway::start(&program, &folder, &config, None)?;
-        let ends = Arc::<AtomicBool>::default();
-        let stops = Arc::clone(&ends);
+        let stop = Arc::<AtomicBool>::default();
+        let purger_stop = Arc::clone(&stop);
         let purger = thread::spawn(move || {
             let mut n = 0;
-            while !stops.load(Ordering::Relaxed) {
-                // Objects that nobody asks for: what is measured is what a purge costs, not what its fills do.
+            while !purger_stop.load(Ordering::Relaxed) {
+                // Purges objects that are never requested, so that the cost of purges is measured without that of refills.
                 bulletin.purge(object(1, OBJECTS + n), unix_ms());
                 n += 1;
                 thread::sleep(Duration::from_secs(1) / PURGES_PER_S as u32);
             }
         });
-        Ok(Testbed { gateway, site, stop: ends, folder, purger: Some(purger) })
+        Ok(Testbed { gateway, site, stop, folder, purger: Some(purger) })
     }
 }
 
@@ -127,13 +129,13 @@
         self.gateway.kill();
         self.site.end();
         self.stop.store(true, Ordering::Relaxed);
-        // Neither is of use to anyone once the run is over.
+        // Errors are ignored: the results of both are no longer needed.
         _ = self.purger.take().map(thread::JoinHandle::join);
         _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// One rate at one size for a time.
+/// Load at one rate and object size.
 #[derive(Clone, Copy)]
 struct Load {
     per_s: f64,
@@ -155,7 +157,7 @@
 
 #[derive(Default)]
 struct Responses {
-    /// From when it was due to its last byte, in ms.
+    /// Times from the scheduled start of a request to the last byte of its response, in ms.
     delays: Vec<f64>,
     refused: usize,
 }
@@ -165,13 +167,14 @@
     served_per_s: f64,
     refused: usize,
     mb_per_s: f64,
-    /// Of the gateway, us a second; and us a second in which it could have run and had no processor.
+    /// Processor time of the gateway.
     cpu_us_per_s: f64,
+    /// Time in which the gateway was runnable but had no processor.
     wait_us_per_s: f64,
-    /// Of the stand-ins, cores.
+    /// Processor use of the load generator, in cores.
     generator_cores: f64,
     generator_late_ms: f64,
-    /// Open to caches, those that rest among them.
+    /// Connections to caches, including idle ones.
     hop_connections: f64,
     delays: Vec<f64>,
 }
@@ -217,7 +220,7 @@
     }
 }
 
-/// Seconds for which the threads of a process could have run and had no processor, by what the machine says.
+/// Returns the total run-queue wait of a process's threads in seconds, from `/proc/PID/task/*/schedstat`.
 fn run_queue_wait_s(id: u32) -> f64 {
     let of = |path: PathBuf| {
         let text = std::fs::read_to_string(path.join("schedstat")).unwrap_or_default();
@@ -227,15 +230,16 @@
     tasks.map(|task| of(task.path())).sum::<f64>() / 1e9
 }
 
-/// Sends each request, counted from 1, when it is due, whatever has become of the others; gives the longest lateness.
-fn send(mut stream: TcpStream, began: Instant, load: Load, first: u32) -> io::Result<Duration> {
+/// Sends each request at its scheduled time regardless of outstanding responses (open loop). Request ids start at 1. Returns
+/// the maximum lateness.
+fn send(mut stream: TcpStream, started: Instant, load: Load, first: u32) -> io::Result<Duration> {
     let mut rng = Pcg64Mcg::seed_from_u64(load.seed ^ u64::from(first) << 32);
-    let mut late = Duration::ZERO;
+    let mut max_late = Duration::ZERO;
     for id in (first..load.end_id()).step_by(CONNECTIONS as usize) {
         let due = load.due_at(id);
-        thread::sleep(due.saturating_sub(began.elapsed()));
+        thread::sleep(due.saturating_sub(started.elapsed()));
         if due >= load.warm_up {
-            late = late.max(began.elapsed().saturating_sub(due));
+            max_late = max_late.max(started.elapsed().saturating_sub(due));
         }
         let object = object(load.kb, rng.random_range(0..OBJECTS));
         let trace = rng.random();
@@ -243,13 +247,13 @@
         let ask = Ask { id, rule, trace, object, timeout_ms: CLIENT_LIMIT_MS, need_kb, body };
         stream.write_all(&client::request(&ask))?;
     }
-    Ok(late)
+    Ok(max_late)
 }
 
-fn receive(mut stream: TcpStream, began: Instant, load: Load) -> io::Result<Responses> {
-    let (mut heard, mut held, mut used) = (Responses::default(), vec![0; 1 << 20], 0..0);
-    let ends = load.warm_up + load.duration + DRAIN_TIME;
-    while let Some(left) = ends.checked_sub(began.elapsed()).filter(|left| !left.is_zero()) {
+fn receive(mut stream: TcpStream, started: Instant, load: Load) -> io::Result<Responses> {
+    let (mut responses, mut held, mut used) = (Responses::default(), vec![0; 1 << 20], 0..0);
+    let end = load.warm_up + load.duration + DRAIN_TIME;
+    while let Some(left) = end.checked_sub(started.elapsed()).filter(|left| !left.is_zero()) {
         stream.set_read_timeout(Some(left))?;
         if used.end == held.len() {
             held.copy_within(used.clone(), 0);
@@ -269,17 +273,17 @@
             if due < load.warm_up {
                 continue;
             } else if whole {
-                heard.delays.push(began.elapsed().saturating_sub(due).as_secs_f64() * 1e3);
+                responses.delays.push(started.elapsed().saturating_sub(due).as_secs_f64() * 1e3);
             } else {
-                heard.refused += 1;
+                responses.refused += 1;
             }
         }
     }
-    Ok(heard)
+    Ok(responses)
 }
 
-fn run_load(stand: &Testbed, load: Load) -> Result<LoadResult, Error> {
-    let address: SocketAddr = stand.gateway.address;
+fn run_load(testbed: &Testbed, load: Load) -> Result<LoadResult, Error> {
+    let address: SocketAddr = testbed.gateway.address;
     let streams: Vec<TcpStream> = (0..CONNECTIONS)
         .map(|_| {
             let stream = TcpStream::connect(address)?;
@@ -287,30 +291,30 @@
             Ok(stream)
         })
         .collect::<io::Result<_>>()?;
-    let began = Instant::now();
+    let started = Instant::now();
     let mut threads = Vec::new();
     for (stream, first) in streams.iter().zip(1..) {
         let (out, into) = (stream.try_clone()?, stream.try_clone()?);
-        let sends = thread::spawn(move || send(out, began, load, first));
-        threads.push((sends, thread::spawn(move || receive(into, began, load))));
+        let sender = thread::spawn(move || send(out, started, load, first));
+        threads.push((sender, thread::spawn(move || receive(into, started, load))));
     }
-    thread::sleep(load.warm_up.saturating_sub(began.elapsed()));
-    let (own, waited_before) = (std::process::id(), run_queue_wait_s(stand.gateway.id()));
-    let (before, own_before, since) = (stand.gateway.used(), fleet::used(own), began.elapsed());
-    thread::sleep((load.warm_up + load.duration).saturating_sub(began.elapsed()));
+    thread::sleep(load.warm_up.saturating_sub(started.elapsed()));
+    let (own, waited_before) = (std::process::id(), run_queue_wait_s(testbed.gateway.id()));
+    let (before, own_before, since) = (testbed.gateway.used(), fleet::used(own), started.elapsed());
+    thread::sleep((load.warm_up + load.duration).saturating_sub(started.elapsed()));
     let (after, own_after, took) =
-        (stand.gateway.used(), fleet::used(own), (began.elapsed() - since).as_secs_f64());
-    let (mut late, mut delays, mut refused) = (Duration::ZERO, Vec::new(), 0);
-    for (sends, hears) in threads {
-        let gone = |_| io::Error::other("a thread of the clients has ended");
-        let heard = hears.join().map_err(gone)??;
-        refused += heard.refused;
-        delays.extend(heard.delays);
-        late = late.max(sends.join().map_err(gone)??);
+        (testbed.gateway.used(), fleet::used(own), (started.elapsed() - since).as_secs_f64());
+    let (mut max_late, mut delays, mut refused) = (Duration::ZERO, Vec::new(), 0);
+    for (sender, receiver) in threads {
+        let panicked = |_| io::Error::other("a client thread panicked");
+        let responses = receiver.join().map_err(panicked)??;
+        refused += responses.refused;
+        delays.extend(responses.delays);
+        max_late = max_late.max(sender.join().map_err(panicked)??);
     }
     streams.iter().for_each(|s| _ = s.shutdown(Shutdown::Both));
     delays.sort_by(f64::total_cmp);
-    let counters = fleet::counters(&stand.gateway.counters());
+    let counters = fleet::counters(&testbed.gateway.counters());
     let hop_connections = counters.get("hops").copied().unwrap_or(0.0);
     let served_per_s = delays.len() as f64 / load.duration.as_secs_f64();
     Ok(LoadResult {
@@ -318,9 +322,9 @@
         refused,
         mb_per_s: served_per_s * len(object(load.kb, 0)) as f64 / 1e6,
         cpu_us_per_s: (after.cpu_s - before.cpu_s) / took * 1e6,
-        wait_us_per_s: (run_queue_wait_s(stand.gateway.id()) - waited_before) / took * 1e6,
+        wait_us_per_s: (run_queue_wait_s(testbed.gateway.id()) - waited_before) / took * 1e6,
         generator_cores: (own_after.cpu_s - own_before.cpu_s) / took,
-        generator_late_ms: late.as_secs_f64() * 1e3,
+        generator_late_ms: max_late.as_secs_f64() * 1e3,
         hop_connections,
         delays,
     })
@@ -331,20 +335,20 @@
     SeriesHead { id, over, unit, mechanism, command: COMMAND, host, timed }
 }
 
-fn fixed(more: &[(&str, f64)]) -> BTreeMap<String, f64> {
+fn fixed(extra: &[(&str, f64)]) -> BTreeMap<String, f64> {
     let all = [
         ("caches", (CACHES + OTHER_ZONE_CACHES) as f64),
         ("zone_caches", CACHES as f64),
         ("purges_per_s", PURGES_PER_S as f64),
     ];
-    all.iter().chain(more).map(|(name, n)| ((*name).to_owned(), *n)).collect()
+    all.iter().chain(extra).map(|(name, n)| ((*name).to_owned(), *n)).collect()
 }
 
 fn delay(at: f64, c: &LoadResult) -> Sample {
     Sample { p50: Some(c.quantile(0.5)), p99: Some(c.quantile(0.99)), ..sample(at, &c.delays) }
 }
 
-/// Until all is warm, and what is measured.
+/// Returns the duration of the warm-up and of the measurement.
 fn durations(quick: bool) -> (Duration, Duration) {
     if quick {
         (Duration::from_millis(200), Duration::from_millis(200))
@@ -353,34 +357,35 @@
     }
 }
 
-/// Rates that were carried, and what of a higher one was served, which tells where one core ends.
-fn rate_series(stand: &Testbed, (seed, quick): (u64, bool)) -> Result<Vec<Series>, Error> {
-    let (warm, lasts) = durations(quick);
+/// Measures growing rates until one is not sustained. Series of throughput and bottlenecks include that rate, as it shows
+/// the limit of one core.
+fn rate_series(testbed: &Testbed, (seed, quick): (u64, bool)) -> Result<Vec<Series>, Error> {
+    let (warm_up, duration) = durations(quick);
     let sizes = [
         300.0, 600.0, 1_200.0, 1_800.0, 2_400.0, 3_600.0, 4_800.0, 6_000.0, 7_200.0, 8_400.0, 9_600.0,
         12_000.0, 15_000.0, 18_000.0,
     ];
-    let (mut all, mut past) = (Vec::new(), None);
+    let (mut all, mut overloaded) = (Vec::new(), None);
     for per_s in sizes.into_iter().take(if quick { 2 } else { sizes.len() }) {
-        let load = Load { per_s, kb: OBJECT_KB, duration: lasts, warm_up: warm, seed };
-        let mut got = run_load(stand, load)?;
-        got.print(&load);
-        // Once more: others on the machine may have had its processors.
-        if !got.is_sustained(&load) && !quick {
-            got = run_load(stand, load)?;
-            got.print(&load);
+        let load = Load { per_s, kb: OBJECT_KB, duration, warm_up, seed };
+        let mut result = run_load(testbed, load)?;
+        result.print(&load);
+        // Retried once, because other processes may have used the processors.
+        if !result.is_sustained(&load) && !quick {
+            result = run_load(testbed, load)?;
+            result.print(&load);
         }
-        if !got.is_sustained(&load) {
-            eprintln!("{per_s} txns/s are not carried: {}", got.bottleneck());
-            past = Some((per_s, got));
+        if !result.is_sustained(&load) {
+            eprintln!("{per_s} txns/s are not carried: {}", result.bottleneck());
+            overloaded = Some((per_s, result));
             break;
         }
-        all.push((per_s, got));
+        all.push((per_s, result));
     }
     let one = |what: &str, unit: &str, of: &dyn Fn(f64, &LoadResult) -> Sample, whole: bool| {
         let id = format!("data-path.{what}.by-txns");
-        let seen = all.iter().chain(past.iter().filter(|_| whole));
-        let points = seen.map(|(at, got)| of(*at, got)).collect();
+        let seen = all.iter().chain(overloaded.iter().filter(|_| whole));
+        let points = seen.map(|(at, result)| of(*at, result)).collect();
         head(&id, "txns_per_s", unit).series(fixed(&[("kb", OBJECT_KB as f64)]), points)
     };
     Ok(vec![
@@ -394,29 +399,29 @@
     ])
 }
 
-/// Processor time a txn by the object's size, at one rate.
-fn size_series(stand: &Testbed, (seed, quick): (u64, bool)) -> Result<Series, Error> {
+/// Measures the processor time per txn by object size at a fixed rate.
+fn size_series(testbed: &Testbed, (seed, quick): (u64, bool)) -> Result<Series, Error> {
     let (per_s, all) = (1_000.0, [4, 16, 60, 120, 234]);
-    let ((warm, lasts), mut points) = (durations(quick), Vec::new());
+    let ((warm_up, duration), mut points) = (durations(quick), Vec::new());
     for kb in all.into_iter().take(if quick { 1 } else { all.len() }) {
-        let load = Load { per_s, kb, duration: lasts, warm_up: warm, seed };
-        let got = run_load(stand, load)?;
-        got.print(&load);
-        points.push(sample(kb as f64, &[got.cpu_us_per_s / got.served_per_s]));
+        let load = Load { per_s, kb, duration, warm_up, seed };
+        let result = run_load(testbed, load)?;
+        result.print(&load);
+        points.push(sample(kb as f64, &[result.cpu_us_per_s / result.served_per_s]));
     }
     let fixed = fixed(&[("txns_per_s", per_s)]);
     Ok(head("data-path.processor-a-txn.by-kb", "kb", "us").series(fixed, points))
 }
 
 pub fn run(seed: u64, quick: bool) -> Result<Vec<Series>, Error> {
-    let stand = Testbed::start(seed)?;
-    // The rates end with one that is too much, and leave their marks.
-    let mut all = vec![size_series(&stand, (seed, quick))?];
-    all.extend(rate_series(&stand, (seed, quick))?);
+    let testbed = Testbed::start(seed)?;
+    // Sizes are measured first, because the rates end with an overload that affects later measurements.
+    let mut all = vec![size_series(&testbed, (seed, quick))?];
+    all.extend(rate_series(&testbed, (seed, quick))?);
     Ok(all)
 }
 
-/// Where the program is not there, nothing is measured, and that is said.
+/// Returns no series and prints a message if the benchmark fails, such as for a missing `kelpcart` binary.
 pub fn measure(seed: u64, quick: bool) -> Vec<Series> {
     run(seed, quick).unwrap_or_else(|why| {
         eprintln!("data path, not run: {why}");
--- a/scale/src/benchmarks/feed.rs
+++ b/scale/src/benchmarks/feed.rs
@@ -1,5 +1,7 @@
-//! What the feed costs, and how soon a change is everywhere, by the installation's size, its purges, changes and
-//! restarts, and by what goes wrong. Must never count as done what a live gateway has not done.
+//! Cost of the feed and propagation delay of changes by installation size, purge, change and restart rates, and injected
+//! faults.
+//!
+//! Invariant: a change counts as applied only when every live gateway has applied it.
 
 use super::group::{Run, SeriesGroup};
 use crate::feed_net::{Net, Shape};
@@ -12,14 +14,14 @@
 use rand::seq::IteratorRandom;
 
 const MECHANISM: &str = "feed/src/lib.rs";
-/// A purge has to be everywhere by then, in us.
+/// Time limit for a purge to be applied everywhere, in us.
 const PURGE_DEADLINE_US: u64 = 3_900_000;
 const TARGET_PURGES_PER_S: f64 = 150.0;
 
-/// What one run gave, of gateways and of hubs.
+/// Results of one run, for gateways and for hubs.
 struct Runs {
     feed: Run,
-    /// The feed and membership together.
+    /// Feed and membership of the gateways together.
     control: Run,
     hubs: Run,
 }
@@ -36,23 +38,23 @@
     delays.count_between(PURGE_DEADLINE_US, delays.high())
 }
 
-/// Starts an installation, lets it settle, and measures it over the load's span while `wrong` happens to it.
-fn run(seed: u64, load: Load, wrong: impl FnOnce(&mut Net, Span)) -> Runs {
-    let held = memory::allocated();
+/// Starts an installation, waits until it has converged, and measures it while `wrong` runs the load and injects faults.
+fn run(seed: u64, load: Load, inject: impl FnOnce(&mut Net, Span)) -> Runs {
+    let allocated_before = memory::allocated();
     let mut net = Net::new(load.shape, seed);
     net.start_all();
-    let begun = net.sim.now;
-    while net.check_delivered().is_err() && net.sim.now - begun < ms(60_000) {
+    let started = net.sim.now;
+    while net.check_delivered().is_err() && net.sim.now - started < ms(60_000) {
         net.run_for(ms(20));
     }
-    let start = net.sim.now - begun;
+    let start = net.sim.now - started;
     net.run_for(ms(3_000));
     (net.purges_per_s, net.changes_per_s) = (load.purges_per_s, load.changes_per_s);
     net.run_for(ms(2_000));
     net.start_measurement();
     let from = net.sim.now;
-    wrong(&mut net, load.span);
-    let over = net.sim.now - from;
+    inject(&mut net, load.span);
+    let duration = net.sim.now - from;
     let of = |net: &Net, i: usize| net.sim.actor(i).map_or(Usage::default(), |h| h.usage);
     let live: Vec<usize> = net.gateways().filter(|&i| net.steady(i)).collect();
     let feed = live.iter().map(|&i| of(&net, i)).collect();
@@ -63,33 +65,33 @@
     while (net.check_delivered().is_err() || !net.all_confirmed()) && net.sim.now - ended < ms(30_000) {
         net.run_for(ms(100));
     }
-    let known = if net.all_confirmed() { Ok(()) } else { Err("no hub holds all to be done".to_owned()) };
-    let told = net.check_delivered().and(known);
+    let known = if net.all_confirmed() { Ok(()) } else { Err("no hub has confirmed all changes".to_owned()) };
+    let converged = net.check_delivered().and(known);
     let purges_of_all: u64 = net.sim.live().map(|(_, h)| h.feed.counts.gaps_purged).sum();
-    // Hubs hold what is kept for all; a gateway's own is what its end gives back.
-    let hub_memory = (memory::allocated() - held) as f64;
+    // A gateway's memory is what its removal frees. The rest, including shared data, is attributed to the hubs.
+    let hub_memory = (memory::allocated() - allocated_before) as f64;
     let before = memory::allocated();
     net.gateways().for_each(|i| net.kill(i));
     let given_back = before.saturating_sub(memory::allocated()) as f64;
     let memory = given_back / load.shape.gateways as f64;
     let each_hub = (hub_memory - given_back) / net.hubs().len() as f64;
     let delays = if load.changes_per_s > 0.0 { &net.change_delays } else { &net.purge_delays }.clone();
-    let more = vec![
+    let extra = vec![
         ("late", "count", late(&delays) as f64),
         ("purges-of-all", "count", purges_of_all as f64),
         ("connections-tried", "count", net.attempts as f64),
     ];
-    let run = |spent, delays, memory, more| Run {
-        usage: spent,
-        duration: over,
+    let run = |usage, delays, memory, extra| Run {
+        usage,
+        duration,
         delays,
         memory,
         start,
-        converged: told.clone(),
-        extra: more,
+        converged: converged.clone(),
+        extra,
     };
     Runs {
-        feed: run(feed, delays.clone(), memory, more),
+        feed: run(feed, delays.clone(), memory, extra),
         control: run(control, delays, memory, Vec::new()),
         hubs: run(
             hubs,
@@ -100,7 +102,7 @@
     }
 }
 
-/// The same over growing sizes of one thing, of the feed, of all control and of hubs.
+/// Series groups over the same dimension for the feed, all control traffic and the hubs.
 struct SeriesGroups {
     feed: SeriesGroup,
     control: SeriesGroup,
@@ -117,10 +119,10 @@
         }
     }
 
-    fn push(&mut self, at: f64, given: Runs) {
-        self.feed.push(at, given.feed);
-        self.control.push(at, given.control);
-        self.hubs.push(at, given.hubs);
+    fn push(&mut self, at: f64, runs: Runs) {
+        self.feed.push(at, runs.feed);
+        self.control.push(at, runs.control);
+        self.hubs.push(at, runs.hubs);
     }
 
     fn series(self, seed: u64) -> Vec<Series> {
@@ -132,12 +134,12 @@
     net.run_for(span);
 }
 
-/// One gateway after another ends and starts again.
+/// Restarts one random gateway after another at the given rate.
 fn restarts(net: &mut Net, span: Span, per_h: f64) {
     let (until, gap) = (net.sim.now + span, Span::from_secs_f64(3_600.0 / per_h));
     while net.sim.now + gap < until {
         net.run_for(gap);
-        let i = net.gateways().choose(&mut net.sim.rng).expect("a gateway");
+        let i = net.gateways().choose(&mut net.sim.rng).expect("at least one gateway");
         net.kill(i);
         net.start(i);
     }
@@ -152,7 +154,7 @@
 
 type FaultFn = fn(&mut Net, f64);
 
-/// Each goes wrong to a degree; what it is called, over what, and the degrees.
+/// The fault scenarios: name, severity dimension, severities and injection.
 const FAULTS: &[(&str, &str, &[f64], FaultFn)] = &[
     ("feed-hubs-killed", "hubs_killed", &[0.0, 1.0, 2.0, 3.0, 4.0], |net, n| {
         let hubs: Vec<usize> = net.hubs().take(n as usize).collect();
@@ -170,7 +172,7 @@
         restart_after(net, &chosen, ms(1_000));
         net.run_for(ms(9_000));
     }),
-    // As much comes twice.
+    // Datagrams are lost and duplicated with the same probability.
     ("feed-lossy", "lost_part", &[0.005, 0.01, 0.02, 0.05, 0.1], |net, part| {
         (net.sim.loss, net.sim.duplication) = (part, part);
         net.run_for(ms(10_000));
@@ -184,14 +186,14 @@
     }),
     ("feed-flood", "purges_per_s", &[300.0, 500.0, 750.0, 1_000.0, 1_500.0], |net, rate| {
         net.purges_per_s = rate;
-        // Ten times the purges for half a minute.
+        // The flood of ten times the target rate lasts half a minute.
         net.run_for(ms(if rate < 10.0 * TARGET_PURGES_PER_S { 8_000 } else { 30_000 }));
         net.purges_per_s = TARGET_PURGES_PER_S;
         net.run_for(ms(2_000));
     }),
 ];
 
-/// None where it is short: the hard cases are tests of the feed's own.
+/// Returns no series in quick mode: fault handling is covered by the feed's own tests.
 pub fn faults(seed: u64, quick: bool) -> Vec<Series> {
     if quick {
         return Vec::new();
@@ -200,12 +202,12 @@
     let load =
         Load { shape: Shape::of(n), purges_per_s: TARGET_PURGES_PER_S, changes_per_s: 0.0, span: Span::ZERO };
     let mut all = Vec::new();
-    for (of, over, degrees, wrong) in FAULTS {
+    for (of, over, severities, inject) in FAULTS {
         let purges = (*over != "purges_per_s").then_some(("purges_per_s", TARGET_PURGES_PER_S));
         let fixed: Vec<(&str, f64)> = [Some(("gateways", n as f64)), purges].into_iter().flatten().collect();
         let mut by = SeriesGroups::new(of, "feed-faults", over, &fixed);
-        for degree in *degrees {
-            by.push(*degree, run(seed, load, |net, _| wrong(net, *degree)));
+        for severity in *severities {
+            by.push(*severity, run(seed, load, |net, _| inject(net, *severity)));
         }
         all.extend(by.series(seed));
     }
@@ -251,7 +253,7 @@
     }
     all.extend(by.series(seed));
 
-    // 0.085 a second is the target.
+    // The target is 0.085 changes per second.
     let mut by = SeriesGroups::new("feed", "feed", "changes_per_s", &fixed);
     for rate in if quick { [2.0, 4.0, 8.0, 16.0, 32.0] } else { [0.085, 0.34, 1.36, 5.44, 21.76] } {
         let span = if rate < 1.0 { ms(40_000) } else { span };
--- a/scale/src/benchmarks/fleet.rs
+++ b/scale/src/benchmarks/fleet.rs
@@ -1,8 +1,9 @@
-//! What the relayed list and membership of one fleet cost by its size and by its purges: the present way, against which
-//! the feed is measured. Must never count the start into a rate.
+//! Cost of the relayed list and of the membership of one fleet by size and by purge rate: the baseline for the feed.
 //!
-//! It stops at 300 members: each step of a member looks at all others (`Members::next_wake`) and news of a start go round
-//! for the longer, so that 1,000 take minutes; the fleet's file takes 4,096 members at the most.
+//! Invariant: the start-up phase is not included in any rate.
+//!
+//! The series end at 300 members: each step of a member iterates over all others (`Members::next_wake`) and start-up
+//! updates are disseminated for longer, so that 1,000 members take minutes. The fleet's settings allow 4,096 members.
 
 use super::group::{Run, SeriesGroup};
 use crate::fleet_net::{Net, ms};
@@ -12,10 +13,10 @@
 use serde_json::json;
 
 const MECHANISM: &str = "fleet/src/relay.rs";
-/// `members.most` of the fleet's file goes no further.
+/// Upper limit of `members.most` in the fleet's settings.
 const MAX_MEMBERS: usize = 4_096;
 
-/// `n` that only know one another, as the gateways of a site do beside the feed.
+/// Runs a fleet of `n` with membership only, as used by the gateways of a site together with the feed.
 fn members(seed: u64, n: usize, span: Span) -> Run {
     let held = memory::allocated();
     let mut net = Net::new(n, seed, |_, v| {
@@ -24,44 +25,36 @@
     });
     (net.keep_log, net.check_every, net.has_discovery) = (false, 1_009, false);
     net.start_all();
-    let begun = net.sim.now;
-    while net.live_view_range() != (n, n) && net.sim.now - begun < ms(120_000) {
+    let started = net.sim.now;
+    while net.live_view_range() != (n, n) && net.sim.now - started < ms(120_000) {
         net.run_for(ms(100));
     }
-    let start = net.sim.now - begun;
+    let start = net.sim.now - started;
     settle(&mut net);
     net.sim.reset_usage();
     net.sim.measure_cpu = true;
     net.run_for(span);
-    let spent = net.sim.slots.iter().map(|s| s.usage).collect();
-    let told = if net.live_view_range() == (n, n) {
+    let usage = net.sim.slots.iter().map(|s| s.usage).collect();
+    let converged = if net.live_view_range() == (n, n) {
         Ok(())
     } else {
-        Err(format!("{:?} are seen", net.live_view_range()))
+        Err(format!("live members in view: {:?}", net.live_view_range()))
     };
     let memory = (memory::allocated() - held) as f64 / n as f64;
-    Run {
-        usage: spent,
-        duration: span,
-        delays: net.delays.clone(),
-        memory,
-        start,
-        converged: told,
-        extra: Vec::new(),
-    }
+    Run { usage, duration: span, delays: net.delays.clone(), memory, start, converged, extra: Vec::new() }
 }
 
-/// One fleet of `n` at so many purges a second.
+/// Runs one fleet of `n` with `rate` purges per second.
 fn run(seed: u64, n: usize, rate: u64, span: Span) -> Run {
     let held = memory::allocated();
     let mut net = Net::new(n, seed, |_, v| v["members"] = json!({"most": MAX_MEMBERS, "expected": n}));
     (net.keep_log, net.check_every) = (false, 1_009);
     net.start_all();
-    let begun = net.sim.now;
-    while net.check_delivered().is_err() && net.sim.now - begun < ms(60_000) {
+    let started = net.sim.now;
+    while net.check_delivered().is_err() && net.sim.now - started < ms(60_000) {
         net.run_for(ms(20));
     }
-    let start = net.sim.now - begun;
+    let start = net.sim.now - started;
     settle(&mut net);
     purge(&mut net, rate, ms(1_000));
     net.delays.reset();
@@ -69,22 +62,22 @@
     net.sim.measure_cpu = true;
     let from = net.sim.now;
     purge(&mut net, rate, span);
-    let over = net.sim.now - from;
-    let spent = net.sim.slots.iter().map(|s| s.usage).collect();
+    let duration = net.sim.now - from;
+    let usage = net.sim.slots.iter().map(|s| s.usage).collect();
     net.run_for(ms(2_000));
-    let told = net.check_delivered();
+    let converged = net.check_delivered();
     let delays = net.delays.clone();
     let memory = (memory::allocated() - held) as f64 / n as f64;
-    Run { usage: spent, duration: over, delays, memory, start, converged: told, extra: Vec::new() }
+    Run { usage, duration, delays, memory, start, converged, extra: Vec::new() }
 }
 
-/// Until nobody hands on news of the start any more.
+/// Runs until no member has start-up updates left to disseminate.
 fn settle(net: &mut Net) {
     net.run_for(ms(4_000));
-    let begun = net.sim.now;
-    let news = |net: &Net| net.sim.live().any(|(_, m)| m.node.members.sizes()[2].1 > 0);
-    while news(net) {
-        assert!(net.sim.now - begun < ms(120_000), "news of the start do not end");
+    let started = net.sim.now;
+    let updates_pending = |net: &Net| net.sim.live().any(|(_, m)| m.node.members.sizes()[2].1 > 0);
+    while updates_pending(net) {
+        assert!(net.sim.now - started < ms(120_000), "start-up updates are still being disseminated");
         net.run_for(ms(500));
     }
 }
--- a/scale/src/benchmarks/group.rs
+++ b/scale/src/benchmarks/group.rs
@@ -1,5 +1,6 @@
-//! One run's quantities of all members, and the ladders that several runs make. Must never hide a run whose changes did
-//! not reach all: it ends the measuring.
+//! Results of one run over all members, and the benchmark series assembled from several runs.
+//!
+//! Invariant: a run in which a change did not reach all members aborts the benchmark.
 
 use crate::memory;
 use crate::sim::Usage;
@@ -8,27 +9,27 @@
 use kelpcart::Span;
 use std::collections::BTreeMap;
 
-/// What one size gave.
+/// The results at one size.
 pub struct Run {
-    /// Of each member, over the time.
+    /// Usage of each member over `duration`.
     pub usage: Vec<Usage>,
     pub duration: Span,
-    /// From a list service's line to each gateway, in us.
+    /// Time from the publication of a change to its application at each gateway, in us.
     pub delays: Histogram<u64>,
-    /// Bytes of one member.
+    /// Memory of one member, in bytes.
     pub memory: f64,
-    /// From the start of all until all know all.
+    /// Time from the start of all members until they have converged.
     pub start: Span,
-    /// Whether each live gateway knows each change in the end.
+    /// Whether every live gateway had every change at the end.
     pub converged: Result<(), String>,
-    /// Other figures by their names and units.
+    /// Further results: name, unit and value.
     pub extra: Vec<(&'static str, &'static str, f64)>,
 }
 
-/// Runs at growing sizes of one thing.
+/// Runs at growing sizes of one dimension.
 pub struct SeriesGroup {
     name: String,
-    /// The ladders' name at the command line.
+    /// The module's name for `--only`.
     module: &'static str,
     mechanism: &'static str,
     host: Host,
@@ -60,8 +61,8 @@
         SeriesGroup { name: name.to_owned(), module, mechanism, host, over, fixed, runs: Vec::new() }
     }
 
-    /// Whether a run of so many members fits into half of the memory, by what the last one took: `grows` where each
-    /// member holds all others.
+    /// Checks whether a run with `n` members fits into half of the machine's memory, extrapolated from the last run. `grows`
+    /// means that each member's memory is proportional to the number of members.
     pub fn fits_memory(&self, n: f64, grows: bool) -> bool {
         let Some((at, run)) = self.runs.last() else { return true };
         let each = run.memory * if grows { n / at } else { 1.0 };
@@ -87,9 +88,9 @@
             .iter()
             .map(|(name, unit, timed, of)| {
                 self.one_series(seed, name, unit, *timed, |run| {
-                    let a_second = |s: &Usage| of(s) / run.duration.as_secs_f64();
-                    let sum: f64 = run.usage.iter().map(a_second).sum();
-                    let worst = run.usage.iter().map(a_second).fold(0.0, f64::max);
+                    let per_second = |s: &Usage| of(s) / run.duration.as_secs_f64();
+                    let sum: f64 = run.usage.iter().map(per_second).sum();
+                    let worst = run.usage.iter().map(per_second).fold(0.0, f64::max);
                     (!run.usage.is_empty()).then(|| (sum / run.usage.len() as f64, worst, None))
                 })
             })
@@ -136,7 +137,7 @@
                 "cargo run --release -p kelpcart-scale -- measure --seed {seed} --only {} --json slopes.json",
                 self.module
             ),
-            // Nothing on loopback comes twice the same.
+            // Results on loopback are never reproducible exactly.
             timed: timed || self.host == Host::Loopback,
             points: self.runs.iter().filter_map(point).collect(),
         }
@@ -147,11 +148,11 @@
     fn summary(&self) -> String {
         let n = self.usage.len().max(1) as f64;
         let s = self.duration.as_secs_f64();
-        let more: String = self.extra.iter().map(|(name, _, n)| format!("; {name} {n}")).collect();
+        let extra: String = self.extra.iter().map(|(name, _, n)| format!("; {name} {n}")).collect();
         let out = self.usage.iter().map(|x| x.bytes_out as f64 / s);
         let (sum, worst) = out.fold((0.0, 0f64), |(a, w), x| (a + x, w.max(x)));
         format!(
-            "{:.0} B/s out at the mean, {worst:.0} at the worst; p99 {:.1} ms, most {:.1} ms; {:.0} B held{more}",
+            "{:.0} B/s out at the mean, {worst:.0} at the worst; p99 {:.1} ms, most {:.1} ms; {:.0} B held{extra}",
             sum / n,
             self.delays.value_at_quantile(0.99) as f64 / 1e3,
             self.delays.max() as f64 / 1e3,
--- a/scale/src/benchmarks/loopback.rs
+++ b/scale/src/benchmarks/loopback.rs
@@ -1,11 +1,12 @@
-//! Hollow and real gateways beside each other on loopback: whether the simulated figures hold in real time. Must never
-//! run beside another ladder, nor in CI: it takes the machine.
+//! Hollow and real gateways side by side on loopback, to validate the simulated results in real time.
+//!
+//! Invariant: never runs in parallel with another benchmark, nor in CI, because it uses the whole machine.
 
 use crate::loopback::{Options, loopback};
 use crate::slopes::Series;
 use std::time::Duration;
 
-/// None where it is short, and where the program is not there.
+/// Returns no series in quick mode or if the `kelpcart` binary is missing.
 pub fn measure(seed: u64, quick: bool) -> Vec<Series> {
     let Some(own) = std::env::current_exe().ok().filter(|_| !quick) else { return Vec::new() };
     let kelpcart = own.with_file_name("kelpcart");
--- a/scale/src/benchmarks/mod.rs
+++ b/scale/src/benchmarks/mod.rs
@@ -1,4 +1,6 @@
-//! The ladders, each by what it measures, and their order. Must never run two at once: they measure processor time.
+//! The benchmark series, grouped into modules by what they measure.
+//!
+//! Invariant: benchmarks never run in parallel, because they measure processor time.
 
 use crate::slopes::Series;
 
@@ -10,10 +12,10 @@
 pub mod module;
 pub mod roles;
 
-/// Plays ladders with a seed; `quick`: short ones, as CI plays them.
+/// Runs the series of a module with a seed; `quick` selects the short series run in CI.
 pub type Measure = fn(seed: u64, quick: bool) -> Vec<Series>;
 
-/// By the names that `--only` knows.
+/// All modules with their names for `--only`, in the order in which they run.
 pub const MODULES: &[(&str, Measure)] = &[
     ("module", module::measure),
     ("roles", roles::measure),
--- a/scale/src/benchmarks/module.rs
+++ b/scale/src/benchmarks/module.rs
@@ -1,5 +1,7 @@
-//! What deciding costs one gateway: the module itself, driven by its public interface, between members that answer as
-//! told. Owns simulated time and the members' answers. Must never decide in the module's place.
+//! Cost of routing decisions at one gateway: drives the routing module through its public interface with simulated time and
+//! simulated members.
+//!
+//! Invariant: all decisions are made by the module, none by the harness.
 
 use crate::memory;
 use crate::slopes::{Host, Sample, Series};
@@ -15,55 +17,58 @@
 const EDGE: usize = 0;
 const PARENT: usize = 1;
 const ORIGIN: usize = 2;
-/// Zones beside the own one.
+/// Number of zones other than the gateway's own.
 const OTHER_ZONES: usize = 29;
-/// Gateways in all, and before one zone's caches.
+/// Gateways of the whole installation.
 const GATEWAYS: u32 = 8_000;
+/// Gateways that share the caches of one zone.
 const ZONE_GATEWAYS: u32 = 267;
 const OBJECT_KB: f64 = 120.0;
 const CLIENT_KB_PER_S: f64 = 5_000.0;
 const OBJECTS: u64 = 1 << 20;
-/// The feed's period, and bits of a name while there is room.
+/// Batching interval of the feed.
 const FEED_PERIOD: Span = Span::from_millis(500);
+/// Length of a purge's hash prefix in bits as long as the bandwidth allows it.
 const HASH_BITS: u8 = 40;
-/// Purges are kept for so long.
+/// How long the module keeps purges.
 const PURGE_RETENTION: Span = Span::from_millis(7_000);
-/// Of the txns, those that a cache holds.
+/// Ratio of txns that are cache hits.
 const HIT_RATIO: f64 = 0.9;
-/// How many times what is in flight at a member it bears: nothing is to be turned away here.
+/// Capacity of a member as a multiple of its txns in flight, so that no txn is rejected for lack of capacity.
 const CAPACITY_FACTOR: f64 = 16.0;
 const LOGIC: &str = "src/logic.rs";
 const COMMAND: &str = "cargo run --release -p kelpcart-scale -- measure --only module --json FILE";
 
-/// One size of everything.
+/// The values of all dimensions for one run.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
-    /// Listed, those of the own zone among them.
+    /// Caches in the list, including those of the gateway's own zone.
     pub caches: usize,
     pub zone_caches: usize,
     pub parents: usize,
     pub purges_per_s: u32,
-    /// They come as the feed brings them, a set each period; else one by one, at full length.
+    /// Purges arrive as from the feed, as one set of hash prefixes per period; otherwise one by one with full hashes.
     pub purge_sets: bool,
     pub in_flight: usize,
     pub txns_per_s: f64,
-    /// Gateways before one zone's caches.
+    /// Gateways that share the caches of one zone.
     pub zone_gateways: u32,
-    /// The caches of the own zone have just started, and this is their size in transfers.
+    /// If set, the caches of the gateway's own zone have just started, and each has this capacity in concurrent transfers.
     pub cold: Option<f64>,
 }
 
 impl Default for Case {
     fn default() -> Case {
         let (caches, zone_caches, parents, purges_per_s) = (1_100, 37, 11, 0);
-        let (sets, open, txns_per_s, zone_gateways, cold) = (false, 60, 1_200.0, ZONE_GATEWAYS, None);
+        let (purge_sets, in_flight, txns_per_s, zone_gateways, cold) =
+            (false, 60, 1_200.0, ZONE_GATEWAYS, None);
         Case {
             caches,
             zone_caches,
             parents,
             purges_per_s,
-            purge_sets: sets,
-            in_flight: open,
+            purge_sets,
+            in_flight,
             txns_per_s,
             zone_gateways,
             cold,
@@ -144,10 +149,10 @@
         };
         let cache = self.cold.unwrap_or_else(|| size(self.zone_gateways, self.zone_caches));
         let parent = size(GATEWAYS, self.parents);
-        let far = |i: usize| if i < self.zone_caches { 0 } else { 1 + i % OTHER_ZONES };
+        let zone_of = |i: usize| if i < self.zone_caches { 0 } else { 1 + i % OTHER_ZONES };
         let started = |i: usize| self.cold.filter(|_| i < self.zone_caches).map(|_| now);
         let caches = (0..self.caches).map(|i| {
-            let m = member(format!("cache-{i}"), EDGE, far(i), cache);
+            let m = member(format!("cache-{i}"), EDGE, zone_of(i), cache);
             Member { started: started(i), ..m }
         });
         let parents =
@@ -166,11 +171,11 @@
 pub struct Counts {
     pub submitted: u64,
     pub hops: u64,
-    /// Rejected and aborted.
+    /// Txns that were rejected or aborted.
     pub refused: u64,
 }
 
-/// A gateway's module and members that all answer after one time.
+/// A gateway's routing module with simulated members that all answer after the same time.
 pub struct Harness {
     pub gateway: Gateway,
     pub now: Time,
@@ -187,13 +192,13 @@
         let mut gateway = Gateway::new(case.settings(), seed, now);
         gateway.update_members(now, true, case.list(now));
         let (counts, rng) = (Counts::default(), Pcg64Mcg::seed_from_u64(seed));
-        let mut world =
+        let mut harness =
             Harness { gateway, now, counts, case, rng, pending: VecDeque::new(), next_purge: now };
-        world.preload_purges();
-        world
+        harness.preload_purges();
+        harness
     }
 
-    /// Those that are kept after a long time at this rate.
+    /// Adds the purges that the module would hold after running at this rate for a long time.
     fn preload_purges(&mut self) {
         let mut ago = PURGE_RETENTION;
         while self.case.purges_per_s > 0 && ago > Span::ZERO {
@@ -208,12 +213,13 @@
         let bits = if self.case.purge_sets { HASH_BITS } else { u64::BITS as u8 };
         let objects = (0..names).map(|_| self.rng.random_range(0..OBJECTS)).map(object_hash);
         let names = PrefixSet::new(bits, objects.collect::<Vec<_>>());
-        let then = self.now.saturating_sub(ago);
-        self.gateway.purge(then, names, Span::ZERO);
+        let issued = self.now.saturating_sub(ago);
+        self.gateway.purge(issued, names, Span::ZERO);
     }
 
-    /// One txn's turn; `sent` sees the hops.
-    pub fn submit_txn(&mut self, sent: &mut impl FnMut(Time, &MemberId, bool)) {
+    /// Advances time by the interval between two txns, delivers due outcomes and submits one txn. `sent` is called for each
+    /// hop, with `true` when it starts and `false` when it ends.
+    pub fn submit_txn(&mut self, on_hop: &mut impl FnMut(Time, &MemberId, bool)) {
         self.now += Span::from_secs_f64(1.0 / self.case.txns_per_s);
         while self.case.purges_per_s > 0 && self.next_purge <= self.now {
             self.purge(Span::ZERO);
@@ -221,43 +227,36 @@
         }
         while self.pending.front().is_some_and(|(at, ..)| *at <= self.now) {
             let Some((at, outcome, member)) = self.pending.pop_front() else { break };
-            sent(at, &member, false);
+            on_hop(at, &member, false);
             self.gateway.record_outcome(at, outcome);
-            self.handle_decisions(at, sent);
+            self.handle_decisions(at, on_hop);
         }
         self.counts.submitted += 1;
         let (object, rule, part, write) = (self.rng.random_range(0..OBJECTS), 0, 0, false);
         let (id, group, size) = (self.counts.submitted, object % 256, Some(OBJECT_KB));
-        let left = self.case.txn_time_left();
+        let time_left = self.case.txn_time_left();
         self.gateway.submit(
             self.now,
-            Txn { id, rule, object, group, part, is_write: write, size, time_left: left, max_age: None },
+            Txn { id, rule, object, group, part, is_write: write, size, time_left, max_age: None },
         );
-        self.handle_decisions(self.now, sent);
+        self.handle_decisions(self.now, on_hop);
     }
 
-    fn handle_decisions(&mut self, now: Time, sent: &mut impl FnMut(Time, &MemberId, bool)) {
+    fn handle_decisions(&mut self, now: Time, on_hop: &mut impl FnMut(Time, &MemberId, bool)) {
         while let Some(decision) = self.gateway.poll(now) {
             match decision {
                 Decision::Hop { txn, member, .. } => {
-                    sent(now, &member, true);
+                    on_hop(now, &member, true);
                     self.counts.hops += 1;
-                    let took = self.case.txn_duration();
-                    let held = self.rng.random_bool(HIT_RATIO);
-                    let note = Some(if held { CacheStatus::Held } else { CacheStatus::Filled });
-                    let (end, closed, first_byte) = (HopStatus::Completed, true, Some(Span::from_millis(20)));
+                    let duration = self.case.txn_duration();
+                    let is_hit = self.rng.random_bool(HIT_RATIO);
+                    let cache_status = Some(if is_hit { CacheStatus::Held } else { CacheStatus::Filled });
+                    let (status, answered, first_byte) =
+                        (HopStatus::Completed, true, Some(Span::from_millis(20)));
                     let load = LoadReport::default();
-                    let o = Outcome {
-                        txn,
-                        hop: 0,
-                        status: end,
-                        duration: took,
-                        answered: closed,
-                        cache_status: note,
-                        first_byte,
-                        load,
-                    };
-                    self.pending.push_back((now + took, o, member));
+                    let outcome =
+                        Outcome { txn, hop: 0, status, duration, answered, cache_status, first_byte, load };
+                    self.pending.push_back((now + duration, outcome, member));
                 }
                 Decision::Reject { .. } | Decision::Abort { .. } => self.counts.refused += 1,
                 Decision::Cancel { .. } | Decision::Subscribe => {}
@@ -265,7 +264,7 @@
         }
     }
 
-    /// Entries of all tables; what is measured in ms or counts a part of another table is none.
+    /// Number of entries in all tables, without sizes in ms and those that count a subset of another table.
     pub fn table_entries(&self) -> usize {
         let no_table = ["members left out", "purges joined at the bound", "ms of the longest silence"];
         self.gateway.table_sizes(self.now).filter(|(name, _)| !no_table.contains(name)).map(|(_, n)| n).sum()
@@ -279,34 +278,35 @@
 }
 
 struct Measurement {
-    /// Processor time a txn, of each batch.
+    /// Processor time per txn in us, for each batch.
     us: Vec<f64>,
     table_entries: usize,
-    /// Bytes of the module.
+    /// Memory of the module, in bytes.
     memory: f64,
     refused: f64,
 }
 
-/// All that is in flight, then batches of a second's txns.
+/// Fills the module up to the wanted number of txns in flight, then measures batches of one second's txns.
 fn run_case(case: Case, seed: u64, quick: bool) -> Measurement {
-    let mut world = Harness::new(case, seed);
+    let mut harness = Harness::new(case, seed);
     let (batch, batches) = if quick { (50, 2) } else { (case.txns_per_s as usize, 5) };
-    // Until as many are open as are to be, and the first ones have closed.
+    // Until the wanted number of txns is in flight and the first ones have completed.
     for _ in 0..case.in_flight + 100 {
-        world.submit_txn(&mut |_, _, _| {});
+        harness.submit_txn(&mut |_, _, _| {});
     }
-    let kept = world.table_entries();
+    let table_entries = harness.table_entries();
     let us = (0..batches).map(|_| {
-        let began = ThreadTime::now();
+        let started = ThreadTime::now();
         for _ in 0..batch {
-            world.submit_txn(&mut |_, _, _| {});
+            harness.submit_txn(&mut |_, _, _| {});
         }
-        began.elapsed().as_secs_f64() * 1e6 / batch as f64
+        started.elapsed().as_secs_f64() * 1e6 / batch as f64
     });
     let us = us.collect();
-    let (refused, held) = (world.counts.refused as f64 / world.counts.submitted as f64, memory::allocated());
-    drop(world.gateway);
-    Measurement { us, table_entries: kept, memory: held.saturating_sub(memory::allocated()) as f64, refused }
+    let (refused, allocated) =
+        (harness.counts.refused as f64 / harness.counts.submitted as f64, memory::allocated());
+    drop(harness.gateway);
+    Measurement { us, table_entries, memory: allocated.saturating_sub(memory::allocated()) as f64, refused }
 }
 
 pub fn sample(at: f64, all: &[f64]) -> Sample {
@@ -314,12 +314,12 @@
     Sample { at, mean, worst: all.iter().copied().fold(0.0, f64::max), p50: None, p99: None }
 }
 
-/// The sizes of a ladder, or its five smallest.
+/// Returns all sizes, or the five smallest in quick mode.
 pub fn limit_sizes(sizes: &[usize], quick: bool) -> &[usize] {
     &sizes[..if quick { sizes.len().min(5) } else { sizes.len() }]
 }
 
-/// What a quantity is, beside its points.
+/// Metadata of a series, without its samples.
 pub struct SeriesHead<'a> {
     pub id: &'a str,
     pub over: &'a str,
@@ -352,20 +352,20 @@
     SeriesHead { id, over, unit, mechanism: LOGIC, command: COMMAND, host: Host::Core, timed }
 }
 
-/// Processor time a txn, entries and bytes kept and the part refused, by one thing that grows.
+/// Measures processor time per txn, table entries, memory and the ratio of refused txns over one growing dimension.
 fn txn_series(
     name: &str,
     over: &str,
     sizes: &[usize],
-    grown: CaseFn,
+    case_of: CaseFn,
     (seed, quick): (u64, bool),
 ) -> Vec<Series> {
-    let played: Vec<(f64, Measurement)> =
-        sizes.iter().map(|&n| (n as f64, run_case(grown(n), seed, quick))).collect();
-    let fixed = grown(sizes[0]).fixed(over);
+    let measured: Vec<(f64, Measurement)> =
+        sizes.iter().map(|&n| (n as f64, run_case(case_of(n), seed, quick))).collect();
+    let fixed = case_of(sizes[0]).fixed(over);
     let one = |what: &str, unit: &str, timed: bool, of: fn(&Measurement) -> Vec<f64>| {
         let id = format!("module.{what}.by-{name}");
-        let points = played.iter().map(|(at, p)| sample(*at, &of(p))).collect();
+        let points = measured.iter().map(|(at, p)| sample(*at, &of(p))).collect();
         head(&id, over, unit, timed).series(fixed.clone(), points)
     };
     vec![
@@ -376,7 +376,7 @@
     ]
 }
 
-/// Processor time of one change of the list, at growing lists.
+/// Measures the processor time of one change of the member list at growing lists.
 fn list_change_series(
     id: &str,
     sizes: &[usize],
@@ -385,12 +385,12 @@
 ) -> Series {
     let rounds = if quick { 2 } else { 20 };
     let points = sizes.iter().map(|&caches| {
-        let mut world = Harness::new(Case { caches, ..Case::default() }, seed);
-        (0..300).for_each(|_| world.submit_txn(&mut |_, _, _| {}));
+        let mut harness = Harness::new(Case { caches, ..Case::default() }, seed);
+        (0..300).for_each(|_| harness.submit_txn(&mut |_, _, _| {}));
         let us = (0..rounds).map(|round| {
-            let began = ThreadTime::now();
-            change(&mut world, round);
-            began.elapsed().as_secs_f64() * 1e6
+            let started = ThreadTime::now();
+            change(&mut harness, round);
+            started.elapsed().as_secs_f64() * 1e6
         });
         let us: Vec<f64> = us.collect();
         sample(caches as f64, &us)
@@ -399,48 +399,49 @@
     head(id, "caches", "us", true).series(Case::default().fixed("caches"), points)
 }
 
-fn drain_one(world: &mut Harness, round: usize) {
+fn drain_one(harness: &mut Harness, round: usize) {
     let mut one = member(format!("cache-{}", round / 2), EDGE, 0, 100.0);
     one.state = if round.is_multiple_of(2) { MemberState::Draining } else { MemberState::Up };
-    world.gateway.update_members(world.now, false, vec![one]);
+    harness.gateway.update_members(harness.now, false, vec![one]);
 }
 
-/// One goes and another one, with a name of its own, comes.
-fn replace_one(world: &mut Harness, round: usize) {
+/// Removes one cache and adds another one with a new name.
+fn replace_one(harness: &mut Harness, round: usize) {
     let name = |round: usize| if round == 0 { "cache-0".to_owned() } else { format!("new-{round}") };
     let mut gone = member(name(round), EDGE, 0, 100.0);
     gone.state = MemberState::Gone;
-    let news = vec![gone, member(name(round + 1), EDGE, 0, 100.0)];
-    world.gateway.update_members(world.now, false, news);
+    let changes = vec![gone, member(name(round + 1), EDGE, 0, 100.0)];
+    harness.gateway.update_members(harness.now, false, changes);
 }
 
-fn replace_all(world: &mut Harness, _: usize) {
-    world.gateway.update_members(world.now, true, world.case.list(world.now));
+fn replace_all(harness: &mut Harness, _: usize) {
+    harness.gateway.update_members(harness.now, true, harness.case.list(harness.now));
 }
 
 pub fn measure(seed: u64, quick: bool) -> Vec<Series> {
-    let how = (seed, quick);
+    let options = (seed, quick);
     let caches = limit_sizes(&[100, 200, 300, 600, 1_100, 2_200], quick);
-    let mut all = txn_series("caches", "caches", caches, |caches| Case { caches, ..Case::default() }, how);
+    let mut all =
+        txn_series("caches", "caches", caches, |caches| Case { caches, ..Case::default() }, options);
     let one_zone = |n| Case { caches: n, zone_caches: n, ..Case::default() };
-    all.extend(txn_series("caches-of-one-zone", "caches", caches, one_zone, how));
+    all.extend(txn_series("caches-of-one-zone", "caches", caches, one_zone, options));
     let zone = |n| Case { zone_caches: n, ..Case::default() };
     all.extend(txn_series(
         "zone-caches",
         "zone_caches",
         limit_sizes(&[10, 20, 37, 75, 150, 300], quick),
         zone,
-        how,
+        options,
     ));
     let no_source = |n| Case { caches: n, parents: 0, ..Case::default() };
-    all.extend(txn_series("caches-without-parents", "caches", caches, no_source, how));
+    all.extend(txn_series("caches-without-parents", "caches", caches, no_source, options));
     let parents = |n| Case { parents: n, ..Case::default() };
     all.extend(txn_series(
         "parents",
         "parents",
         limit_sizes(&[5, 11, 33, 66, 110, 220], quick),
         parents,
-        how,
+        options,
     ));
     let purges = |n: usize| Case { purges_per_s: n as u32, ..Case::default() };
     all.extend(txn_series(
@@ -448,26 +449,26 @@
         "purges_per_s",
         limit_sizes(&[0, 15, 50, 150, 300, 1_500], quick),
         purges,
-        how,
+        options,
     ));
-    let sets = |n: usize| Case { purges_per_s: n as u32, purge_sets: true, ..Case::default() };
+    let purge_sets = |n: usize| Case { purges_per_s: n as u32, purge_sets: true, ..Case::default() };
     all.extend(txn_series(
         "purges-in-sets",
         "purges_per_s",
         limit_sizes(&[0, 15, 50, 150, 300, 1_500], quick),
-        sets,
-        how,
+        purge_sets,
+        options,
     ));
-    let open = |open| Case { in_flight: open, ..Case::default() };
+    let in_flight = |in_flight| Case { in_flight, ..Case::default() };
     all.extend(txn_series(
         "open-txns",
         "open_txns",
         limit_sizes(&[60, 125, 250, 1_000, 4_000, 16_000], quick),
-        open,
-        how,
+        in_flight,
+        options,
     ));
-    all.push(list_change_series("module.processor-of-a-change.by-caches", caches, how, drain_one));
-    all.push(list_change_series("module.processor-of-a-replacement.by-caches", caches, how, replace_one));
-    all.push(list_change_series("module.processor-of-a-whole-list.by-caches", caches, how, replace_all));
+    all.push(list_change_series("module.processor-of-a-change.by-caches", caches, options, drain_one));
+    all.push(list_change_series("module.processor-of-a-replacement.by-caches", caches, options, replace_one));
+    all.push(list_change_series("module.processor-of-a-whole-list.by-caches", caches, options, replace_all));
     all
 }
--- a/scale/src/benchmarks/roles.rs
+++ b/scale/src/benchmarks/roles.rs
@@ -1,6 +1,7 @@
-//! What grows beside the module, membership and the feed: connections to caches, what cold caches are sent, budgets'
-//! keepers, groups of ledgers, the decision on zones. Owns the worlds that these cores stand in. Must never count what a
-//! world of its own costs as its core's.
+//! Benchmarks of the remaining roles: connections to caches, load on cold caches, budget coordinators, replicated ledgers
+//! and the failover decision.
+//!
+//! Invariant: the cost of the harness is not attributed to the measured core.
 
 use crate::benchmarks::module::{Case, Harness, SeriesHead, limit_sizes, sample};
 use crate::sim::{Actor, Sim};
@@ -37,18 +38,18 @@
 
 // Connections.
 
-/// A connection that rests is closed after this time: the host's, from `ConnIdleUs` of 15 s.
+/// Time after which the host closes an idle connection, derived from `ConnIdleUs` of 15 s.
 const IDLE_RETENTION: Span = Span::from_millis(11_250);
 const CACHES: &str = "gateway/src/caches.rs";
 
-/// Caches to which one gateway has connections out or kept.
+/// Returns the number of caches to which one gateway has active or idle connections.
 fn connected_caches(case: Case, seed: u64) -> f64 {
-    let mut world = Harness::new(case, seed);
-    let ends = world.now + IDLE_RETENTION;
+    let mut harness = Harness::new(case, seed);
+    let until = harness.now + IDLE_RETENTION;
     let mut sent: BTreeMap<MemberId, u64> = BTreeMap::new();
-    while world.now < ends {
-        world.submit_txn(&mut |_, member, begins| {
-            if begins && member.starts_with("cache-") {
+    while harness.now < until {
+        harness.submit_txn(&mut |_, member, starts| {
+            if starts && member.starts_with("cache-") {
                 *sent.entry(member.clone()).or_default() += 1;
             }
         });
@@ -62,7 +63,7 @@
             limit_sizes(sizes, quick).iter().map(|&n| sample(n as f64, &[connected_caches(case(n), seed)]));
         head(id, over, "count", CACHES).series(case(sizes[0]).fixed(over), points.collect())
     };
-    // All of a txn lasts 50 ms, whatever the rate.
+    // The number of txns in flight is such that a txn takes 50 ms at any rate.
     let at_rate = |n: usize| Case { txns_per_s: n as f64, in_flight: (n / 20).max(1), ..Case::default() };
     let in_zone = |n: usize| Case { zone_caches: n, txns_per_s: 600.0, ..Case::default() };
     vec![
@@ -78,21 +79,23 @@
 
 // Cold caches.
 
-/// A cache's transfers: twice what 9.6 million txns a second of 24 ms put in flight at one of 1,100.
+/// Capacity of a cache in concurrent transfers: twice the number in flight at each of 1,100 caches at 9.6 million txns per
+/// second of 24 ms each.
 const TRANSFERS: f64 = 400.0;
-/// The span over which a cold one's budget counts.
+/// Window over which the budget of a cold cache is counted.
 const COLD_SPAN: Span = Span::from_millis(3_000);
 
-/// What one gateway sends into each cold cache of its zone in the first span, where so many share them.
+/// Returns the number of txns that one gateway sends to each cold cache of its zone in the first window when `sharers`
+/// gateways share them.
 fn txns_to_cold(sharers: usize, seed: u64) -> Vec<f64> {
     let cold = Some(TRANSFERS);
     let case = Case { zone_gateways: sharers as u32, cold, ..Case::default() };
-    let mut world = Harness::new(case, seed);
-    let ends = world.now + COLD_SPAN;
+    let mut harness = Harness::new(case, seed);
+    let until = harness.now + COLD_SPAN;
     let mut sent: BTreeMap<MemberId, f64> = BTreeMap::new();
-    while world.now < ends {
-        world.submit_txn(&mut |_, member, begins| {
-            if begins && member.starts_with("cache-") {
+    while harness.now < until {
+        harness.submit_txn(&mut |_, member, starts| {
+            if starts && member.starts_with("cache-") {
                 *sent.entry(member.clone()).or_default() += 1.0;
             }
         });
@@ -107,8 +110,8 @@
     let sizes = limit_sizes(&sizes, quick);
     let over = "zone_gateways";
     let case = Case { cold: Some(TRANSFERS), ..Case::default() };
-    let mut stays = case.fixed(over);
-    stays.insert("transfers".to_owned(), TRANSFERS);
+    let mut fixed_values = case.fixed(over);
+    fixed_values.insert("transfers".to_owned(), TRANSFERS);
     let all: Vec<(f64, Vec<f64>)> = sizes.iter().map(|&n| (n as f64, txns_to_cold(n, seed))).collect();
     let each = all.iter().map(|(n, sent)| sample(*n, sent)).collect();
     let whole = all.iter().map(|(n, sent)| {
@@ -118,14 +121,16 @@
     });
     let logic = "src/logic.rs";
     vec![
-        head("cold.txns-of-one-gateway.by-zone-gateways", over, "count", logic).series(stays.clone(), each),
-        head("cold.txns-at-a-cache.by-zone-gateways", over, "txns/s", logic).series(stays, whole.collect()),
+        head("cold.txns-of-one-gateway.by-zone-gateways", over, "count", logic)
+            .series(fixed_values.clone(), each),
+        head("cold.txns-at-a-cache.by-zone-gateways", over, "txns/s", logic)
+            .series(fixed_values, whole.collect()),
     ]
 }
 
-// Budgets in common.
+// Shared budgets.
 
-/// One gateway of a fleet.
+/// A fleet member: its node, outgoing datagrams and the number of leases granted to it.
 struct Member {
     node: Node,
     out: VecDeque<(SocketAddr, Vec<u8>)>,
@@ -134,8 +139,8 @@
 
 impl Member {
     fn drain_output(&mut self) {
-        while let Some(out) = self.node.poll() {
-            match out {
+        while let Some(output) = self.node.poll() {
+            match output {
                 Output::Datagram(to, bytes) => self.out.push_back((to, bytes)),
                 Output::Decision(_, verdict) => self.granted += u32::from(verdict == Decision::Granted),
                 _ => {}
@@ -164,7 +169,7 @@
     }
 }
 
-/// Connections to one cache that a fleet may have, by its settings.
+/// Connections to one cache allowed to the whole fleet by its settings.
 const BUDGET: u32 = 64;
 const LEASES: &str = "fleet/src/lease.rs";
 
@@ -177,35 +182,34 @@
             "seeds": (0..n.min(3)).map(|s| at(s).to_string()).collect::<Vec<_>>(),
             "keys": [{"id": 1, "secret": "17".repeat(32)}], "budgets": {"connections": BUDGET},
         });
-        let file = Fleet::read(&file.to_string()).expect("a file that fits");
-        let node =
-            Node::new(&file, 1_000 + i as u64, seed + i as u64, sim.now, 0, &[]).expect("keys that fit");
+        let file = Fleet::read(&file.to_string()).expect("valid settings");
+        let node = Node::new(&file, 1_000 + i as u64, seed + i as u64, sim.now, 0, &[]).expect("valid keys");
         sim.add(at(i), Some(Member { node, out: VecDeque::new(), granted: 0 }));
     }
     sim.run_for(Span::from_millis(20_000));
-    let knows_all = |m: &Member| m.node.members.live() == n;
-    assert!(sim.live().all(|(_, m)| knows_all(m)), "a fleet of {n} does not know itself");
+    let has_converged = |m: &Member| m.node.members.live() == n;
+    assert!(sim.live().all(|(_, m)| has_converged(m)), "a fleet of {n} has not converged");
     sim.measure_cpu = true;
     sim
 }
 
-/// What the busiest member, which is the budget's keeper, spends beyond what it does in calm.
+/// Load of the busiest member, which is the budget's coordinator, in excess of its load without lease requests.
 struct CoordinatorLoad {
     bytes_in: f64,
     bytes_out: f64,
     cpu_us_per_s: f64,
-    /// Units that all got, of each gateway's one.
+    /// Ratio of requested budget units that were granted.
     granted_part: f64,
 }
 
-/// Each gateway wants one unit of one cache's budget, twice a second, and holds it for a quarter of a second.
+/// Each gateway requests one unit of the same cache's budget twice per second and holds it for 250 ms.
 fn coordinator_load(n: usize, seed: u64) -> CoordinatorLoad {
     let mut sim = fleet(n, seed);
-    let lasts = Span::from_millis(10_000);
+    let duration = Span::from_millis(10_000);
     let spent = |sim: &Sim<Member>| sim.slots.iter().map(|s| s.usage).collect::<Vec<_>>();
     sim.reset_usage();
-    sim.run_for(lasts);
-    let calm = spent(&sim);
+    sim.run_for(duration);
+    let idle = spent(&sim);
     sim.reset_usage();
     let key = (BudgetKind::Connections, 77);
     let quarter = Span::from_millis(250);
@@ -228,17 +232,17 @@
         sim.run_for(quarter);
     }
     let busy = spent(&sim);
-    let a_second = |more: f64| more.max(0.0) / lasts.as_secs_f64();
+    let per_second = |excess: f64| excess.max(0.0) / duration.as_secs_f64();
     let most = |of: fn(&crate::sim::Usage) -> f64| {
-        let more = busy.iter().zip(&calm).map(|(b, c)| of(b) - of(c));
-        a_second(more.fold(0.0, f64::max))
+        let excess = busy.iter().zip(&idle).map(|(b, c)| of(b) - of(c));
+        per_second(excess.fold(0.0, f64::max))
     };
-    let go: u32 = sim.live().map(|(_, m)| m.granted).sum();
+    let granted: u32 = sim.live().map(|(_, m)| m.granted).sum();
     CoordinatorLoad {
         bytes_in: most(|s| s.bytes_in as f64),
         bytes_out: most(|s| s.bytes_out as f64),
         cpu_us_per_s: most(|s| s.cpu_time.as_secs_f64() * 1e6),
-        granted_part: f64::from(go) / 20.0 / n as f64,
+        granted_part: f64::from(granted) / 20.0 / n as f64,
     }
 }
 
@@ -249,9 +253,9 @@
     let one = |what: &str, unit: &str, timed: bool, of: fn(&CoordinatorLoad) -> f64| {
         let id = format!("budgets.{what}.by-gateways");
         let points = all.iter().map(|(n, k)| sample(*n, &[of(k)])).collect();
-        let stays = fixed(&[("budget", BUDGET.into()), ("wants_per_s", 2.0)]);
+        let fixed_values = fixed(&[("budget", BUDGET.into()), ("wants_per_s", 2.0)]);
         let head = SeriesHead { timed, host: Host::Simulated, ..head(&id, "gateways", unit, LEASES) };
-        head.series(stays, points)
+        head.series(fixed_values, points)
     };
     vec![
         one("keeper-bytes-in", "B/s", false, |k| k.bytes_in),
@@ -261,13 +265,13 @@
     ]
 }
 
-// Groups of ledgers.
+// Replicated ledgers.
 
-const HOLDERS: usize = 9;
+const REPLICAS: usize = 9;
 const COPIES: usize = 3;
 const GROUP: &str = "copies/src/group.rs";
 
-/// Holders that hear each other at once, on one thread.
+/// Ledger replicas on one thread that exchange messages without delay.
 struct Replicas {
     now: Time,
     all: Vec<copies::Node>,
@@ -282,40 +286,42 @@
         let at = |i: usize| format!("127.0.0.1:{}", 7_000 + i);
         let holder =
             |i: usize| json!({"name": format!("g{i}"), "address": at(i), "zone": format!("z{}", i % 3)});
-        let holders: Vec<_> = (0..HOLDERS).map(holder).collect();
+        let holders: Vec<_> = (0..REPLICAS).map(holder).collect();
         let node = |i: usize| {
             let file = json!({"gateway": format!("g{i}"), "listen": at(i), "copies": COPIES, "groups": groups,
                 "holders": holders, "bounds": {"entries": 1_000_000, "age_ms": 600_000}});
-            let file = Copies::read(&file.to_string()).expect("a file that fits");
-            copies::Node::new(&file, 1_000 + i as u64, seed + i as u64, now).expect("a holder")
+            let file = Copies::read(&file.to_string()).expect("valid settings");
+            copies::Node::new(&file, 1_000 + i as u64, seed + i as u64, now).expect("valid replica")
         };
-        let all: Vec<copies::Node> = (0..HOLDERS).map(node).collect();
+        let all: Vec<copies::Node> = (0..REPLICAS).map(node).collect();
         let greetings: Vec<Vec<u8>> = all.iter().map(copies::Node::greeting).collect();
-        let mut world = Replicas { now, all, frames: VecDeque::new(), answered: 0, bytes: 0 };
-        for (i, node) in world.all.iter_mut().enumerate() {
+        let mut replicas = Replicas { now, all, frames: VecDeque::new(), answered: 0, bytes: 0 };
+        for (i, node) in replicas.all.iter_mut().enumerate() {
             for (_, greeting) in greetings.iter().enumerate().filter(|(j, _)| *j != i) {
-                node.greeted(now, greeting).expect("a holder");
+                node.greeted(now, greeting).expect("valid replica");
             }
         }
-        world.advance(Span::from_millis(20_000));
-        world
+        replicas.advance(Span::from_millis(20_000));
+        replicas
     }
 
     fn drain_output(&mut self, i: usize) {
-        while let Some(out) = self.all[i].poll() {
-            match out {
+        while let Some(output) = self.all[i].poll() {
+            match output {
                 copies::Out::Send { holder, frame, .. } => {
                     self.bytes += frame.len() as u64;
                     self.frames.push_back((i, holder, frame));
                 }
-                copies::Out::Told(told) => self.answered += u64::from(told.result != Ok(Outcome::Running)),
+                copies::Out::Told(answer) => {
+                    self.answered += u64::from(answer.result != Ok(Outcome::Running))
+                }
                 copies::Out::Ledger { .. } | copies::Out::Write { .. } => {}
             }
         }
     }
 
     fn deliver_all(&mut self) {
-        (0..HOLDERS).for_each(|i| self.drain_output(i));
+        (0..REPLICAS).for_each(|i| self.drain_output(i));
         while let Some((from, to, frame)) = self.frames.pop_front() {
             let (now, id) = (self.now, self.all[from].id());
             self.all[to].frame(now, from, id, &frame);
@@ -324,8 +330,8 @@
     }
 
     fn advance(&mut self, span: Span) {
-        let ends = self.now + span;
-        while self.now < ends {
+        let until = self.now + span;
+        while self.now < until {
             self.now += Span::from_millis(10);
             self.all.iter_mut().for_each(|node| node.tick(self.now));
             self.deliver_all();
@@ -333,41 +339,42 @@
     }
 }
 
-/// Books of all groups a second of one thread's time, and bytes a book between holders.
+/// Returns the ledger entries completed by all groups per second of one thread's processor time, and the bytes exchanged
+/// between replicas per entry.
 fn ledger_throughput(groups: usize, at_once: u64, total: u64, seed: u64) -> (f64, f64) {
-    let mut world = Replicas::new(groups, seed);
+    let mut replicas = Replicas::new(groups, seed);
     let senders: Vec<u64> = (1..=64).collect();
     for &sender in &senders {
-        let group = world.all[0].group_of(sender);
-        world.all[0].ask(world.now, group, 9, Word::Greet(Greet { sender, fresh: 1 }));
+        let group = replicas.all[0].group_of(sender);
+        replicas.all[0].ask(replicas.now, group, 9, Word::Greet(Greet { sender, fresh: 1 }));
     }
-    world.deliver_all();
-    let (began, bytes, told) = (ThreadTime::now(), world.bytes, world.answered);
+    replicas.deliver_all();
+    let (started, bytes, answered) = (ThreadTime::now(), replicas.bytes, replicas.answered);
     let mut number = 0;
     while number < total {
         for end in [false, true] {
             for one in number + 1..=number + at_once {
                 let key = Key { sender: senders[one as usize % senders.len()], number: one };
-                let at = one as usize % HOLDERS;
-                let group = world.all[at].group_of(key.sender);
+                let at = one as usize % REPLICAS;
+                let group = replicas.all[at].group_of(key.sender);
                 let answer = Answer { outcome: TxnOutcome::Served, body: one.to_be_bytes().repeat(2) };
                 let word = if end { Word::end(key, &answer, 0) } else { Word::take(key) };
-                world.all[at].ask(world.now, group, 9, word);
+                replicas.all[at].ask(replicas.now, group, 9, word);
             }
-            world.deliver_all();
+            replicas.deliver_all();
         }
         number += at_once;
         if number.is_multiple_of(1_024) {
-            world.advance(Span::from_millis(10));
+            replicas.advance(Span::from_millis(10));
         }
     }
-    assert_eq!(world.answered - told, 2 * number, "books that were not told");
-    (number as f64 / began.elapsed().as_secs_f64(), (world.bytes - bytes) as f64 / number as f64)
+    assert_eq!(replicas.answered - answered, 2 * number, "ledger commands without an answer");
+    (number as f64 / started.elapsed().as_secs_f64(), (replicas.bytes - bytes) as f64 / number as f64)
 }
 
 fn ledger_series(seed: u64, quick: bool) -> Vec<Series> {
     let total = if quick { 256 } else { 20_000 };
-    let mut ladders = Vec::new();
+    let mut series = Vec::new();
     for (name, over, sizes) in
         [("groups", "groups", [1, 2, 4, 8, 16]), ("books-at-once", "at_once", [1, 4, 16, 64, 256])]
     {
@@ -376,33 +383,33 @@
             (n as f64, ledger_throughput(groups, at_once as u64, total, seed))
         });
         let other = if over == "groups" { ("at_once", 64.0) } else { ("groups", 4.0) };
-        let stays = fixed(&[("copies", COPIES as f64), ("holders", HOLDERS as f64), other]);
+        let fixed_values = fixed(&[("copies", COPIES as f64), ("holders", REPLICAS as f64), other]);
         let points = |of: fn((f64, f64)) -> f64| played.iter().map(|(n, b)| sample(*n, &[of(*b)])).collect();
         let id = format!("ledgers.books.by-{name}");
         let rate = SeriesHead { timed: true, ..head(&id, over, "txns/s", GROUP) };
-        ladders.push(rate.series(stays.clone(), points(|b| b.0)));
+        series.push(rate.series(fixed_values.clone(), points(|b| b.0)));
         let id = format!("ledgers.bytes-a-book.by-{name}");
-        ladders.push(head(&id, over, "B", GROUP).series(stays, points(|b| b.1)));
+        series.push(head(&id, over, "B", GROUP).series(fixed_values, points(|b| b.1)));
     }
-    ladders
+    series
 }
 
-// The decision on zones.
+// Failover decision.
 
 const DECIDE: &str = "failover/src/decide.rs";
 
 struct StepCosts {
-    /// Of a step with the reports before it, in us.
+    /// Processor time of each decision step including the reports before it, in us.
     us: Vec<f64>,
-    /// Gateways whose reports counted.
+    /// Number of gateways whose reports were counted.
     counted: f64,
 }
 
-/// One zone in five is ill from the start; all gateways report before each step.
+/// Runs decision steps in which all gateways report first and one zone in five is unhealthy from the start.
 fn step_costs(zones: usize, gateways: usize, rounds: usize) -> StepCosts {
-    let near = |z: usize| (1..zones).map(|k| format!("z{}", (z + k) % zones)).collect::<Vec<_>>();
-    let all: Vec<_> = (0..zones).map(|z| json!({"name": format!("z{z}"), "near": near(z)})).collect();
-    let file = Failover::read(&json!({"zones": all}).to_string()).expect("a file that fits");
+    let neighbors = |z: usize| (1..zones).map(|k| format!("z{}", (z + k) % zones)).collect::<Vec<_>>();
+    let all: Vec<_> = (0..zones).map(|z| json!({"name": format!("z{z}"), "near": neighbors(z)})).collect();
+    let file = Failover::read(&json!({"zones": all}).to_string()).expect("valid settings");
     let mut now = Time::from_micros(1_000_000);
     let mut decider = Decider::new(&file, &vec![0.0; zones], 1, now);
     let kinds = [(5, false), (9, true)].map(|(importance, write)| Asked { importance, write });
@@ -412,20 +419,20 @@
         Report {
             into: (0..zones).map(|z| (z, Account { hops: 100.0, bad: bad(z) })).collect(),
             loads: kinds.map(|kind| load((g % zones, kind))).to_vec(),
-            // One a second each: what a zone has shown is how many were heard.
+            // Each gateway reports a rate of one, so a zone's total is the number of gateways counted.
             rates: (0..zones).map(|z| (z, 1.0)).collect(),
         }
     };
     let reports: Vec<Report> = (0..gateways).map(report).collect();
     let us = (0..rounds).map(|_| {
         now += Span::from_millis(500);
-        let told = reports.clone();
-        let began = ThreadTime::now();
-        for (g, report) in told.into_iter().enumerate() {
+        let reports = reports.clone();
+        let started = ThreadTime::now();
+        for (g, report) in reports.into_iter().enumerate() {
             decider.report(now, g as u64, report);
         }
         decider.tick(now);
-        began.elapsed().as_secs_f64() * 1e6
+        started.elapsed().as_secs_f64() * 1e6
     });
     let us = us.collect();
     StepCosts { us, counted: decider.shown(0) }
@@ -439,12 +446,12 @@
     let all: Vec<(f64, StepCosts)> = sizes.iter().map(|&n| (n as f64, step_costs(30, n, rounds))).collect();
     let zones = fixed(&[("zones", 30.0)]);
     let by_gateways = all.iter().map(|(n, s)| sample(*n, &s.us)).collect();
-    let heard = all.iter().map(|(n, s)| sample(*n, &[s.counted])).collect();
+    let counted = all.iter().map(|(n, s)| sample(*n, &[s.counted])).collect();
     vec![
         timed("failover.processor-a-step.by-zones", "zones")
             .series(fixed(&[("gateways", 267.0)]), by_zones.to_vec()),
         timed("failover.processor-a-step.by-gateways", "gateways").series(zones.clone(), by_gateways),
-        head("failover.gateways-heard.by-gateways", "gateways", "count", DECIDE).series(zones, heard),
+        head("failover.gateways-heard.by-gateways", "gateways", "count", DECIDE).series(zones, counted),
     ]
 }
 
--- a/scale/src/fleet_net.rs
+++ b/scale/src/fleet_net.rs
@@ -130,7 +130,7 @@
     pub fn new(n: usize, seed: u64, change: impl Fn(usize, &mut Value)) -> Net {
         let caches: Vec<(String, &str)> = (0..40).map(|i| (format!("c{i}"), "up")).collect();
         let mut sim = Sim::new(seed);
-        let places = (0..n)
+        let hosts = (0..n)
             .map(|i| {
                 sim.add(address(i), None);
                 HostState { config: Some(member_config(i, |v| change(i, v))), ..HostState::default() }
@@ -140,7 +140,7 @@
             events: vec![(roster_event(1, true, &caches), sim.now)],
             next_discovery_poll: sim.now,
             sim,
-            hosts: places,
+            hosts,
             discovery_active: BTreeSet::new(),
             cut_from_discovery: BTreeSet::new(),
             discovery_up: true,
@@ -158,10 +158,10 @@
         let (run, seed) = (self.sim.rng.random(), self.sim.rng.random());
         let now = self.sim.local_time(i);
         let last = self.events.len() as u64;
-        let place = &mut self.hosts[i];
-        place.received.clear();
-        (place.discovery_conn, place.delivered) = (None, last);
-        let file = place.config.as_ref().expect("settings");
+        let host = &mut self.hosts[i];
+        host.received.clear();
+        (host.discovery_conn, host.delivered) = (None, last);
+        let file = host.config.as_ref().expect("settings");
         let node = Node::new(file, run, seed, now, 0, &[]).expect("valid node");
         self.sim.set_actor(i, Some(Member::new(node)));
         self.after_step(i);
@@ -185,7 +185,7 @@
     }
 
     pub fn node(&self, i: usize) -> &Node {
-        &self.sim.actor(i).expect("one that runs").node
+        &self.sim.actor(i).expect("running member").node
     }
 
     /// Events delivered to a member's host since its start: sequence number, whether it is a snapshot, and time.
@@ -198,7 +198,8 @@
     }
 
     pub fn with_node<T>(&mut self, i: usize, act: impl FnOnce(&mut Node, Time) -> T) -> T {
-        let result = self.sim.with_actor(i, |member, now| act(&mut member.node, now)).expect("one that runs");
+        let result =
+            self.sim.with_actor(i, |member, now| act(&mut member.node, now)).expect("running member");
         self.after_step(i);
         result
     }
@@ -231,21 +232,21 @@
         let own = self.sim.local_time(i);
         let checks = self.sim.steps.is_multiple_of(self.check_every);
         let Some(member) = self.sim.slots[i].actor.as_mut() else { return };
-        let (events, verdicts) = (std::mem::take(&mut member.events), std::mem::take(&mut member.decisions));
+        let (events, decisions) = (std::mem::take(&mut member.events), std::mem::take(&mut member.decisions));
         let node = &member.node;
         if checks {
             node.check_invariants(own).unwrap_or_else(|why| panic!("g{i}: {why}"));
         }
-        let place = &mut self.hosts[i];
-        if self.has_discovery && (node.wants_discovery() || place.discovery_conn.is_some()) {
+        let host = &mut self.hosts[i];
+        if self.has_discovery && (node.wants_discovery() || host.discovery_conn.is_some()) {
             self.discovery_active.insert(i);
         }
         // A version beyond the published events does not correspond to any event.
         let no = node.relay.list.version().min(self.events.len() as u64);
-        while place.delivered < no {
-            let took = now - self.events[place.delivered as usize].1;
+        while host.delivered < no {
+            let took = now - self.events[host.delivered as usize].1;
             self.delays.saturating_record(took.as_micros());
-            place.delivered += 1;
+            host.delivered += 1;
         }
         if !self.keep_log {
             return;
@@ -254,10 +255,10 @@
             let value: Value = serde_json::from_slice(&line).expect("valid JSON");
             let snapshot = value.pointer("/roster/snapshot") == Some(&Value::Bool(true));
             let no = value["no"].as_u64().expect("sequence number");
-            place.received.push((no, snapshot, now));
+            host.received.push((no, snapshot, now));
         }
-        for (ticket, verdict) in verdicts {
-            let before = place.decisions.insert(ticket, (now, verdict));
+        for (ticket, verdict) in decisions {
+            let before = host.decisions.insert(ticket, (now, verdict));
             assert!(before.is_none(), "two decisions for ticket {ticket}");
         }
     }
@@ -292,34 +293,34 @@
         for i in self.discovery_active.clone() {
             let reachable = self.discovery_up && !self.cut_from_discovery.contains(&i);
             let (now, own) = (self.sim.now, self.sim.local_time(i));
-            let place = &mut self.hosts[i];
+            let host = &mut self.hosts[i];
             // The connection of a paused member is closed, too.
             let Some(node) = self.sim.slots[i].actor.as_mut().map(|m| &mut m.node) else {
                 self.discovery_active.remove(&i);
                 continue;
             };
             let wants = node.wants_discovery();
-            match place.discovery_conn {
+            match host.discovery_conn {
                 None if wants => {
                     self.attempts += 1;
                     if reachable {
                         self.connections += 1;
                         let at = now + ms(2);
-                        place.discovery_conn = Some((at, node.relay.list.version(), at));
+                        host.discovery_conn = Some((at, node.relay.list.version(), at));
                     } else {
                         node.discovery_closed(own);
                     }
                 }
                 Some(_) if !wants || !reachable => {
-                    place.discovery_conn = None;
+                    host.discovery_conn = None;
                     if wants {
                         node.discovery_closed(own);
                     }
                 }
                 _ => {}
             }
-            open_connections += usize::from(place.discovery_conn.is_some());
-            if !wants && place.discovery_conn.is_none() {
+            open_connections += usize::from(host.discovery_conn.is_some());
+            if !wants && host.discovery_conn.is_none() {
                 self.discovery_active.remove(&i);
             }
         }
@@ -363,9 +364,9 @@
 
     /// Checks that every host received the events in order without gaps; a snapshot replaces all earlier events.
     pub fn check_order(&self) -> Result<(), String> {
-        for (i, place) in self.hosts.iter().enumerate() {
+        for (i, host) in self.hosts.iter().enumerate() {
             let mut at = 0;
-            for &(no, snapshot, _) in &place.received {
+            for &(no, snapshot, _) in &host.received {
                 let fits = if snapshot { no >= at } else { no == at + 1 || no <= at };
                 if !fits {
                     return Err(format!("g{i} received {no} after {at}"));
--- a/scale/src/sim.rs
+++ b/scale/src/sim.rs
@@ -131,15 +131,8 @@
     /// Adds a slot for an actor and returns its index. The actor may be set later.
     pub fn add(&mut self, address: SocketAddr, actor: Option<A>) -> usize {
         let i = self.slots.len();
-        let (stopped, ahead, spent) = (false, Span::ZERO, Usage::default());
-        self.slots.push(Slot {
-            actor: None,
-            address,
-            stopped,
-            clock_offset: ahead,
-            usage: spent,
-            wake: None,
-        });
+        let (stopped, clock_offset, usage) = (false, Span::ZERO, Usage::default());
+        self.slots.push(Slot { actor: None, address, stopped, clock_offset, usage, wake: None });
         self.by_address.insert(address, i);
         self.set_actor(i, actor);
         i
@@ -177,19 +170,19 @@
 
     /// Calls `act` on a running actor with its local time and sends the resulting datagrams.
     pub fn with_actor<T>(&mut self, i: usize, act: impl FnOnce(&mut A, Time) -> T) -> Option<T> {
-        let (now, measures) = (self.local_time(i), self.measure_cpu);
+        let (now, measure_cpu) = (self.local_time(i), self.measure_cpu);
         let slot = &mut self.slots[i];
         let actor = slot.actor.as_mut().filter(|_| !slot.stopped)?;
-        let started = measures.then(ThreadTime::now);
+        let started = measure_cpu.then(ThreadTime::now);
         let result = act(actor, now);
         slot.usage.cpu_time += started.map_or(Duration::ZERO, |b| b.elapsed());
         self.drain_output(i);
         Some(result)
     }
 
-    fn push(&mut self, at: Time, due: EventKind) {
+    fn push(&mut self, at: Time, kind: EventKind) {
         self.seq += 1;
-        self.queue.push(QueuedEvent { at, seq: self.seq, kind: due });
+        self.queue.push(QueuedEvent { at, seq: self.seq, kind });
     }
 
     /// Sends a datagram between two actors, subject to loss, duplication and delay.
@@ -239,8 +232,8 @@
             let max_steps = 100 * self.slots.len().max(200) as u32;
             assert!(self.same_time_steps.1 < max_steps, "livelock: simulated time does not advance");
             self.now = at;
-            let measures = self.measure_cpu;
-            let (i, result) = match next.kind {
+            let measure_cpu = self.measure_cpu;
+            let (i, elapsed) = match next.kind {
                 EventKind::Wake(i) => {
                     let local = self.local_time(i);
                     let slot = &mut self.slots[i];
@@ -249,7 +242,7 @@
                     }
                     slot.wake = None;
                     let Some(actor) = slot.actor.as_mut() else { continue };
-                    let started = measures.then(ThreadTime::now);
+                    let started = measure_cpu.then(ThreadTime::now);
                     actor.tick(local);
                     (i, started.map(|b| b.elapsed()))
                 }
@@ -259,12 +252,12 @@
                     let Some(actor) = slot.actor.as_mut().filter(|_| !slot.stopped) else { continue };
                     slot.usage.datagrams_in += 1;
                     slot.usage.bytes_in += bytes.len() as u64;
-                    let started = measures.then(ThreadTime::now);
+                    let started = measure_cpu.then(ThreadTime::now);
                     actor.handle_datagram(local, sender, &bytes);
                     (to, started.map(|b| b.elapsed()))
                 }
             };
-            self.slots[i].usage.cpu_time += result.unwrap_or_default();
+            self.slots[i].usage.cpu_time += elapsed.unwrap_or_default();
             self.steps += 1;
             self.drain_output(i);
             return Some(i);
--- a/scale/tests/hollow.rs
+++ b/scale/tests/hollow.rs
@@ -1,4 +1,4 @@
-//! A process of hollow gateways on loopback: they find each other, end with their input, and stay on loopback.
+//! The server process of hollow gateways: gateways discover each other, stop at the end of input and bind to loopback only.
 
 use serde_json::{Value, json};
 use std::io::Write;
@@ -17,7 +17,7 @@
     })
 }
 
-fn serve(name: &str, files: &[Value], lasts: Duration) -> Output {
+fn serve(name: &str, files: &[Value], run_time: Duration) -> Output {
     let path = std::env::temp_dir().join(format!("kelpcart-hollow-{name}-{}", std::process::id()));
     std::fs::write(&path, json!(files).to_string()).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_kelpcart-scale"));
@@ -25,8 +25,8 @@
     command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
     let mut child = command.spawn().unwrap();
     let mut input = child.stdin.take().unwrap();
-    std::thread::sleep(lasts);
-    // One that was refused hears nothing any more.
+    std::thread::sleep(run_time);
+    // Fails if the process has rejected its settings and exited.
     _ = writeln!(input, "7 1700000000000000");
     drop(input);
     let output = child.wait_with_output().unwrap();
@@ -35,19 +35,19 @@
 }
 
 #[test]
-fn hollow_gateways_talk_over_loopback_and_say_what_they_missed() {
+fn hollow_gateways_communicate_and_report_missed_purges() {
     let files = [1, 2, 3].map(|i| file(i, &format!("127.98.0.{i}:7811")));
     let output = serve("talk", &files, Duration::from_millis(2_500));
     assert!(output.status.success(), "{output:?}");
-    let said: Vec<Value> = serde_json::from_slice(&output.stdout).unwrap();
-    let names: Vec<&str> = said.iter().filter_map(|s| s["name"].as_str()).collect();
+    let reports: Vec<Value> = serde_json::from_slice(&output.stdout).unwrap();
+    let names: Vec<&str> = reports.iter().filter_map(|s| s["name"].as_str()).collect();
     assert_eq!(names, ["g1", "g2", "g3"]);
-    // There is no hub: the purge that is followed has not come, and that is said.
-    assert!(said.iter().all(|s| s["missing"] == 1 && s["datagrams_in"].as_u64() > Some(2)), "{said:?}");
+    // Without a hub, the tracked purge does not arrive and is reported as missing.
+    assert!(reports.iter().all(|s| s["missing"] == 1 && s["datagrams_in"].as_u64() > Some(2)), "{reports:?}");
 }
 
 #[test]
-fn an_address_outside_of_loopback_is_refused() {
+fn an_address_outside_loopback_is_rejected() {
     let output = serve("outside", &[file(1, "0.0.0.0:7811")], Duration::from_millis(200));
     assert_eq!(output.status.code(), Some(2));
     assert!(String::from_utf8_lossy(&output.stderr).contains("127.0.0.0/8"), "{output:?}");
--- a/scale/tests/target.rs
+++ b/scale/tests/target.rs
@@ -1,4 +1,4 @@
-//! What operators start from is what the program reads, and what contradicts itself is refused by the field.
+//! The committed target and schema are valid and current, and inconsistent targets are rejected with the field's path.
 
 use kelpcart_scale::target::Target;
 
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn the_target_can_be_used_and_the_schema_is_the_present_one() {
+fn the_committed_target_is_valid_and_its_schema_is_current() {
     let target = Target::read(&read("target.json")).unwrap();
     assert_eq!(read("target.schema.json").trim(), Target::schema());
     assert_eq!(target.txns_per_s(), 1_200.0);
@@ -15,9 +15,9 @@
     assert_eq!(target.purges_missed(), 540_000.0);
 }
 
-/// Each of these alone makes the file unusable, and it is the field that is named.
+/// Each of these values alone makes the file invalid; the error names the field.
 #[test]
-fn contradictions_are_refused_by_the_field() {
+fn inconsistent_values_are_rejected_with_the_field() {
     let cases = [
         ("gateways", "0", "gateways"),
         ("caches", "0", "caches"),
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_field_that_there_is_not_is_refused() {
+fn unknown_fields_are_rejected() {
     let mut file: serde_json::Value = serde_json::from_str(&read("target.json")).unwrap();
     file["control"]["cores"] = 1.into();
     assert!(Target::read(&file.to_string()).unwrap_err().to_string().contains("cores"));
