--- a/scale/src/capacity.rs
+++ b/scale/src/capacity.rs
@@ -482,19 +482,19 @@
     Ok(out)
 }
 
-const fn term(id: &'static str, figure: Statistic, at: TargetFn) -> Term {
-    Term { id, statistic: figure, size: at, factor: |_| 1.0 }
+const fn term(id: &'static str, statistic: Statistic, size: TargetFn) -> Term {
+    Term { id, statistic, size, factor: |_| 1.0 }
 }
 
 const fn row(
-    what: &'static str,
+    label: &'static str,
     quantity: Quantity,
     unit: &'static str,
     source: Source,
     budget: Option<TargetFn>,
     mechanism: &'static str,
 ) -> Row {
-    Row { label: what, quantity, unit, source, budget, mechanism, superseded: false }
+    Row { label, quantity, unit, source, budget, mechanism, superseded: false }
 }
 
 const fn superseded(row: Row) -> Row {
--- a/scale/src/feed_net.rs
+++ b/scale/src/feed_net.rs
@@ -299,9 +299,9 @@
         EPOCH_MS + self.sim.now.as_micros() / 1_000
     }
 
-    fn publish(&mut self, stream: usize, purge: bool) {
+    fn publish(&mut self, stream: usize, is_purge: bool) {
         let no = self.services[stream].events.len() as u64 + 1;
-        let line = if purge {
+        let line = if is_purge {
             let (object, issued_ms): (u64, u64) = (self.rng.random(), self.now_ms());
             if self
                 .rng
@@ -315,7 +315,7 @@
                 "zone": "hub", "type": "box", "status": "up"});
             json!({"no": no, "roster": {"index": stream, "snapshot": false, "endpoints": [cache]}})
         };
-        let event = Event { at: self.sim.now, line: line.to_string().into_bytes(), is_purge: purge };
+        let event = Event { at: self.sim.now, line: line.to_string().into_bytes(), is_purge };
         self.services[stream].events.push(event);
     }
 
--- a/scale/src/fleet_net.rs
+++ b/scale/src/fleet_net.rs
@@ -161,8 +161,8 @@
         let host = &mut self.hosts[i];
         host.received.clear();
         (host.discovery_conn, host.delivered) = (None, last);
-        let file = host.config.as_ref().expect("settings");
-        let node = Node::new(file, run, seed, now, 0, &[]).expect("valid node");
+        let config = host.config.as_ref().expect("settings");
+        let node = Node::new(config, run, seed, now, 0, &[]).expect("valid node");
         self.sim.set_actor(i, Some(Member::new(node)));
         self.after_step(i);
     }
--- a/scale/src/loopback.rs
+++ b/scale/src/loopback.rs
@@ -293,7 +293,7 @@
 impl Installation {
     fn start(o: &Options, n: usize, net: u8) -> Result<Installation, Error> {
         let place = |i: usize| SocketAddr::from(([127, net, (i / 200) as u8, (i % 200) as u8 + 1], 7_800));
-        let lists = (0..STREAMS).map(|_| Bulletin::start(1)).collect::<io::Result<Vec<_>>>()?;
+        let discovery = (0..STREAMS).map(|_| Bulletin::start(1)).collect::<io::Result<Vec<_>>>()?;
         let sites = n.div_ceil(GATEWAYS_PER_SITE);
         let hubs: Vec<Value> = (0..HUBS)
             .map(|h| {
@@ -302,7 +302,7 @@
                 json!({"name": format!("h{h}"), "address": place(n + h).to_string(), "public": public})
             })
             .collect();
-        let streams: Vec<Value> = lists
+        let streams: Vec<Value> = discovery
             .iter()
             .enumerate()
             .map(|(s, l)| json!({"name": format!("s{s}"), "address": l.address.to_string(), "known": 1}))
@@ -320,13 +320,8 @@
         let all: Vec<Value> = (0..n)
             .map(|i| file(i, format!("g{i}"), format!("site{}", site_of(i)), first_of(site_of(i))))
             .collect();
-        let mut installation = Installation {
-            discovery: lists,
-            hubs: Vec::new(),
-            real: Vec::new(),
-            hollow: Vec::new(),
-            gateways: n,
-        };
+        let mut installation =
+            Installation { discovery, hubs: Vec::new(), real: Vec::new(), hollow: Vec::new(), gateways: n };
         let spawn = |name: &str, file: &Value, installation: &Installation| {
             let node = fleet::Node {
                 name,
