--- a/scale/src/benchmarks/data_path.rs
+++ b/scale/src/benchmarks/data_path.rs
@@ -251,28 +251,28 @@
 }
 
 fn receive(mut stream: TcpStream, started: Instant, load: Load) -> io::Result<Responses> {
-    let (mut responses, mut held, mut used) = (Responses::default(), vec![0; 1 << 20], 0..0);
+    let (mut responses, mut buffer, mut used) = (Responses::default(), vec![0; 1 << 20], 0..0);
     let end = load.warm_up + load.duration + DRAIN_TIME;
     while let Some(left) = end.checked_sub(started.elapsed()).filter(|left| !left.is_zero()) {
         stream.set_read_timeout(Some(left))?;
-        if used.end == held.len() {
-            held.copy_within(used.clone(), 0);
+        if used.end == buffer.len() {
+            buffer.copy_within(used.clone(), 0);
             used = 0..used.len();
         }
-        let n = match stream.read(&mut held[used.end..]) {
+        let n = match stream.read(&mut buffer[used.end..]) {
             Ok(0) => break,
             Ok(n) => n,
             Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => break,
             Err(e) => return Err(e),
         };
         used.end += n;
-        while let Some((answer, n)) = client::answer(&held[used.clone()]).map_err(io::Error::other)? {
+        while let Some((answer, n)) = client::answer(&buffer[used.clone()]).map_err(io::Error::other)? {
             used.start += n;
             let due = load.due_at(answer.id as u32);
-            let whole = answer.word == Word::Served && answer.body.len() == len(object(load.kb, 0));
+            let complete = answer.word == Word::Served && answer.body.len() == len(object(load.kb, 0));
             if due < load.warm_up {
                 continue;
-            } else if whole {
+            } else if complete {
                 responses.delays.push(started.elapsed().saturating_sub(due).as_secs_f64() * 1e3);
             } else {
                 responses.refused += 1;
@@ -299,11 +299,11 @@
         threads.push((sender, thread::spawn(move || receive(into, started, load))));
     }
     thread::sleep(load.warm_up.saturating_sub(started.elapsed()));
-    let (own, waited_before) = (std::process::id(), run_queue_wait_s(testbed.gateway.id()));
-    let (before, own_before, since) = (testbed.gateway.used(), fleet::used(own), started.elapsed());
+    let (own_id, waited_before) = (std::process::id(), run_queue_wait_s(testbed.gateway.id()));
+    let (before, own_before, since) = (testbed.gateway.used(), fleet::used(own_id), started.elapsed());
     thread::sleep((load.warm_up + load.duration).saturating_sub(started.elapsed()));
     let (after, own_after, took) =
-        (testbed.gateway.used(), fleet::used(own), (started.elapsed() - since).as_secs_f64());
+        (testbed.gateway.used(), fleet::used(own_id), (started.elapsed() - since).as_secs_f64());
     let (mut max_late, mut delays, mut refused) = (Duration::ZERO, Vec::new(), 0);
     for (sender, receiver) in threads {
         let panicked = |_| io::Error::other("a client thread panicked");
@@ -370,7 +370,7 @@
         let load = Load { per_s, kb: OBJECT_KB, duration, warm_up, seed };
         let mut result = run_load(testbed, load)?;
         result.print(&load);
-        // Retried once, because other processes may have used the processors.
+        // Retries once, because other processes may have used the processors.
         if !result.is_sustained(&load) && !quick {
             result = run_load(testbed, load)?;
             result.print(&load);
@@ -382,20 +382,20 @@
         }
         all.push((per_s, result));
     }
-    let one = |what: &str, unit: &str, of: &dyn Fn(f64, &LoadResult) -> Sample, whole: bool| {
+    let series = |what: &str, unit: &str, of: &dyn Fn(f64, &LoadResult) -> Sample, include_overload: bool| {
         let id = format!("data-path.{what}.by-txns");
-        let seen = all.iter().chain(overloaded.iter().filter(|_| whole));
-        let points = seen.map(|(at, result)| of(*at, result)).collect();
+        let included = all.iter().chain(overloaded.iter().filter(|_| include_overload));
+        let points = included.map(|(at, result)| of(*at, result)).collect();
         head(&id, "txns_per_s", unit).series(fixed(&[("kb", OBJECT_KB as f64)]), points)
     };
     Ok(vec![
-        one("processor", "us/s", &|at, c| sample(at, &[c.cpu_us_per_s]), false),
-        one("delay", "ms", &delay, false),
-        one("served", "txns/s", &|at, c| sample(at, &[c.served_per_s]), true),
-        one("payload", "MB/s", &|at, c| sample(at, &[c.mb_per_s]), true),
-        one("hop-connections", "count", &|at, c| sample(at, &[c.hop_connections]), true),
-        one("waited", "us/s", &|at, c| sample(at, &[c.wait_us_per_s]), true),
-        one("generator-late", "ms", &|at, c| sample(at, &[c.generator_late_ms]), true),
+        series("processor", "us/s", &|at, c| sample(at, &[c.cpu_us_per_s]), false),
+        series("delay", "ms", &delay, false),
+        series("served", "txns/s", &|at, c| sample(at, &[c.served_per_s]), true),
+        series("payload", "MB/s", &|at, c| sample(at, &[c.mb_per_s]), true),
+        series("hop-connections", "count", &|at, c| sample(at, &[c.hop_connections]), true),
+        series("waited", "us/s", &|at, c| sample(at, &[c.wait_us_per_s]), true),
+        series("generator-late", "ms", &|at, c| sample(at, &[c.generator_late_ms]), true),
     ])
 }
 
--- a/scale/src/benchmarks/feed.rs
+++ b/scale/src/benchmarks/feed.rs
@@ -65,8 +65,9 @@
     while (net.check_delivered().is_err() || !net.all_confirmed()) && net.sim.now - ended < ms(30_000) {
         net.run_for(ms(100));
     }
-    let known = if net.all_confirmed() { Ok(()) } else { Err("no hub has confirmed all changes".to_owned()) };
-    let converged = net.check_delivered().and(known);
+    let confirmed =
+        if net.all_confirmed() { Ok(()) } else { Err("no hub has confirmed all changes".to_owned()) };
+    let converged = net.check_delivered().and(confirmed);
     let purges_of_all: u64 = net.sim.live().map(|(_, h)| h.feed.counts.gaps_purged).sum();
     // A gateway's memory is what its removal frees. The rest, including shared data, is attributed to the hubs.
     let hub_memory = (memory::allocated() - allocated_before) as f64;
@@ -111,11 +112,11 @@
 
 impl SeriesGroups {
     fn new(of: &str, module: &'static str, over: &'static str, fixed: &[(&str, f64)]) -> SeriesGroups {
-        let one = |of: String| SeriesGroup::new(&of, module, MECHANISM, Host::Simulated, over, fixed);
+        let group = |of: String| SeriesGroup::new(&of, module, MECHANISM, Host::Simulated, over, fixed);
         SeriesGroups {
-            feed: one(of.to_owned()),
-            control: one(of.replacen("feed", "control", 1)),
-            hubs: one(of.replacen("feed", "hub", 1)),
+            feed: group(of.to_owned()),
+            control: group(of.replacen("feed", "control", 1)),
+            hubs: group(of.replacen("feed", "hub", 1)),
         }
     }
 
--- a/scale/src/benchmarks/fleet.rs
+++ b/scale/src/benchmarks/fleet.rs
@@ -18,7 +18,7 @@
 
 /// Runs a fleet of `n` with membership only, as used by the gateways of a site together with the feed.
 fn members(seed: u64, n: usize, span: Span) -> Run {
-    let held = memory::allocated();
+    let allocated_before = memory::allocated();
     let mut net = Net::new(n, seed, |_, v| {
         v["members"] = json!({"most": MAX_MEMBERS, "expected": n});
         v["relays"] = json!({"on": false});
@@ -40,13 +40,13 @@
     } else {
         Err(format!("live members in view: {:?}", net.live_view_range()))
     };
-    let memory = (memory::allocated() - held) as f64 / n as f64;
+    let memory = (memory::allocated() - allocated_before) as f64 / n as f64;
     Run { usage, duration: span, delays: net.delays.clone(), memory, start, converged, extra: Vec::new() }
 }
 
 /// Runs one fleet of `n` with `rate` purges per second.
 fn run(seed: u64, n: usize, rate: u64, span: Span) -> Run {
-    let held = memory::allocated();
+    let allocated_before = memory::allocated();
     let mut net = Net::new(n, seed, |_, v| v["members"] = json!({"most": MAX_MEMBERS, "expected": n}));
     (net.keep_log, net.check_every) = (false, 1_009);
     net.start_all();
@@ -67,7 +67,7 @@
     net.run_for(ms(2_000));
     let converged = net.check_delivered();
     let delays = net.delays.clone();
-    let memory = (memory::allocated() - held) as f64 / n as f64;
+    let memory = (memory::allocated() - allocated_before) as f64 / n as f64;
     Run { usage, duration, delays, memory, start, converged, extra: Vec::new() }
 }
 
--- a/scale/src/benchmarks/group.rs
+++ b/scale/src/benchmarks/group.rs
@@ -103,8 +103,8 @@
             some.then(|| (r.delays.mean() / 1e3, at(r.delays.max()), Some((quantile(0.5), quantile(0.99)))))
         }));
         all.push(self.one_series(seed, "start", "ms", false, |r| {
-            let took = r.start.as_secs_f64() * 1e3;
-            Some((took, took, None))
+            let start_ms = r.start.as_secs_f64() * 1e3;
+            Some((start_ms, start_ms, None))
         }));
         for (at, (name, unit, _)) in self.runs.first().iter().flat_map(|r| r.1.extra.iter().enumerate()) {
             all.push(self.one_series(seed, name, unit, false, |r| r.extra.get(at).map(|m| (m.2, m.2, None))));
--- a/scale/src/benchmarks/module.rs
+++ b/scale/src/benchmarks/module.rs
@@ -363,16 +363,16 @@
     let measured: Vec<(f64, Measurement)> =
         sizes.iter().map(|&n| (n as f64, run_case(case_of(n), seed, quick))).collect();
     let fixed = case_of(sizes[0]).fixed(over);
-    let one = |what: &str, unit: &str, timed: bool, of: fn(&Measurement) -> Vec<f64>| {
+    let one_series = |what: &str, unit: &str, timed: bool, of: fn(&Measurement) -> Vec<f64>| {
         let id = format!("module.{what}.by-{name}");
         let points = measured.iter().map(|(at, p)| sample(*at, &of(p))).collect();
         head(&id, over, unit, timed).series(fixed.clone(), points)
     };
     vec![
-        one("processor", "us", true, |p| p.us.clone()),
-        one("kept", "objects", false, |p| vec![p.table_entries as f64]),
-        one("memory", "B", false, |p| vec![p.memory]),
-        one("refused-part", "part", false, |p| vec![p.refused]),
+        one_series("processor", "us", true, |p| p.us.clone()),
+        one_series("kept", "objects", false, |p| vec![p.table_entries as f64]),
+        one_series("memory", "B", false, |p| vec![p.memory]),
+        one_series("refused-part", "part", false, |p| vec![p.refused]),
     ]
 }
 
@@ -400,17 +400,17 @@
 }
 
 fn drain_one(harness: &mut Harness, round: usize) {
-    let mut one = member(format!("cache-{}", round / 2), EDGE, 0, 100.0);
-    one.state = if round.is_multiple_of(2) { MemberState::Draining } else { MemberState::Up };
-    harness.gateway.update_members(harness.now, false, vec![one]);
+    let mut cache = member(format!("cache-{}", round / 2), EDGE, 0, 100.0);
+    cache.state = if round.is_multiple_of(2) { MemberState::Draining } else { MemberState::Up };
+    harness.gateway.update_members(harness.now, false, vec![cache]);
 }
 
 /// Removes one cache and adds another one with a new name.
 fn replace_one(harness: &mut Harness, round: usize) {
     let name = |round: usize| if round == 0 { "cache-0".to_owned() } else { format!("new-{round}") };
-    let mut gone = member(name(round), EDGE, 0, 100.0);
-    gone.state = MemberState::Gone;
-    let changes = vec![gone, member(name(round + 1), EDGE, 0, 100.0)];
+    let mut removed = member(name(round), EDGE, 0, 100.0);
+    removed.state = MemberState::Gone;
+    let changes = vec![removed, member(name(round + 1), EDGE, 0, 100.0)];
     harness.gateway.update_members(harness.now, false, changes);
 }
 
--- a/scale/src/benchmarks/roles.rs
+++ b/scale/src/benchmarks/roles.rs
@@ -58,7 +58,7 @@
 }
 
 fn connection_series(seed: u64, quick: bool) -> Vec<Series> {
-    let one = |id: &str, over: &str, sizes: &[usize], case: fn(usize) -> Case| {
+    let one_series = |id: &str, over: &str, sizes: &[usize], case: fn(usize) -> Case| {
         let points =
             limit_sizes(sizes, quick).iter().map(|&n| sample(n as f64, &[connected_caches(case(n), seed)]));
         head(id, over, "count", CACHES).series(case(sizes[0]).fixed(over), points.collect())
@@ -67,8 +67,8 @@
     let at_rate = |n: usize| Case { txns_per_s: n as f64, in_flight: (n / 20).max(1), ..Case::default() };
     let in_zone = |n: usize| Case { zone_caches: n, txns_per_s: 600.0, ..Case::default() };
     vec![
-        one("connections.caches.by-txns", "txns_per_s", &[1, 3, 10, 30, 100, 300, 1_200], at_rate),
-        one(
+        one_series("connections.caches.by-txns", "txns_per_s", &[1, 3, 10, 30, 100, 300, 1_200], at_rate),
+        one_series(
             "connections.caches.by-zone-caches",
             "zone_caches",
             &[5, 10, 20, 37, 75, 150, 300, 1_100],
@@ -114,9 +114,9 @@
     fixed_values.insert("transfers".to_owned(), TRANSFERS);
     let all: Vec<(f64, Vec<f64>)> = sizes.iter().map(|&n| (n as f64, txns_to_cold(n, seed))).collect();
     let each = all.iter().map(|(n, sent)| sample(*n, sent)).collect();
-    let whole = all.iter().map(|(n, sent)| {
+    let totals = all.iter().map(|(n, sent)| {
         let Sample { mean, worst, .. } = sample(*n, sent);
-        let by_all = |one: f64| one * n / COLD_SPAN.as_secs_f64();
+        let by_all = |per_gateway: f64| per_gateway * n / COLD_SPAN.as_secs_f64();
         Sample { mean: by_all(mean), worst: by_all(worst), ..sample(*n, &[]) }
     });
     let logic = "src/logic.rs";
@@ -124,7 +124,7 @@
         head("cold.txns-of-one-gateway.by-zone-gateways", over, "count", logic)
             .series(fixed_values.clone(), each),
         head("cold.txns-at-a-cache.by-zone-gateways", over, "txns/s", logic)
-            .series(fixed_values, whole.collect()),
+            .series(fixed_values, totals.collect()),
     ]
 }
 
@@ -206,10 +206,10 @@
 fn coordinator_load(n: usize, seed: u64) -> CoordinatorLoad {
     let mut sim = fleet(n, seed);
     let duration = Span::from_millis(10_000);
-    let spent = |sim: &Sim<Member>| sim.slots.iter().map(|s| s.usage).collect::<Vec<_>>();
+    let usages = |sim: &Sim<Member>| sim.slots.iter().map(|s| s.usage).collect::<Vec<_>>();
     sim.reset_usage();
     sim.run_for(duration);
-    let idle = spent(&sim);
+    let idle = usages(&sim);
     sim.reset_usage();
     let key = (BudgetKind::Connections, 77);
     let quarter = Span::from_millis(250);
@@ -231,7 +231,7 @@
         }
         sim.run_for(quarter);
     }
-    let busy = spent(&sim);
+    let busy = usages(&sim);
     let per_second = |excess: f64| excess.max(0.0) / duration.as_secs_f64();
     let most = |of: fn(&crate::sim::Usage) -> f64| {
         let excess = busy.iter().zip(&idle).map(|(b, c)| of(b) - of(c));
@@ -250,7 +250,7 @@
     let sizes = limit_sizes(&[4, 8, 12, 24, 36, 100, 300], quick);
     let all: Vec<(f64, CoordinatorLoad)> =
         sizes.iter().map(|&n| (n as f64, coordinator_load(n, seed))).collect();
-    let one = |what: &str, unit: &str, timed: bool, of: fn(&CoordinatorLoad) -> f64| {
+    let one_series = |what: &str, unit: &str, timed: bool, of: fn(&CoordinatorLoad) -> f64| {
         let id = format!("budgets.{what}.by-gateways");
         let points = all.iter().map(|(n, k)| sample(*n, &[of(k)])).collect();
         let fixed_values = fixed(&[("budget", BUDGET.into()), ("wants_per_s", 2.0)]);
@@ -258,10 +258,10 @@
         head.series(fixed_values, points)
     };
     vec![
-        one("keeper-bytes-in", "B/s", false, |k| k.bytes_in),
-        one("keeper-bytes-out", "B/s", false, |k| k.bytes_out),
-        one("keeper-processor", "us/s", true, |k| k.cpu_us_per_s),
-        one("lent-part", "part", false, |k| k.granted_part),
+        one_series("keeper-bytes-in", "B/s", false, |k| k.bytes_in),
+        one_series("keeper-bytes-out", "B/s", false, |k| k.bytes_out),
+        one_series("keeper-processor", "us/s", true, |k| k.cpu_us_per_s),
+        one_series("lent-part", "part", false, |k| k.granted_part),
     ]
 }
 
@@ -353,11 +353,11 @@
     let mut number = 0;
     while number < total {
         for end in [false, true] {
-            for one in number + 1..=number + at_once {
-                let key = Key { sender: senders[one as usize % senders.len()], number: one };
-                let at = one as usize % REPLICAS;
+            for seq in number + 1..=number + at_once {
+                let key = Key { sender: senders[seq as usize % senders.len()], number: seq };
+                let at = seq as usize % REPLICAS;
                 let group = replicas.all[at].group_of(key.sender);
-                let answer = Answer { outcome: TxnOutcome::Served, body: one.to_be_bytes().repeat(2) };
+                let answer = Answer { outcome: TxnOutcome::Served, body: seq.to_be_bytes().repeat(2) };
                 let word = if end { Word::end(key, &answer, 0) } else { Word::take(key) };
                 replicas.all[at].ask(replicas.now, group, 9, word);
             }
--- a/scale/src/capacity.rs
+++ b/scale/src/capacity.rs
@@ -137,11 +137,11 @@
 
 fn fitted_terms<'a>(row: &'a Row, slopes: &'a Slopes) -> Option<Vec<FittedTerm<'a>>> {
     let Source::Fitted(terms) = &row.source else { return Some(Vec::new()) };
-    let one = |term: &'a Term| {
+    let fit_term = |term: &'a Term| {
         let series = slopes.get(term.id)?;
         Some(FittedTerm { term, fit: fit::fit_series(series, term.statistic)?, over: &series.over })
     };
-    terms.iter().map(one).collect()
+    terms.iter().map(fit_term).collect()
 }
 
 fn basis(all: &[Basis]) -> String {
@@ -261,9 +261,9 @@
             };
             let budget = budget(target);
             let at = |times: f64| -> f64 {
-                let one =
+                let term_value =
                     |r: &FittedTerm| r.fit.at((r.term.size)(target) * times).value * (r.term.factor)(target);
-                fitted.iter().map(one).sum()
+                fitted.iter().map(term_value).sum()
             };
             let Some((mut low, mut high)) = first_exceeding(at, budget) else { continue };
             for _ in 0..60 {
@@ -361,24 +361,24 @@
 
 /// Renders the table of one role as plain text: required load, predicted load, share of the budget and source.
 pub fn plain_table(role: &str, verdicts: &[Verdict]) -> String {
-    let one = |v: &Verdict| {
-        let asked = v.budget.map_or(String::new(), |b| format!("of {}", format_number(b)));
+    let format_row = |v: &Verdict| {
+        let budget = v.budget.map_or(String::new(), |b| format!("of {}", format_number(b)));
         let state = v.state.name().replace('*', "");
         let from = if v.ladders.is_empty() { String::new() } else { v.ladders.join(" + ") };
         let from = format!("{from} {}", v.basis).trim().to_owned();
         let what = format!("{} [{}]", v.what, v.unit);
-        vec![what, format_estimate(v), asked, percent(v.share), state, from, v.mechanism.to_owned()]
+        vec![what, format_estimate(v), budget, percent(v.share), state, from, v.mechanism.to_owned()]
     };
-    align_columns(verdicts.iter().filter(|v| v.role == role).map(one).collect())
+    align_columns(verdicts.iter().filter(|v| v.role == role).map(format_row).collect())
 }
 
 pub fn breaking_points_plain(breaks: &[BreakingPoint]) -> String {
-    let one = |(i, b): (usize, &BreakingPoint)| {
+    let format_row = |(i, b): (usize, &BreakingPoint)| {
         let size = format!("above {} {}", format_number(b.size), b.over.replace('_', " "));
         let times = format!("×{}", format_number(b.times));
         vec![format!("{}.", i + 1), format!("{}: {}", b.role, b.what), size, times, b.mechanism.to_owned()]
     };
-    align_columns(breaks.iter().enumerate().map(one).collect())
+    align_columns(breaks.iter().enumerate().map(format_row).collect())
 }
 
 /// Returns the reference marks for the chart of a series: the budgets of all rows that use only this series, and the
@@ -402,12 +402,12 @@
     let ids: BTreeSet<&str> = terms.flatten().collect();
     for series in ids.iter().filter_map(|id| slopes.get(id)) {
         let (first, last) = (series.points.first(), series.points.last());
-        let ends = first
+        let range = first
             .zip(last)
             .map_or(String::new(), |(f, l)| format!("{} to {}", format_number(f.at), format_number(l.at)));
         let law = |figure| fit::fit_series(series, figure).map_or(String::new(), |f| f.describe());
         out += &format!(
-            "| `{}`, {} | {} | {}, {ends} {} | {} | {} | `{}` |\n",
+            "| `{}`, {} | {} | {}, {range} {} | {} | {} | `{}` |\n",
             series.id,
             series.unit,
             series.host.name(),
--- a/scale/src/feed_net.rs
+++ b/scale/src/feed_net.rs
@@ -392,8 +392,8 @@
     }
 
     fn can_reach(&self, i: usize, stream: usize) -> bool {
-        let (own, partitions) = (self.hosts[i].region, self.partitions.borrow());
-        own == stream || !(partitions.regions.contains(&own) || partitions.regions.contains(&stream))
+        let (local, partitions) = (self.hosts[i].region, self.partitions.borrow());
+        local == stream || !(partitions.regions.contains(&local) || partitions.regions.contains(&stream))
     }
 
     fn update_connection(&mut self, i: usize, stream: usize, wants: bool) {
@@ -437,12 +437,12 @@
             return;
         }
         let lines = &events[sent..deliverable];
-        let accepted = self.sim.with_actor(i, |hollow, own| {
-            hollow.with_feed(own, |feed| {
+        let accepted = self.sim.with_actor(i, |hollow, local| {
+            hollow.with_feed(local, |feed| {
                 for event in lines {
-                    feed.handle_line(own, stream, &event.line).expect("valid line");
+                    feed.handle_line(local, stream, &event.line).expect("valid line");
                 }
-                now < next_keepalive || feed.handle_last(own, stream, deliverable as u64)
+                now < next_keepalive || feed.handle_last(local, stream, deliverable as u64)
             })
         });
         assert_eq!(
@@ -508,10 +508,10 @@
     /// Whether any hub has confirmed that all changes are applied everywhere.
     pub fn all_confirmed(&self) -> bool {
         let lasts = self.services.iter().map(|s| s.events.len() as u64).enumerate();
-        let known = |h: usize| {
+        let has_confirmed = |h: usize| {
             let feed = self.sim.actor(h).map(|hollow| &hollow.feed);
             feed.is_some_and(|f| lasts.clone().all(|(s, last)| f.watermarks(s).everywhere == last))
         };
-        self.hubs().any(known)
+        self.hubs().any(has_confirmed)
     }
 }
--- a/scale/src/fit.rs
+++ b/scale/src/fit.rs
@@ -263,10 +263,10 @@
     }
     if size >= 99.95 {
         let step = 10f64.powi((size.log10().floor() as i32 - 2).max(0));
-        let whole = format!("{:.0}", (size / step).round() * step);
+        let digits = format!("{:.0}", (size / step).round() * step);
         let mut out = String::new();
-        for (i, digit) in whole.chars().enumerate() {
-            if i > 0 && (whole.len() - i).is_multiple_of(3) {
+        for (i, digit) in digits.chars().enumerate() {
+            if i > 0 && (digits.len() - i).is_multiple_of(3) {
                 out.push(',');
             }
             out.push(digit);
--- a/scale/src/fleet_net.rs
+++ b/scale/src/fleet_net.rs
@@ -229,13 +229,13 @@
     /// Records the outputs of a member after a step and checks its invariants.
     fn after_step(&mut self, i: usize) {
         let now = self.sim.now;
-        let own = self.sim.local_time(i);
+        let local = self.sim.local_time(i);
         let checks = self.sim.steps.is_multiple_of(self.check_every);
         let Some(member) = self.sim.slots[i].actor.as_mut() else { return };
         let (events, decisions) = (std::mem::take(&mut member.events), std::mem::take(&mut member.decisions));
         let node = &member.node;
         if checks {
-            node.check_invariants(own).unwrap_or_else(|why| panic!("g{i}: {why}"));
+            node.check_invariants(local).unwrap_or_else(|why| panic!("g{i}: {why}"));
         }
         let host = &mut self.hosts[i];
         if self.has_discovery && (node.wants_discovery() || host.discovery_conn.is_some()) {
@@ -244,8 +244,8 @@
         // A version beyond the published events does not correspond to any event.
         let no = node.relay.list.version().min(self.events.len() as u64);
         while host.delivered < no {
-            let took = now - self.events[host.delivered as usize].1;
-            self.delays.saturating_record(took.as_micros());
+            let delay = now - self.events[host.delivered as usize].1;
+            self.delays.saturating_record(delay.as_micros());
             host.delivered += 1;
         }
         if !self.keep_log {
@@ -273,12 +273,12 @@
             }
             let last = self.events.len() as u64;
             let events = &self.events[sent as usize..];
-            self.sim.with_actor(i, |member, own| {
+            self.sim.with_actor(i, |member, local| {
                 for (line, _) in events {
-                    member.node.discovery_event(own, line.as_bytes()).expect("valid event");
+                    member.node.discovery_event(local, line.as_bytes()).expect("valid event");
                 }
                 if now >= next_announcement {
-                    assert!(member.node.discovery_version(own, last));
+                    assert!(member.node.discovery_version(local, last));
                 }
             });
             let next_announcement =
@@ -292,7 +292,7 @@
         let mut open_connections = 0;
         for i in self.discovery_active.clone() {
             let reachable = self.discovery_up && !self.cut_from_discovery.contains(&i);
-            let (now, own) = (self.sim.now, self.sim.local_time(i));
+            let (now, local) = (self.sim.now, self.sim.local_time(i));
             let host = &mut self.hosts[i];
             // The connection of a paused member is closed, too.
             let Some(node) = self.sim.slots[i].actor.as_mut().map(|m| &mut m.node) else {
@@ -308,13 +308,13 @@
                         let at = now + ms(2);
                         host.discovery_conn = Some((at, node.relay.list.version(), at));
                     } else {
-                        node.discovery_closed(own);
+                        node.discovery_closed(local);
                     }
                 }
                 Some(_) if !wants || !reachable => {
                     host.discovery_conn = None;
                     if wants {
-                        node.discovery_closed(own);
+                        node.discovery_closed(local);
                     }
                 }
                 _ => {}
--- a/scale/tests/fit.rs
+++ b/scale/tests/fit.rs
@@ -36,9 +36,9 @@
         let law = law(n);
         let truth = truth(law, f64::from(part) / 64.0);
         let found = fit::fit(&SIZES.map(|n| (n, truth(n)))).unwrap();
-        let far = found.at(80_000.0);
-        let near = (far.value / truth(80_000.0) - 1.0).abs() < 1e-4;
-        TestResult::from_bool(found.curve.law == law && found.error < 1e-6 && near)
+        let extrapolated = found.at(80_000.0);
+        let is_close = (extrapolated.value / truth(80_000.0) - 1.0).abs() < 1e-4;
+        TestResult::from_bool(found.curve.law == law && found.error < 1e-6 && is_close)
     }
 
     fn the_law_is_independent_of_the_unit(n: u8, part: u8, seed: u64, unit: i8) -> bool {
@@ -88,19 +88,19 @@
     let bounded = [(25.0, 25.0), (1_000.0, 1_000.0), (2_000.0, 1_024.0), (8_000.0, 1_024.0)];
     let found = fit::fit(&bounded).unwrap();
     assert_eq!((found.at(727.0).value, found.at(4_000.0).value), (727.0, 1_024.0));
-    let far = found.at(16_000.0);
+    let extrapolated = found.at(16_000.0);
     let laws = found.alternatives.iter().chain([&found.curve]).map(|c| c.at(16_000.0));
     let top = laws.fold(0.0, f64::max);
-    assert!(found.error > 0.2 && far.upper >= top * (1.0 + found.error), "{far:?}");
+    assert!(found.error > 0.2 && extrapolated.upper >= top * (1.0 + found.error), "{extrapolated:?}");
 }
 
 /// All laws fit closely spaced sizes, so the extrapolated range must show their spread.
 #[test]
 fn laws_that_a_short_series_cannot_distinguish_give_a_range() {
-    let near =
+    let narrow =
         [100.0, 110.0, 120.0, 130.0].map(|n: f64| (n, 300.0 + n * if n == 110.0 { 1.05 } else { 1.0 }));
-    let far = fit::fit(&near).unwrap().at(10_000.0);
-    assert!(far.upper > 2.0 * far.lower, "{far:?}");
+    let extrapolated = fit::fit(&narrow).unwrap().at(10_000.0);
+    assert!(extrapolated.upper > 2.0 * extrapolated.lower, "{extrapolated:?}");
 }
 
 /// Measured times in us for lists of 100 to 2,200 caches. One outlier must not change the law to n log n.
