--- a/scale/src/sim.rs
+++ b/scale/src/sim.rs
@@ -1,6 +1,8 @@
-//! A network in simulated time for any core without I/O: an ordered queue of datagrams and wake times, so that a step
-//! costs the logarithm of what waits, however many actors there are. Chance comes from one seed. Must never look at all
-//! actors for one event; the processor time that it notes is that of the cores alone.
+//! Discrete-event simulation of a datagram network for sans-I/O cores. Events are kept in a priority queue, so a step costs
+//! O(log n) in the number of queued events, independent of the number of actors.
+//!
+//! Invariants: a run is determined by its seed; no event iterates over all actors; the recorded processor time covers the
+//! cores only, not the simulation.
 
 use cpu_time::ThreadTime;
 use kelpcart::{Span, Time};
@@ -12,259 +14,264 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A core that a network hosts. What it wants done beside datagrams it keeps for its owner.
+/// A sans-I/O core hosted by the simulated network. Outputs other than datagrams are kept for the actor's owner.
 pub trait Actor {
-    fn datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]);
+    fn handle_datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]);
     fn tick(&mut self, now: Time);
     fn next_wake(&self, now: Time) -> Time;
-    /// The next datagram that it sends.
-    fn sent(&mut self) -> Option<(SocketAddr, Vec<u8>)>;
+    /// Returns the next datagram to send.
+    fn poll_datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)>;
 }
 
-enum Due {
+enum EventKind {
     Wake(usize),
     Datagram { from: usize, to: usize, bytes: Rc<[u8]> },
 }
 
-struct Queued {
+struct QueuedEvent {
     at: Time,
-    number: u64,
-    due: Due,
+    seq: u64,
+    kind: EventKind,
 }
 
-impl PartialEq for Queued {
-    fn eq(&self, other: &Queued) -> bool {
+impl PartialEq for QueuedEvent {
+    fn eq(&self, other: &QueuedEvent) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl Eq for Queued {}
+impl Eq for QueuedEvent {}
 
-impl PartialOrd for Queued {
-    fn partial_cmp(&self, other: &Queued) -> Option<Ordering> {
+impl PartialOrd for QueuedEvent {
+    fn partial_cmp(&self, other: &QueuedEvent) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Queued {
-    /// The earliest is the greatest; what is due at once goes by its number.
-    fn cmp(&self, other: &Queued) -> Ordering {
-        (other.at, other.number).cmp(&(self.at, self.number))
+impl Ord for QueuedEvent {
+    /// The earliest event is the greatest, as `BinaryHeap` pops the maximum. Ties are broken by sequence number.
+    fn cmp(&self, other: &QueuedEvent) -> Ordering {
+        (other.at, other.seq).cmp(&(self.at, self.seq))
     }
 }
 
-/// What one actor has sent and taken since it was last reset, in payload bytes.
+/// Traffic in payload bytes and processor time of one actor since the last reset.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Spent {
+pub struct Usage {
     pub bytes_in: u64,
     pub bytes_out: u64,
     pub datagrams_in: u64,
     pub datagrams_out: u64,
-    /// Of its core alone, where the network measures it.
-    pub processor: Duration,
+    /// Processor time of the actor's core, if `measure_cpu` is set.
+    pub cpu_time: Duration,
 }
 
 pub struct Slot<A> {
     pub actor: Option<A>,
     pub address: SocketAddr,
-    /// It is given nothing; what comes meanwhile is lost.
+    /// The actor is paused: it gets no events, and datagrams to it are lost.
     pub stopped: bool,
-    /// Its clock is that much ahead.
-    pub ahead: Span,
-    pub spent: Spent,
+    /// Offset of the actor's clock from simulated time.
+    pub clock_offset: Span,
+    pub usage: Usage,
     wake: Option<Time>,
 }
 
-type Between<T> = Box<dyn Fn(usize, usize) -> T>;
+type LinkFn<T> = Box<dyn Fn(usize, usize) -> T>;
 
 pub struct Sim<A> {
     pub now: Time,
     pub slots: Vec<Slot<A>>,
     pub rng: Pcg64Mcg,
-    /// The part of datagrams that is lost, and that comes twice.
+    /// Probability that a datagram is lost.
     pub loss: f64,
-    pub repeat: f64,
-    /// One way, at the mean; a datagram takes half of it to once and a half of it.
-    pub delay: Between<Span>,
-    /// Nothing goes from the first to the second.
-    pub cut: Between<bool>,
-    /// Nothing goes from the first to the second, either.
-    pub cuts: BTreeSet<(usize, usize)>,
-    /// Datagrams that are kept to be sent again, at the most.
-    pub records: usize,
-    pub recorded: Vec<(usize, usize, Vec<u8>)>,
-    /// Notes the processor time of the cores.
-    pub measures: bool,
+    /// Probability that a datagram is duplicated.
+    pub duplication: f64,
+    /// Mean one-way delay from the first actor to the second; a datagram takes 0.5 to 1.5 times as long.
+    pub delay: LinkFn<Span>,
+    /// Whether datagrams from the first actor to the second are dropped.
+    pub link_down: LinkFn<bool>,
+    /// Further links, from the first actor to the second, that drop all datagrams.
+    pub down_links: BTreeSet<(usize, usize)>,
+    /// Maximum number of datagrams captured for replay.
+    pub capture_limit: usize,
+    pub captured: Vec<(usize, usize, Vec<u8>)>,
+    /// Whether the processor time of the cores is recorded.
+    pub measure_cpu: bool,
     pub steps: u64,
-    queue: BinaryHeap<Queued>,
-    number: u64,
-    places: HashMap<SocketAddr, usize>,
-    still: (Time, u32),
+    queue: BinaryHeap<QueuedEvent>,
+    seq: u64,
+    by_address: HashMap<SocketAddr, usize>,
+    same_time_steps: (Time, u32),
 }
 
 impl<A: Actor> Sim<A> {
     pub fn new(seed: u64) -> Sim<A> {
         Sim {
-            // Far from zero, so that what lies before the start can be named.
+            // Far from zero, so that times before the start can be represented.
             now: Time::from_micros(1_000_000_000),
             slots: Vec::new(),
             rng: Pcg64Mcg::seed_from_u64(seed),
             loss: 0.0,
-            repeat: 0.0,
+            duplication: 0.0,
             delay: Box::new(|_, _| Span::from_millis(1)),
-            cut: Box::new(|_, _| false),
-            cuts: BTreeSet::new(),
-            records: 0,
-            recorded: Vec::new(),
-            measures: false,
+            link_down: Box::new(|_, _| false),
+            down_links: BTreeSet::new(),
+            capture_limit: 0,
+            captured: Vec::new(),
+            measure_cpu: false,
             steps: 0,
             queue: BinaryHeap::new(),
-            number: 0,
-            places: HashMap::new(),
-            still: (Time::default(), 0),
+            seq: 0,
+            by_address: HashMap::new(),
+            same_time_steps: (Time::default(), 0),
         }
     }
 
-    /// A place for an actor, which may come later.
+    /// Adds a slot for an actor and returns its index. The actor may be set later.
     pub fn add(&mut self, address: SocketAddr, actor: Option<A>) -> usize {
         let i = self.slots.len();
-        let (stopped, ahead, spent) = (false, Span::ZERO, Spent::default());
-        self.slots.push(Slot { actor: None, address, stopped, ahead, spent, wake: None });
-        self.places.insert(address, i);
-        self.put(i, actor);
+        let (stopped, clock_offset, usage) = (false, Span::ZERO, Usage::default());
+        self.slots.push(Slot { actor: None, address, stopped, clock_offset, usage, wake: None });
+        self.by_address.insert(address, i);
+        self.set_actor(i, actor);
         i
     }
 
-    /// Starts one anew, or ends it.
-    pub fn put(&mut self, i: usize, actor: Option<A>) {
+    /// Replaces the actor of a slot, which restarts it, or removes it.
+    pub fn set_actor(&mut self, i: usize, actor: Option<A>) {
         let slot = &mut self.slots[i];
         (slot.actor, slot.stopped, slot.wake) = (actor, false, None);
-        self.pull(i);
+        self.drain_output(i);
     }
 
-    pub fn stop(&mut self, i: usize, stopped: bool) {
+    pub fn set_stopped(&mut self, i: usize, stopped: bool) {
         self.slots[i].stopped = stopped;
         self.slots[i].wake = None;
         if !stopped {
-            self.pull(i);
+            self.drain_output(i);
         }
     }
 
-    pub fn get(&self, i: usize) -> Option<&A> {
+    pub fn actor(&self, i: usize) -> Option<&A> {
         self.slots[i].actor.as_ref()
     }
 
-    /// Those that run.
+    /// Returns all actors that exist and are not stopped.
     pub fn live(&self) -> impl Iterator<Item = (usize, &A)> {
         let live = self.slots.iter().enumerate().filter(|(_, s)| !s.stopped);
         live.filter_map(|(i, s)| Some((i, s.actor.as_ref()?)))
     }
 
-    /// The time by the clock of one.
-    pub fn at(&self, i: usize) -> Time {
-        self.now + self.slots[i].ahead
+    /// Returns the time by the local clock of an actor.
+    pub fn local_time(&self, i: usize) -> Time {
+        self.now + self.slots[i].clock_offset
     }
 
-    /// Has one do something by its own clock; what it sends goes out.
-    pub fn with<T>(&mut self, i: usize, act: impl FnOnce(&mut A, Time) -> T) -> Option<T> {
-        let (now, measures) = (self.at(i), self.measures);
+    /// Calls `act` on a running actor with its local time and sends the resulting datagrams.
+    pub fn with_actor<T>(&mut self, i: usize, act: impl FnOnce(&mut A, Time) -> T) -> Option<T> {
+        let (now, measure_cpu) = (self.local_time(i), self.measure_cpu);
         let slot = &mut self.slots[i];
         let actor = slot.actor.as_mut().filter(|_| !slot.stopped)?;
-        let begun = measures.then(ThreadTime::now);
-        let given = act(actor, now);
-        slot.spent.processor += begun.map_or(Duration::ZERO, |b| b.elapsed());
-        self.pull(i);
-        Some(given)
+        let started = measure_cpu.then(ThreadTime::now);
+        let result = act(actor, now);
+        slot.usage.cpu_time += started.map_or(Duration::ZERO, |b| b.elapsed());
+        self.drain_output(i);
+        Some(result)
     }
 
-    fn push(&mut self, at: Time, due: Due) {
-        self.number += 1;
-        self.queue.push(Queued { at, number: self.number, due });
+    fn push(&mut self, at: Time, kind: EventKind) {
+        self.seq += 1;
+        self.queue.push(QueuedEvent { at, seq: self.seq, kind });
     }
 
-    /// A datagram from one to another, as if the first had sent it.
+    /// Sends a datagram between two actors, subject to loss, duplication and delay.
     pub fn send(&mut self, from: usize, to: usize, bytes: &[u8]) {
-        if (self.cut)(from, to) || self.cuts.contains(&(from, to)) || self.rng.random_bool(self.loss) {
+        if (self.link_down)(from, to)
+            || self.down_links.contains(&(from, to))
+            || self.rng.random_bool(self.loss)
+        {
             return;
         }
-        let copies = 1 + u32::from(self.rng.random_bool(self.repeat));
+        let copies = 1 + u32::from(self.rng.random_bool(self.duplication));
         let shared: Rc<[u8]> = Rc::from(bytes);
         for _ in 0..copies {
-            let takes = (self.delay)(from, to) * self.rng.random_range(0.5..1.5);
-            self.push(self.now + takes, Due::Datagram { from, to, bytes: Rc::clone(&shared) });
+            let delay = (self.delay)(from, to) * self.rng.random_range(0.5..1.5);
+            self.push(self.now + delay, EventKind::Datagram { from, to, bytes: Rc::clone(&shared) });
         }
     }
 
-    fn pull(&mut self, i: usize) {
-        while let Some((to, bytes)) = self.slots[i].actor.as_mut().and_then(A::sent) {
-            self.slots[i].spent.datagrams_out += 1;
-            self.slots[i].spent.bytes_out += bytes.len() as u64;
-            if let Some(to) = self.places.get(&to).copied() {
-                if self.recorded.len() < self.records {
-                    self.recorded.push((i, to, bytes.clone()));
+    fn drain_output(&mut self, i: usize) {
+        while let Some((to, bytes)) = self.slots[i].actor.as_mut().and_then(A::poll_datagram) {
+            self.slots[i].usage.datagrams_out += 1;
+            self.slots[i].usage.bytes_out += bytes.len() as u64;
+            if let Some(to) = self.by_address.get(&to).copied() {
+                if self.captured.len() < self.capture_limit {
+                    self.captured.push((i, to, bytes.clone()));
                 }
                 self.send(i, to, &bytes);
             }
         }
-        let own = self.at(i);
+        let local = self.local_time(i);
         let slot = &mut self.slots[i];
         let Some(actor) = slot.actor.as_ref().filter(|_| !slot.stopped) else { return };
-        let at = self.now + (actor.next_wake(own) - own);
+        let at = self.now + (actor.next_wake(local) - local);
         if slot.wake != Some(at) {
             slot.wake = Some(at);
-            self.push(at, Due::Wake(i));
+            self.push(at, EventKind::Wake(i));
         }
     }
 
-    /// The next thing that happens, but not beyond `until`; who it happened to.
+    /// Processes the next event that is due by `until` and returns the index of the actor that handled it.
     pub fn step(&mut self, until: Time) -> Option<usize> {
         while self.queue.peek().is_some_and(|q| q.at <= until) {
             let Some(next) = self.queue.pop() else { break };
             let at = next.at.max(self.now);
-            self.still = if self.still.0 == at { (at, self.still.1 + 1) } else { (at, 0) };
-            let most = 100 * self.slots.len().max(200) as u32;
-            assert!(self.still.1 < most, "time stands still");
+            self.same_time_steps =
+                if self.same_time_steps.0 == at { (at, self.same_time_steps.1 + 1) } else { (at, 0) };
+            let max_steps = 100 * self.slots.len().max(200) as u32;
+            assert!(self.same_time_steps.1 < max_steps, "livelock: simulated time does not advance");
             self.now = at;
-            let measures = self.measures;
-            let (i, given) = match next.due {
-                Due::Wake(i) => {
-                    let own = self.at(i);
+            let measure_cpu = self.measure_cpu;
+            let (i, elapsed) = match next.kind {
+                EventKind::Wake(i) => {
+                    let local = self.local_time(i);
                     let slot = &mut self.slots[i];
                     if slot.wake != Some(next.at) || slot.stopped {
                         continue;
                     }
                     slot.wake = None;
                     let Some(actor) = slot.actor.as_mut() else { continue };
-                    let begun = measures.then(ThreadTime::now);
-                    actor.tick(own);
-                    (i, begun.map(|b| b.elapsed()))
+                    let started = measure_cpu.then(ThreadTime::now);
+                    actor.tick(local);
+                    (i, started.map(|b| b.elapsed()))
                 }
-                Due::Datagram { from, to, bytes } => {
-                    let (own, sender) = (self.at(to), self.slots[from].address);
+                EventKind::Datagram { from, to, bytes } => {
+                    let (local, sender) = (self.local_time(to), self.slots[from].address);
                     let slot = &mut self.slots[to];
                     let Some(actor) = slot.actor.as_mut().filter(|_| !slot.stopped) else { continue };
-                    slot.spent.datagrams_in += 1;
-                    slot.spent.bytes_in += bytes.len() as u64;
-                    let begun = measures.then(ThreadTime::now);
-                    actor.datagram(own, sender, &bytes);
-                    (to, begun.map(|b| b.elapsed()))
+                    slot.usage.datagrams_in += 1;
+                    slot.usage.bytes_in += bytes.len() as u64;
+                    let started = measure_cpu.then(ThreadTime::now);
+                    actor.handle_datagram(local, sender, &bytes);
+                    (to, started.map(|b| b.elapsed()))
                 }
             };
-            self.slots[i].spent.processor += given.unwrap_or_default();
+            self.slots[i].usage.cpu_time += elapsed.unwrap_or_default();
             self.steps += 1;
-            self.pull(i);
+            self.drain_output(i);
             return Some(i);
         }
         self.now = self.now.max(until);
         None
     }
 
-    pub fn run(&mut self, span: Span) {
+    pub fn run_for(&mut self, span: Span) {
         let until = self.now + span;
         while self.step(until).is_some() {}
     }
 
-    pub fn reset_spent(&mut self) {
-        self.slots.iter_mut().for_each(|s| s.spent = Spent::default());
+    pub fn reset_usage(&mut self) {
+        self.slots.iter_mut().for_each(|s| s.usage = Usage::default());
     }
 }
