--- a/gateway/tests/sites.rs
+++ b/gateway/tests/sites.rs
@@ -359,15 +359,15 @@
         let (site, gateway) = (site.to_owned(), "n9".to_owned());
         wire::encode(Message::Hello(wire::Hello { version, site, gateway, run_id: 99, next_number: 1 }))
     };
-    send_to_acceptor(&sites, &acceptor, &[hello(7, "near")], "protocol version 1 is required, got 7");
-    send_to_acceptor(&sites, &acceptor, &[hello(1, "far")], "the certificate is not valid for the site");
+    send_to_acceptor(&sites, &acceptor, &[hello(7, "near")], "version 1 is spoken here, not 7");
+    send_to_acceptor(&sites, &acceptor, &[hello(1, "far")], "the certificate is not that site's");
     send_to_acceptor(
         &sites,
         &acceptor,
         &[wire::encode(Message::Ping(1))],
         "the first message is not a hello",
     );
-    send_to_acceptor(&sites, &acceptor, &[vec![0xff; 64]], "message length 4294967295 is out of range");
+    send_to_acceptor(&sites, &acceptor, &[vec![0xff; 64]], "a message of 4294967295 bytes");
     send_to_acceptor(
         &sites,
         &acceptor,
@@ -378,7 +378,7 @@
         &sites,
         &acceptor,
         &[hello(1, "near"), wire::encode(Message::Leaving(true))],
-        "unexpected message",
+        "it sends what it may not",
     );
     let mut client = Client::of(&initiator);
     let (trace, _) = client.served("book", 77);
--- a/sites/tests/cases.rs
+++ b/sites/tests/cases.rs
@@ -596,10 +596,10 @@
         }
     };
     let old = Hello { version: VERSION + 1, ..hello() };
-    assert_eq!(reason(&mut harness, 3, &old, true), "protocol version 1 is required, got 2");
+    assert_eq!(reason(&mut harness, 3, &old, true), "version 1 is spoken here, not 2");
     assert!(reason(&mut harness, 3, &hello(), false).contains("certificate"));
     let stranger = Hello { site: "north".to_owned(), ..hello() };
-    assert!(reason(&mut harness, 3, &stranger, true).contains("the site is not in `accept`"));
+    assert!(reason(&mut harness, 3, &stranger, true).contains("nothing is taken from that site"));
     assert!(reason(&mut harness, 1, &hello(), true).contains("second hello"));
 }
 
